--- a/include/cowslipspoke/fingerprint.h
+++ b/include/cowslipspoke/fingerprint.h
@@ -4,12 +4,13 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* What makes two requests the same one, sent again.  Each attempt of a caller
-   has an id of its own, so ids can't tell.  */
+/* Fingerprints of requests, which are equal when a caller sends the same
+   request again.  Request ids can't serve for this, as each attempt of a
+   caller has its own.  */
 
 enum
 {
-  /* Bytes of a body that count.  */
+  /* Length of the body's prefix that is hashed.  */
   CSP_FINGERPRINT_BODY_BYTES = 65536,
   CSP_FINGERPRINT_TEXT_BYTES = 17
 };
@@ -24,10 +25,11 @@
   size_t body_bytes;
 } csp_request_identity_t;
 
-/* Alike on all hosts: the first bytes of a SHA-256.  Never 0.  */
+/* Returns the first bytes of a SHA-256 hash, which is the same on all hosts.
+   Never returns 0.  */
 uint64_t csp_fingerprint_request (const csp_request_identity_t *identity);
 
-/* As logs show it: sixteen hexadecimal digits.  */
+/* Formats a fingerprint for logs, as sixteen hexadecimal digits.  */
 void csp_print_fingerprint (uint64_t fingerprint,
                             char text[CSP_FINGERPRINT_TEXT_BYTES]);
 
--- a/include/cowslipspoke/quarantine.h
+++ b/include/cowslipspoke/quarantine.h
@@ -5,89 +5,96 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* Requests under which targets end.
-
-   Load pattern: one request makes each target crash that begins to run it,
-   and its caller sends it again, through any host.  Each crash cuts all else
-   that runs there.  A host that counts for itself sees a part of the crashes,
-   and a fleet loses a target for each repeat.
-
-   Each target that ends under a request is a strike against the request's
-   fingerprint.  Hosts tell each other their strikes and keep the union, so the
-   order of words doesn't matter and a lost one may come again.  At three
-   strikes the request is quarantined: no host sends it anywhere until the hold
-   is over, and one more strike behind that holds it twice as long.  A whole
-   success shows that the request is sound and takes all strikes back; what was
-   served lately gets none, since many callers send the same short request and
-   some of them are beside each crash.  An error shows nothing: a failing
-   target answers so without running the request.  */
+/* Quarantine of requests that crash the targets that run them.
+
+   Load pattern: one request crashes every target that starts to run it, and
+   its caller retries it through any host.  Each crash aborts all other
+   requests on that target.  A host that counts only its own crashes sees too
+   few of them, and the fleet loses a target per retry.
+
+   A target that ends while it runs a request is a strike against the
+   request's fingerprint.  Hosts exchange strikes and keep the union, so
+   messages may arrive in any order, repeatedly or not at all.  At three
+   strikes the request is quarantined: no host sends it until the hold
+   expires, and a further strike after that doubles the hold.
+
+   A complete successful answer clears all strikes.  A request that was served
+      recently gets no strikes: many callers send the same short request, so
+   copies of it are often running on a target that crashes.  An error answer
+   clears nothing, since a failing target returns errors without running the
+   request.  */
 
 enum
 {
   CSP_STRIKES_MAX = 3,
-  /* Requests with strikes that one host remembers.  */
+  /* Size of a host's table of requests with strikes.  */
   CSP_SUSPECTS_MAX = 1024,
-  /* How often a fresh strike is sent to all; greetings carry it as well.  */
-  CSP_SUSPECT_TELLS = 2
+  /* How many times a new strike is broadcast to all hosts.  Greetings repeat
+     it for some time, in case a broadcast was lost.  */
+  CSP_SUSPECT_BROADCASTS = 2
 };
 
-/* A request with strikes, as hosts tell it.  */
+/* A request with strikes, as hosts report it to each other.  */
 typedef struct
 {
   uint64_t request; /* fingerprint */
   size_t strike_count;
-  uint64_t targets[CSP_STRIKES_MAX]; /* hashes of the starts that ended */
-  uint32_t age_ms;                   /* since the last strike */
-  uint32_t trials;                   /* holds that ended in one more strike */
+  uint64_t targets[CSP_STRIKES_MAX]; /* hashes of the target incarnations that
+                                        ended */
+  uint32_t age_ms;                   /* time since the last strike */
+  uint32_t trials; /* expired holds that were followed by a strike */
 } csp_suspect_t;
 
-/* What a strike or another host's word changed.  */
+/* The effect of a strike or of another host's report.  */
 typedef enum
 {
   CSP_SUSPECT_AS_BEFORE,
   CSP_SUSPECT_STRUCK,
-  CSP_SUSPECT_QUARANTINED, /* by this one */
-  CSP_SUSPECT_SOUND        /* it was served lately: nothing is counted */
+  CSP_SUSPECT_QUARANTINED, /* it reached the last strike just now */
+  CSP_SUSPECT_SOUND        /* it was served recently: no strike is counted */
 } csp_suspect_change_t;
 
 typedef struct csp_quarantine csp_quarantine_t;
 
-/* NULL when memory fails.  */
+/* Returns NULL when out of memory.  */
 csp_quarantine_t *csp_create_quarantine (void);
 void csp_destroy_quarantine (csp_quarantine_t *quarantine);
 
-/* A target ended while it had the request.  */
+/* Records that the target ended while it was running the request.  */
 csp_suspect_change_t csp_strike_request (csp_quarantine_t *quarantine,
                                          uint64_t request, uint64_t target,
                                          int64_t now_ms);
 
-/* Another host told what it knows.  */
+/* Merges another host's report into this host's strikes.  */
 csp_suspect_change_t csp_merge_suspect (csp_quarantine_t *quarantine,
-                                        const csp_suspect_t *told,
+                                        const csp_suspect_t *reported,
                                         int64_t now_ms);
 
-/* The request got a whole success.  True where that took strikes back that
-   this host had told, so that it has to tell this too.  */
+/* Clears all strikes, as the request got a complete successful answer.
+   Returns true if some of the strikes were seen by this host: it reported
+   them to the other hosts, so it has to report the success as well.  */
 bool csp_clear_request (csp_quarantine_t *quarantine, uint64_t request,
                         int64_t now_ms);
 
-/* How long the request may not be sent yet; 0: it may.  */
+/* Returns the remaining hold of the request; 0 when it may be sent.  */
 uint32_t csp_quarantine_left_ms (const csp_quarantine_t *quarantine,
                                  uint64_t request, int64_t now_ms);
 
-/* Strikes of this host that all others have to hear now.  Each counts as told
-   once.  */
+/* Lists the suspects of this host that have to be broadcast now, and counts
+   one broadcast for each of them.  */
 size_t csp_list_fresh_suspects (csp_quarantine_t *quarantine,
-                                csp_suspect_t *suspects, size_t room,
+                                csp_suspect_t *suspects, size_t capacity,
                                 int64_t now_ms);
 
-/* Some suspects for a greeting, by turns: those that are quarantined or nearly
-   so, and fresh ones, whose first word may have been lost.  */
+/* Lists suspects to include in a greeting, round robin: quarantined ones
+   first, then those with several strikes and those with a recent one, whose
+   broadcast may have been lost.  */
 size_t csp_name_suspects (csp_quarantine_t *quarantine,
-                          csp_suspect_t *suspects, size_t room,
+                          csp_suspect_t *suspects, size_t capacity,
                           int64_t now_ms);
 
-/* Forget what is old.  Call it now and then.  */
+/* Drops old strikes and holds that expired long ago.  Call it
+   periodically.  */
 void csp_expire_suspects (csp_quarantine_t *quarantine, int64_t now_ms);
 
 size_t csp_count_suspects (const csp_quarantine_t *quarantine);
--- a/source/quarantine/fingerprint.c
+++ b/source/quarantine/fingerprint.c
@@ -6,7 +6,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Each text with its closing nul, so that none runs into the next.  */
+/* Hashes a text with its terminating nul, so that moving characters from one
+   text to the next changes the hash.  */
 static int
 add_text (EVP_MD_CTX *md, const char *text)
 {
--- a/source/quarantine/quarantine.c
+++ b/source/quarantine/quarantine.c
@@ -5,57 +5,61 @@
 
 enum
 {
-  /* How long a request is held at its third strike; doubled for each trial.
-   */
+  /* Hold after the third strike.  It doubles each time that the request gets
+     a further strike after a hold has expired.  */
   HOLD_MS = 300000,
   HOLD_DOUBLINGS_MAX = 4,
-  /* Strikes that didn't suffice, and holds that ended, are forgotten.  */
+  /* Strikes that led to no hold are dropped after this time, and so are
+     expired holds.  */
   FORGET_MS = 600000,
-  /* The oldest strike that still counts: the last of the longest hold.  */
+  /* Maximum age of a strike that still counts: the last strike before the
+     longest hold.  */
   STRIKE_AGE_MAX_MS = (HOLD_MS << HOLD_DOUBLINGS_MAX) + FORGET_MS,
-  /* A success shows for that long that a request is sound.  */
-  SOUND_MS = 60000,
-  SOUND_ROOM = 4096,
-  /* A single strike is named in greetings that long.  */
-  FRESH_MS = 5000,
-  /* Ages grow by the way between hosts each time that they are passed on;
-     what differs by less is the same strike.  */
-  SAME_STRIKE_MS = 1000
+  /* For this long after a success a request gets no strikes.  */
+  RECENTLY_SERVED_MS = 60000,
+  SERVED_ROWS = 4096,
+  /* For this long a request with a single strike is listed in greetings.  */
+  RECENT_STRIKE_MS = 5000,
+  /* A host that receives a strike's age computes the strike's time too late by
+     the network delay.  Times that differ by less than this are the same
+     strike.  */
+  AGE_TOLERANCE_MS = 1000
 };
 
 typedef struct
 {
-  uint64_t request; /* 0: not in use */
+  uint64_t request; /* 0: unused row */
   size_t strike_count;
   uint64_t targets[CSP_STRIKES_MAX];
   int64_t struck_at_ms;
-  uint32_t trials;
-  uint32_t tells_left;
-  bool own; /* one of its strikes was seen here */
+  uint32_t failed_trials;
+  uint32_t broadcasts_left;
+  bool seen_here; /* this host saw one of the strikes itself */
 } suspect_row_t;
 
 typedef struct
 {
   uint64_t request;
   int64_t served_at_ms;
-} sound_row_t;
+} served_row_t;
 
-/* What a greeting names, the first kind before the second: a target that ends
-   leaves dozens of single strikes behind, and a host that has just started
-   must hear of what is held all the same.  */
+/* Classes of suspects in greetings, in order of precedence.  A target that
+   ends leaves a single strike on each of its dozens of requests; these must
+   not keep a host that has just started from learning what is
+   quarantined.  */
 typedef enum
 {
-  NAMED_HELD,
-  NAMED_SUSPECT,
-  NAMED_KINDS
-} named_t;
+  GREET_QUARANTINED,
+  GREET_SUSPECT,
+  GREETING_CLASSES
+} greeting_class_t;
 
 struct csp_quarantine
 {
-  size_t count;             /* rows in use */
-  size_t next[NAMED_KINDS]; /* the row whose turn to be named is next */
+  size_t count;                      /* rows in use */
+  size_t next_row[GREETING_CLASSES]; /* where the round robin goes on */
   suspect_row_t rows[CSP_SUSPECTS_MAX];
-  sound_row_t sound[SOUND_ROOM];
+  served_row_t served[SERVED_ROWS];
 };
 
 csp_quarantine_t *
@@ -83,53 +87,58 @@
   return NULL;
 }
 
-/* Whether a row is worth less than another one.  A caller whose requests are
-   cut once each can't push out what has more strikes.  */
+/* Whether a row is evicted before another one.  Rows with fewer strikes go
+   first, so many requests with one strike each can't evict one with more
+   strikes.  */
 static bool
-is_lesser (const suspect_row_t *row, const suspect_row_t *other)
+ranks_below (const suspect_row_t *row, const suspect_row_t *other)
 {
   if (row->strike_count != other->strike_count)
     return row->strike_count < other->strike_count;
   return row->struck_at_ms < other->struck_at_ms;
 }
 
-/* A row for a new suspect; where none is free the least is given up.  */
+/* Returns a row for a new suspect.  When the table is full, evicts the row
+   that ranks lowest.  */
 static suspect_row_t *
-take_row (csp_quarantine_t *quarantine, uint64_t request)
+allocate_row (csp_quarantine_t *quarantine, uint64_t request)
 {
-  suspect_row_t *least = &quarantine->rows[0];
+  suspect_row_t *lowest = &quarantine->rows[0];
   size_t i;
 
-  for (i = 0; i < CSP_SUSPECTS_MAX && least->request != 0; i++)
+  for (i = 0; i < CSP_SUSPECTS_MAX && lowest->request != 0; i++)
     if (quarantine->rows[i].request == 0
-        || is_lesser (&quarantine->rows[i], least))
-      least = &quarantine->rows[i];
-  quarantine->count += least->request == 0;
-  memset (least, 0, sizeof *least);
-  least->request = request;
-  return least;
+        || ranks_below (&quarantine->rows[i], lowest))
+      lowest = &quarantine->rows[i];
+  quarantine->count += lowest->request == 0;
+  memset (lowest, 0, sizeof *lowest);
+  lowest->request = request;
+  return lowest;
 }
 
 static void
-give_up_row (csp_quarantine_t *quarantine, suspect_row_t *row)
+release_row (csp_quarantine_t *quarantine, suspect_row_t *row)
 {
   memset (row, 0, sizeof *row);
   quarantine->count--;
 }
 
 static bool
-is_sound (const csp_quarantine_t *quarantine, uint64_t request, int64_t now_ms)
+was_served_recently (const csp_quarantine_t *quarantine, uint64_t request,
+                     int64_t now_ms)
 {
-  const sound_row_t *row = &quarantine->sound[request % SOUND_ROOM];
+  const served_row_t *row = &quarantine->served[request % SERVED_ROWS];
 
-  return row->request == request && now_ms - row->served_at_ms < SOUND_MS;
+  return row->request == request
+         && now_ms - row->served_at_ms < RECENTLY_SERVED_MS;
 }
 
 static int64_t
 held_until_ms (const suspect_row_t *row)
 {
-  uint32_t doublings
-      = row->trials < HOLD_DOUBLINGS_MAX ? row->trials : HOLD_DOUBLINGS_MAX;
+  uint32_t doublings = row->failed_trials < HOLD_DOUBLINGS_MAX
+                           ? row->failed_trials
+                           : HOLD_DOUBLINGS_MAX;
 
   if (row->strike_count < CSP_STRIKES_MAX)
     return 0;
@@ -147,20 +156,21 @@
   return false;
 }
 
-/* One more target; true where the request is quarantined by it.  Once it is,
-   further ones aren't told apart: they only hold it for longer.  */
+/* Adds a strike; returns true if it begins a quarantine.  Targets that end
+   after the third strike aren't recorded one by one; they only extend the
+   hold.  */
 static bool
 add_strike (suspect_row_t *row, uint64_t target, int64_t at_ms)
 {
   bool held = row->strike_count == CSP_STRIKES_MAX;
-  bool on_trial = held && at_ms >= held_until_ms (row);
+  bool trial_failed = held && at_ms >= held_until_ms (row);
 
   if (!held)
     row->targets[row->strike_count++] = target;
-  row->trials += on_trial;
+  row->failed_trials += trial_failed;
   if (at_ms > row->struck_at_ms)
     row->struck_at_ms = at_ms;
-  return on_trial || (!held && row->strike_count == CSP_STRIKES_MAX);
+  return trial_failed || (!held && row->strike_count == CSP_STRIKES_MAX);
 }
 
 csp_suspect_change_t
@@ -169,59 +179,60 @@
 {
   suspect_row_t *row = find_row (quarantine, request);
 
-  if (is_sound (quarantine, request, now_ms))
+  if (was_served_recently (quarantine, request, now_ms))
     return CSP_SUSPECT_SOUND;
   if (row == NULL)
-    row = take_row (quarantine, request);
+    row = allocate_row (quarantine, request);
   if (has_target (row, target))
     return CSP_SUSPECT_AS_BEFORE;
-  row->own = true;
-  row->tells_left = CSP_SUSPECT_TELLS;
+  row->seen_here = true;
+  row->broadcasts_left = CSP_SUSPECT_BROADCASTS;
   return add_strike (row, target, now_ms) ? CSP_SUSPECT_QUARANTINED
                                           : CSP_SUSPECT_STRUCK;
 }
 
-/* Another host has seen a trial fail, or a strike of its own since.  */
+/* Merges a report about a request that is at the last strike here: the other
+   host may have seen a later strike, or more failed trials.  */
 static csp_suspect_change_t
-merge_held (suspect_row_t *row, const csp_suspect_t *told, int64_t at_ms,
+merge_held (suspect_row_t *row, const csp_suspect_t *reported, int64_t at_ms,
             int64_t now_ms)
 {
   bool was_held = now_ms < held_until_ms (row);
 
-  if (told->strike_count < CSP_STRIKES_MAX)
+  if (reported->strike_count < CSP_STRIKES_MAX)
     return CSP_SUSPECT_AS_BEFORE;
-  if (told->trials > row->trials)
-    row->trials = told->trials;
-  if (at_ms > row->struck_at_ms + SAME_STRIKE_MS)
+  if (reported->trials > row->failed_trials)
+    row->failed_trials = reported->trials;
+  if (at_ms > row->struck_at_ms + AGE_TOLERANCE_MS)
     row->struck_at_ms = at_ms;
   return !was_held && now_ms < held_until_ms (row) ? CSP_SUSPECT_QUARANTINED
                                                    : CSP_SUSPECT_AS_BEFORE;
 }
 
 csp_suspect_change_t
-csp_merge_suspect (csp_quarantine_t *quarantine, const csp_suspect_t *told,
+csp_merge_suspect (csp_quarantine_t *quarantine, const csp_suspect_t *reported,
                    int64_t now_ms)
 {
-  suspect_row_t *row = find_row (quarantine, told->request);
+  suspect_row_t *row = find_row (quarantine, reported->request);
   csp_suspect_change_t change = CSP_SUSPECT_AS_BEFORE;
-  int64_t at_ms = now_ms - told->age_ms;
+  int64_t at_ms = now_ms - reported->age_ms;
   size_t i;
 
-  if (told->request == 0 || told->strike_count == 0
-      || told->age_ms > STRIKE_AGE_MAX_MS)
+  if (reported->request == 0 || reported->strike_count == 0
+      || reported->age_ms > STRIKE_AGE_MAX_MS)
     return CSP_SUSPECT_AS_BEFORE;
-  if (is_sound (quarantine, told->request, now_ms))
+  if (was_served_recently (quarantine, reported->request, now_ms))
     return CSP_SUSPECT_SOUND;
   if (row != NULL && row->strike_count == CSP_STRIKES_MAX)
-    return merge_held (row, told, at_ms, now_ms);
+    return merge_held (row, reported, at_ms, now_ms);
   if (row == NULL)
-    row = take_row (quarantine, told->request);
-  if (told->trials > row->trials)
-    row->trials = told->trials;
-  for (i = 0; i < told->strike_count && row->strike_count < CSP_STRIKES_MAX;
-       i++)
-    if (!has_target (row, told->targets[i]))
-      change = add_strike (row, told->targets[i], at_ms)
+    row = allocate_row (quarantine, reported->request);
+  if (reported->trials > row->failed_trials)
+    row->failed_trials = reported->trials;
+  for (i = 0;
+       i < reported->strike_count && row->strike_count < CSP_STRIKES_MAX; i++)
+    if (!has_target (row, reported->targets[i]))
+      change = add_strike (row, reported->targets[i], at_ms)
                    ? CSP_SUSPECT_QUARANTINED
                    : CSP_SUSPECT_STRUCK;
   if (change == CSP_SUSPECT_QUARANTINED && now_ms >= held_until_ms (row))
@@ -233,15 +244,15 @@
 csp_clear_request (csp_quarantine_t *quarantine, uint64_t request,
                    int64_t now_ms)
 {
-  sound_row_t *sound = &quarantine->sound[request % SOUND_ROOM];
+  served_row_t *served = &quarantine->served[request % SERVED_ROWS];
   suspect_row_t *row = find_row (quarantine, request);
-  bool own = row != NULL && row->own;
+  bool seen_here = row != NULL && row->seen_here;
 
-  sound->request = request;
-  sound->served_at_ms = now_ms;
+  served->request = request;
+  served->served_at_ms = now_ms;
   if (row != NULL)
-    give_up_row (quarantine, row);
-  return own;
+    release_row (quarantine, row);
+  return seen_here;
 }
 
 uint32_t
@@ -255,13 +266,13 @@
 }
 
 static csp_suspect_t
-describe (const suspect_row_t *row, int64_t now_ms)
+make_report (const suspect_row_t *row, int64_t now_ms)
 {
   int64_t age_ms = now_ms - row->struck_at_ms;
   csp_suspect_t suspect = { .request = row->request,
                             .strike_count = row->strike_count,
                             .age_ms = age_ms > 0 ? (uint32_t)age_ms : 0,
-                            .trials = row->trials };
+                            .trials = row->failed_trials };
 
   memcpy (suspect.targets, row->targets, sizeof suspect.targets);
   return suspect;
@@ -269,57 +280,60 @@
 
 size_t
 csp_list_fresh_suspects (csp_quarantine_t *quarantine, csp_suspect_t *suspects,
-                         size_t room, int64_t now_ms)
+                         size_t capacity, int64_t now_ms)
 {
   size_t listed = 0;
   size_t i;
 
-  for (i = 0; quarantine->count > 0 && i < CSP_SUSPECTS_MAX && listed < room;
-       i++)
+  for (i = 0;
+       quarantine->count > 0 && i < CSP_SUSPECTS_MAX && listed < capacity; i++)
     {
       suspect_row_t *row = &quarantine->rows[i];
 
-      if (row->tells_left == 0)
+      if (row->broadcasts_left == 0)
         continue;
-      row->tells_left--;
-      suspects[listed++] = describe (row, now_ms);
+      row->broadcasts_left--;
+      suspects[listed++] = make_report (row, now_ms);
     }
   return listed;
 }
 
 static bool
-is_named (const suspect_row_t *row, named_t kind, int64_t now_ms)
+belongs_in_greeting (const suspect_row_t *row, greeting_class_t kind,
+                     int64_t now_ms)
 {
   bool held = row->strike_count == CSP_STRIKES_MAX;
 
-  if (row->request == 0 || held != (kind == NAMED_HELD))
+  if (row->request == 0 || held != (kind == GREET_QUARANTINED))
     return false;
-  return row->strike_count > 1 || now_ms - row->struck_at_ms < FRESH_MS;
+  return row->strike_count > 1
+         || now_ms - row->struck_at_ms < RECENT_STRIKE_MS;
 }
 
 size_t
 csp_name_suspects (csp_quarantine_t *quarantine, csp_suspect_t *suspects,
-                   size_t room, int64_t now_ms)
+                   size_t capacity, int64_t now_ms)
 {
-  size_t named = 0;
-  named_t kind;
+  size_t listed = 0;
+  greeting_class_t kind;
   size_t i;
 
-  for (kind = NAMED_HELD; quarantine->count > 0 && kind < NAMED_KINDS; kind++)
+  for (kind = GREET_QUARANTINED;
+       quarantine->count > 0 && kind < GREETING_CLASSES; kind++)
     {
-      size_t first = quarantine->next[kind];
+      size_t first = quarantine->next_row[kind];
 
-      for (i = 0; i < CSP_SUSPECTS_MAX && named < room; i++)
+      for (i = 0; i < CSP_SUSPECTS_MAX && listed < capacity; i++)
         {
-          size_t at = (first + i) % CSP_SUSPECTS_MAX;
+          size_t index = (first + i) % CSP_SUSPECTS_MAX;
 
-          if (!is_named (&quarantine->rows[at], kind, now_ms))
+          if (!belongs_in_greeting (&quarantine->rows[index], kind, now_ms))
             continue;
-          suspects[named++] = describe (&quarantine->rows[at], now_ms);
-          quarantine->next[kind] = at + 1;
+          suspects[listed++] = make_report (&quarantine->rows[index], now_ms);
+          quarantine->next_row[kind] = index + 1;
         }
     }
-  return named;
+  return listed;
 }
 
 void
@@ -334,7 +348,7 @@
       int64_t since_ms = held_ms > 0 ? held_ms : row->struck_at_ms;
 
       if (row->request != 0 && now_ms - since_ms >= FORGET_MS)
-        give_up_row (quarantine, row);
+        release_row (quarantine, row);
     }
 }
 
--- a/tests/quarantine/quarantine-test.c
+++ b/tests/quarantine/quarantine-test.c
@@ -7,14 +7,14 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Requests under which targets end, without a network.  */
+/* Quarantine of requests that crash targets, without a network.  */
 
 enum
 {
   REQUEST = 77,
   OTHER = 78,
   HOLD_MS = 300000,
-  SOUND_MS = 60000,
+  RECENTLY_SERVED_MS = 60000,
   FORGET_MS = 600000
 };
 
@@ -35,10 +35,10 @@
   csp_destroy_quarantine (there);
 }
 
-/* Some strikes at some times, and what holds afterwards.  */
+/* Strikes and successes with their times, and the hold that results.  */
 typedef struct
 {
-  uint64_t target; /* 0: a whole answer */
+  uint64_t target; /* 0: a successful answer */
   int64_t at_ms;
 } step_t;
 
@@ -46,48 +46,51 @@
 {
   const char *name;
   step_t steps[6];
-  int64_t asked_ms;
+  int64_t checked_at_ms;
   uint32_t left_ms;
 } strike_cases[] = {
   { "none", { { 0, 0 } }, 10, 0 },
   { "two targets", { { 1, 10 }, { 2, 20 } }, 30, 0 },
-  { "one target thrice", { { 1, 10 }, { 1, 20 }, { 1, 30 } }, 30, 0 },
+  { "one target three times", { { 1, 10 }, { 1, 20 }, { 1, 30 } }, 30, 0 },
   { "three targets", { { 1, 10 }, { 2, 20 }, { 3, 30 } }, 30, HOLD_MS },
-  { "a while later", { { 1, 10 }, { 2, 20 }, { 3, 30 } }, 130, HOLD_MS - 100 },
+  { "some time later",
+    { { 1, 10 }, { 2, 20 }, { 3, 30 } },
+    130,
+    HOLD_MS - 100 },
   { "the hold is over", { { 1, 10 }, { 2, 20 }, { 3, 30 } }, HOLD_MS + 30, 0 },
-  { "one under way ends a fourth",
+  { "a request in flight ends a fourth",
     { { 1, 10 }, { 2, 20 }, { 3, 30 }, { 4, 90 } },
     100,
     HOLD_MS - 10 },
-  { "a trial ends a fourth",
+  { "a fourth ends after the hold",
     { { 1, 10 }, { 2, 20 }, { 3, 30 }, { 4, HOLD_MS + 100 } },
     HOLD_MS + 100,
     2 * HOLD_MS },
-  { "an answer between",
-    { { 1, SOUND_MS },
-      { 2, SOUND_MS + 1 },
-      { 0, SOUND_MS + 2 },
-      { 3, 2 * SOUND_MS + 3 } },
-    2 * SOUND_MS + 4,
+  { "a success in between",
+    { { 1, RECENTLY_SERVED_MS },
+      { 2, RECENTLY_SERVED_MS + 1 },
+      { 0, RECENTLY_SERVED_MS + 2 },
+      { 3, 2 * RECENTLY_SERVED_MS + 3 } },
+    2 * RECENTLY_SERVED_MS + 4,
     0 },
-  { "an answer takes all back",
+  { "a success clears all strikes",
     { { 1, 10 }, { 2, 20 }, { 3, 30 }, { 0, 40 } },
     50,
     0 },
-  { "answered lately, then three targets at once",
+  { "served recently, then three targets at once",
     { { 0, 10 }, { 1, 20 }, { 2, 20 }, { 3, 20 } },
     30,
     0 },
-  { "answered long ago",
+  { "served long ago",
     { { 0, 10 },
-      { 1, SOUND_MS + 10 },
-      { 2, SOUND_MS + 20 },
-      { 3, SOUND_MS + 30 } },
-    SOUND_MS + 30,
+      { 1, RECENTLY_SERVED_MS + 10 },
+      { 2, RECENTLY_SERVED_MS + 20 },
+      { 3, RECENTLY_SERVED_MS + 30 } },
+    RECENTLY_SERVED_MS + 30,
     HOLD_MS },
 };
 
-START_TEST (three_targets_that_end_hold_a_request)
+START_TEST (three_ended_targets_quarantine_a_request)
 {
   const step_t *step;
   uint32_t left_ms;
@@ -97,23 +100,24 @@
       csp_clear_request (here, REQUEST, step->at_ms);
     else
       csp_strike_request (here, REQUEST, step->target, step->at_ms);
-  left_ms = csp_quarantine_left_ms (here, REQUEST, strike_cases[_i].asked_ms);
+  left_ms
+      = csp_quarantine_left_ms (here, REQUEST, strike_cases[_i].checked_at_ms);
   ck_assert_msg (left_ms == strike_cases[_i].left_ms, "%s: %u",
                  strike_cases[_i].name, left_ms);
   ck_assert_uint_eq (
-      csp_quarantine_left_ms (here, OTHER, strike_cases[_i].asked_ms), 0);
+      csp_quarantine_left_ms (here, OTHER, strike_cases[_i].checked_at_ms), 0);
 }
 END_TEST
 
-/* Pass on what one host would name in a greeting.  */
+/* Merges into `to` the suspect that `from` would list in a greeting.  */
 static csp_suspect_change_t
 greet (csp_quarantine_t *from, csp_quarantine_t *to, int64_t now_ms)
 {
-  csp_suspect_t named[1];
+  csp_suspect_t listed[1];
 
-  if (csp_name_suspects (from, named, 1, now_ms) == 0)
+  if (csp_name_suspects (from, listed, 1, now_ms) == 0)
     return CSP_SUSPECT_AS_BEFORE;
-  return csp_merge_suspect (to, named, now_ms);
+  return csp_merge_suspect (to, listed, now_ms);
 }
 
 START_TEST (strikes_of_several_hosts_add_up)
@@ -129,8 +133,9 @@
 }
 END_TEST
 
-/* Guards against a host that forgets with its process: it is told at once.  */
-START_TEST (a_host_that_starts_learns_what_is_held)
+/* Guards against a host that loses its quarantines when its process restarts:
+   the first greeting restores them.  */
+START_TEST (a_restarted_host_learns_of_a_quarantine)
 {
   csp_strike_request (here, REQUEST, 1, 10);
   csp_strike_request (here, REQUEST, 2, 10);
@@ -141,8 +146,9 @@
 }
 END_TEST
 
-/* Guards against a long hold that hosts forget one by one as they start.  */
-START_TEST (a_host_that_starts_learns_of_a_hold_that_was_doubled)
+/* Guards against a doubled hold that the fleet loses as its hosts restart one
+   by one.  */
+START_TEST (a_restarted_host_learns_of_a_doubled_hold)
 {
   const int64_t first_trial_ms = HOLD_MS + 100;
   const int64_t second_trial_ms = first_trial_ms + 2 * HOLD_MS + 100;
@@ -160,13 +166,13 @@
 }
 END_TEST
 
-/* Guards against a hold that never ends: each word is some milliseconds older
-   than it says.  */
-START_TEST (a_hold_is_not_prolonged_by_words_that_go_round)
+/* Guards against a hold that never expires: a strike looks newer at the
+   receiver by the network delay each time that hosts pass it on.  */
+START_TEST (a_hold_is_not_extended_by_relayed_reports)
 {
-  const int64_t way_ms = 3;
+  const int64_t delay_ms = 3;
   int64_t now_ms = 10;
-  csp_suspect_t named;
+  csp_suspect_t listed;
 
   csp_strike_request (here, REQUEST, 1, now_ms);
   csp_strike_request (here, REQUEST, 2, now_ms);
@@ -176,12 +182,12 @@
   csp_strike_request (there, REQUEST, 6, now_ms);
   while (now_ms < HOLD_MS)
     {
-      csp_name_suspects (here, &named, 1, now_ms);
-      now_ms += way_ms;
-      csp_merge_suspect (there, &named, now_ms);
-      csp_name_suspects (there, &named, 1, now_ms);
-      now_ms += way_ms;
-      csp_merge_suspect (here, &named, now_ms);
+      csp_name_suspects (here, &listed, 1, now_ms);
+      now_ms += delay_ms;
+      csp_merge_suspect (there, &listed, now_ms);
+      csp_name_suspects (there, &listed, 1, now_ms);
+      now_ms += delay_ms;
+      csp_merge_suspect (here, &listed, now_ms);
     }
   ck_assert_uint_eq (csp_quarantine_left_ms (here, REQUEST, HOLD_MS + 1010),
                      0);
@@ -190,11 +196,11 @@
 }
 END_TEST
 
-/* Guards against a host that starts while targets end, and hears of all that
-   was beside them first.  */
-START_TEST (what_is_held_is_named_before_fresh_strikes)
+/* Guards against a host that starts while targets end and receives the single
+   strikes of all their requests before it learns of the quarantine.  */
+START_TEST (greetings_list_quarantined_before_recent_strikes)
 {
-  csp_suspect_t named[2];
+  csp_suspect_t listed[2];
   uint64_t i;
 
   for (i = 0; i < 100; i++)
@@ -204,14 +210,14 @@
   csp_strike_request (here, REQUEST, 3, 10);
   for (i = 0; i < 10; i++)
     {
-      ck_assert_uint_eq (csp_name_suspects (here, named, 2, 20), 2);
-      ck_assert_uint_eq (named[0].request, REQUEST);
-      ck_assert_uint_eq (named[1].request, 1000 + i);
+      ck_assert_uint_eq (csp_name_suspects (here, listed, 2, 20), 2);
+      ck_assert_uint_eq (listed[0].request, REQUEST);
+      ck_assert_uint_eq (listed[1].request, 1000 + i);
     }
 }
 END_TEST
 
-START_TEST (a_host_that_has_answered_it_says_so)
+START_TEST (a_recently_served_request_gets_no_strike)
 {
   csp_clear_request (there, REQUEST, 5);
   csp_strike_request (here, REQUEST, 1, 10);
@@ -221,7 +227,7 @@
 }
 END_TEST
 
-START_TEST (only_who_has_told_a_strike_tells_that_it_was_wrong)
+START_TEST (only_a_host_that_reported_strikes_reports_the_success)
 {
   csp_strike_request (here, REQUEST, 1, 10);
   greet (here, there, 20);
@@ -232,22 +238,23 @@
 }
 END_TEST
 
-START_TEST (a_fresh_strike_is_told_twice)
+START_TEST (a_new_strike_is_broadcast_twice)
 {
-  csp_suspect_t told[2];
+  csp_suspect_t listed[2];
   int i;
 
   csp_strike_request (here, REQUEST, 1, 10);
-  for (i = 0; i < CSP_SUSPECT_TELLS; i++)
-    ck_assert_uint_eq (csp_list_fresh_suspects (here, told, 2, 20), 1);
-  ck_assert_uint_eq (csp_list_fresh_suspects (here, told, 2, 30), 0);
-  ck_assert_uint_eq (told[0].request, REQUEST);
-  ck_assert_uint_eq (told[0].age_ms, 10);
+  for (i = 0; i < CSP_SUSPECT_BROADCASTS; i++)
+    ck_assert_uint_eq (csp_list_fresh_suspects (here, listed, 2, 20), 1);
+  ck_assert_uint_eq (csp_list_fresh_suspects (here, listed, 2, 30), 0);
+  ck_assert_uint_eq (listed[0].request, REQUEST);
+  ck_assert_uint_eq (listed[0].age_ms, 10);
 }
 END_TEST
 
-/* Guards against a caller who is cut on purpose, to have others forgotten.  */
-START_TEST (many_single_strikes_push_out_nothing_that_is_held)
+/* Guards against a caller who provokes many single strikes to evict a
+   quarantined request from the table.  */
+START_TEST (single_strikes_do_not_evict_a_quarantine)
 {
   uint64_t i;
 
@@ -261,7 +268,7 @@
 }
 END_TEST
 
-START_TEST (old_suspects_are_forgotten)
+START_TEST (old_suspects_expire)
 {
   csp_strike_request (here, REQUEST, 1, 10);
   csp_expire_suspects (here, FORGET_MS + 9);
@@ -271,8 +278,8 @@
 }
 END_TEST
 
-/* Words that say nothing, or what can't be.  */
-static const csp_suspect_t bad_words[] = {
+/* Reports that are empty or impossible.  */
+static const csp_suspect_t malformed_reports[] = {
   { .request = 0, .strike_count = 1, .targets = { 1 } },
   { .request = REQUEST, .strike_count = 0 },
   { .request = REQUEST,
@@ -282,106 +289,107 @@
   { .request = REQUEST, .strike_count = 3, .targets = { 1, 1, 1 } },
 };
 
-START_TEST (a_bad_word_holds_nothing)
+START_TEST (a_malformed_report_quarantines_nothing)
 {
-  csp_merge_suspect (here, &bad_words[_i], 1000000);
+  csp_merge_suspect (here, &malformed_reports[_i], 1000000);
   ck_assert_uint_eq (csp_quarantine_left_ms (here, REQUEST, 1000000), 0);
 }
 END_TEST
 
-/* A seeded play: a request that ends each target comes again and again through
-   any of some hosts, which start again, are cut off, and lose words.  */
+/* A seeded simulation: a request that crashes every target is retried through
+   random hosts, which restart, are partitioned and lose messages.  */
 enum
 {
-  PLAYED_HOSTS = 9,
-  PLAY_MS = 90000,
+  SIM_HOSTS = 9,
+  SIM_MS = 90000,
   STEP_MS = 10,
   GREET_MS = 500,
   CONTACT_MS = 3000,
   RETRIES_MAX = 3,
   RUNS_MAX = 64,
-  PLAYS = 40
+  SIM_SEEDS = 40
 };
 
 typedef struct
 {
   csp_quarantine_t *quarantine;
-  int64_t disturbed_ms; /* until when it is cut off, or when it started */
-  int64_t cut_until_ms;
-} played_host_t;
+  int64_t last_fault_ms; /* end of its last partition, or its last restart */
+  int64_t partitioned_until_ms;
+} sim_host_t;
 
 typedef struct
 {
   int host;
   uint64_t target;
-  int64_t ends_ms; /* 0: not in use */
-} played_run_t;
+  int64_t ends_ms; /* 0: unused */
+} sim_run_t;
 
 typedef struct
 {
-  played_host_t hosts[PLAYED_HOSTS];
-  played_run_t runs[RUNS_MAX];
+  sim_host_t hosts[SIM_HOSTS];
+  sim_run_t runs[RUNS_MAX];
   csp_random_t random;
   uint64_t next_target;
   int64_t next_request_ms;
   int crashes;
-  int64_t third_ms; /* when the third target ended; 0: not yet */
-  int late_sends;   /* that the users count */
-} play_t;
+  int64_t third_crash_ms; /* when the third target ended; 0: not yet */
+  int late_sends; /* by a host in contact, well after the third crash */
+} sim_t;
 
 static int64_t
-draw (play_t *play, int64_t least, int64_t most)
+draw_between (sim_t *sim, int64_t least, int64_t most)
 {
   return least
-         + (int64_t)(csp_random_unit (&play->random)
+         + (int64_t)(csp_random_unit (&sim->random)
                      * (double)(most - least + 1));
 }
 
 static bool
-is_cut (const played_host_t *host, int64_t now_ms)
+is_partitioned (const sim_host_t *host, int64_t now_ms)
 {
-  return now_ms < host->cut_until_ms;
+  return now_ms < host->partitioned_until_ms;
 }
 
 static void
-pass_word (play_t *play, int from, int to, const csp_suspect_t *word,
-           int64_t now_ms)
+deliver (sim_t *sim, int from, int to, const csp_suspect_t *report,
+         int64_t now_ms)
 {
-  if (from != to && !is_cut (&play->hosts[from], now_ms)
-      && !is_cut (&play->hosts[to], now_ms) && draw (play, 0, 9) > 0)
-    csp_merge_suspect (play->hosts[to].quarantine, word, now_ms);
+  if (from != to && !is_partitioned (&sim->hosts[from], now_ms)
+      && !is_partitioned (&sim->hosts[to], now_ms)
+      && draw_between (sim, 0, 9) > 0)
+    csp_merge_suspect (sim->hosts[to].quarantine, report, now_ms);
 }
 
 static void
-tell (play_t *play, int from, int64_t now_ms)
+exchange_reports (sim_t *sim, int from, int64_t now_ms)
 {
-  csp_suspect_t words[1];
+  csp_suspect_t reports[1];
   int to;
 
   while (
-      csp_list_fresh_suspects (play->hosts[from].quarantine, words, 1, now_ms)
+      csp_list_fresh_suspects (sim->hosts[from].quarantine, reports, 1, now_ms)
       > 0)
-    for (to = 0; to < PLAYED_HOSTS; to++)
-      pass_word (play, from, to, words, now_ms);
+    for (to = 0; to < SIM_HOSTS; to++)
+      deliver (sim, from, to, reports, now_ms);
   if (now_ms % GREET_MS == 0
-      && csp_name_suspects (play->hosts[from].quarantine, words, 1, now_ms)
+      && csp_name_suspects (sim->hosts[from].quarantine, reports, 1, now_ms)
              > 0)
-    pass_word (play, from, (int)draw (play, 0, PLAYED_HOSTS - 1), words,
-               now_ms);
+    deliver (sim, from, (int)draw_between (sim, 0, SIM_HOSTS - 1), reports,
+             now_ms);
 }
 
 static void
-disturb (play_t *play, int64_t now_ms)
+inject_fault (sim_t *sim, int64_t now_ms)
 {
-  played_host_t *host = &play->hosts[draw (play, 0, PLAYED_HOSTS - 1)];
+  sim_host_t *host = &sim->hosts[draw_between (sim, 0, SIM_HOSTS - 1)];
 
-  if (draw (play, 0, 400) > 0)
+  if (draw_between (sim, 0, 400) > 0)
     return;
-  host->disturbed_ms = now_ms;
-  if (draw (play, 0, 1) > 0)
+  host->last_fault_ms = now_ms;
+  if (draw_between (sim, 0, 1) > 0)
     {
-      host->cut_until_ms = now_ms + draw (play, 500, 5000);
-      host->disturbed_ms = host->cut_until_ms;
+      host->partitioned_until_ms = now_ms + draw_between (sim, 500, 5000);
+      host->last_fault_ms = host->partitioned_until_ms;
       return;
     }
   csp_destroy_quarantine (host->quarantine);
@@ -389,72 +397,72 @@
 }
 
 static void
-send_request (play_t *play, int64_t now_ms)
+send_request (sim_t *sim, int64_t now_ms)
 {
-  int at = (int)draw (play, 0, PLAYED_HOSTS - 1);
-  const played_host_t *host = &play->hosts[at];
+  int at = (int)draw_between (sim, 0, SIM_HOSTS - 1);
+  const sim_host_t *host = &sim->hosts[at];
   int i;
 
-  play->next_request_ms = now_ms + draw (play, 100, 1500);
+  sim->next_request_ms = now_ms + draw_between (sim, 100, 1500);
   if (csp_quarantine_left_ms (host->quarantine, REQUEST, now_ms) > 0)
     return;
   for (i = 0; i < RUNS_MAX; i++)
-    if (play->runs[i].ends_ms == 0)
+    if (sim->runs[i].ends_ms == 0)
       {
-        play->runs[i] = (played_run_t){
+        sim->runs[i] = (sim_run_t){
           .host = at,
-          .target = ++play->next_target,
-          .ends_ms = now_ms + draw (play, 50, 2000),
+          .target = ++sim->next_target,
+          .ends_ms = now_ms + draw_between (sim, 50, 2000),
         };
         break;
       }
-  play->late_sends += play->third_ms != 0
-                      && now_ms - play->third_ms > CONTACT_MS
-                      && now_ms - host->disturbed_ms > CONTACT_MS;
+  sim->late_sends += sim->third_crash_ms != 0
+                     && now_ms - sim->third_crash_ms > CONTACT_MS
+                     && now_ms - host->last_fault_ms > CONTACT_MS;
 }
 
 static void
-end_runs (play_t *play, int64_t now_ms)
+end_runs (sim_t *sim, int64_t now_ms)
 {
   int i;
 
   for (i = 0; i < RUNS_MAX; i++)
     {
-      played_run_t *run = &play->runs[i];
+      sim_run_t *run = &sim->runs[i];
 
       if (run->ends_ms == 0 || now_ms < run->ends_ms)
         continue;
       run->ends_ms = 0;
-      if (++play->crashes == CSP_STRIKES_MAX)
-        play->third_ms = now_ms;
-      csp_strike_request (play->hosts[run->host].quarantine, REQUEST,
+      if (++sim->crashes == CSP_STRIKES_MAX)
+        sim->third_crash_ms = now_ms;
+      csp_strike_request (sim->hosts[run->host].quarantine, REQUEST,
                           run->target, now_ms);
     }
 }
 
-START_TEST (hosts_in_touch_send_what_is_held_nowhere)
+START_TEST (connected_hosts_do_not_send_a_quarantined_request)
 {
-  play_t play = { .next_request_ms = 1000 };
+  sim_t sim = { .next_request_ms = 1000 };
   int64_t now_ms;
   int i;
 
-  csp_seed_random (&play.random, (uint64_t)_i + 1);
-  for (i = 0; i < PLAYED_HOSTS; i++)
-    play.hosts[i].quarantine = csp_create_quarantine ();
-  for (now_ms = STEP_MS; now_ms < PLAY_MS; now_ms += STEP_MS)
+  csp_seed_random (&sim.random, (uint64_t)_i + 1);
+  for (i = 0; i < SIM_HOSTS; i++)
+    sim.hosts[i].quarantine = csp_create_quarantine ();
+  for (now_ms = STEP_MS; now_ms < SIM_MS; now_ms += STEP_MS)
     {
-      disturb (&play, now_ms);
-      end_runs (&play, now_ms);
-      for (i = 0; i < PLAYED_HOSTS; i++)
-        tell (&play, i, now_ms);
-      if (now_ms >= play.next_request_ms)
-        send_request (&play, now_ms);
+      inject_fault (&sim, now_ms);
+      end_runs (&sim, now_ms);
+      for (i = 0; i < SIM_HOSTS; i++)
+        exchange_reports (&sim, i, now_ms);
+      if (now_ms >= sim.next_request_ms)
+        send_request (&sim, now_ms);
     }
-  ck_assert_int_ge (play.crashes, CSP_STRIKES_MAX);
-  ck_assert_msg (play.late_sends <= RETRIES_MAX, "seed %d: sent %d times more",
-                 _i + 1, play.late_sends);
-  for (i = 0; i < PLAYED_HOSTS; i++)
-    csp_destroy_quarantine (play.hosts[i].quarantine);
+  ck_assert_int_ge (sim.crashes, CSP_STRIKES_MAX);
+  ck_assert_msg (sim.late_sends <= RETRIES_MAX,
+                 "seed %d: sent %d times too often", _i + 1, sim.late_sends);
+  for (i = 0; i < SIM_HOSTS; i++)
+    csp_destroy_quarantine (sim.hosts[i].quarantine);
 }
 END_TEST
 
@@ -465,22 +473,23 @@
   TCase *tests = tcase_create ("quarantine");
 
   tcase_add_checked_fixture (tests, set_up, tear_down);
-  tcase_add_loop_test (tests, three_targets_that_end_hold_a_request, 0,
+  tcase_add_loop_test (tests, three_ended_targets_quarantine_a_request, 0,
                        sizeof strike_cases / sizeof strike_cases[0]);
   tcase_add_test (tests, strikes_of_several_hosts_add_up);
-  tcase_add_test (tests, a_host_that_starts_learns_what_is_held);
-  tcase_add_test (tests, a_host_that_starts_learns_of_a_hold_that_was_doubled);
-  tcase_add_test (tests, a_hold_is_not_prolonged_by_words_that_go_round);
-  tcase_add_test (tests, what_is_held_is_named_before_fresh_strikes);
-  tcase_add_test (tests, a_host_that_has_answered_it_says_so);
-  tcase_add_test (tests, only_who_has_told_a_strike_tells_that_it_was_wrong);
-  tcase_add_test (tests, a_fresh_strike_is_told_twice);
-  tcase_add_test (tests, many_single_strikes_push_out_nothing_that_is_held);
-  tcase_add_test (tests, old_suspects_are_forgotten);
-  tcase_add_loop_test (tests, a_bad_word_holds_nothing, 0,
-                       sizeof bad_words / sizeof bad_words[0]);
-  tcase_add_loop_test (tests, hosts_in_touch_send_what_is_held_nowhere, 0,
-                       PLAYS);
+  tcase_add_test (tests, a_restarted_host_learns_of_a_quarantine);
+  tcase_add_test (tests, a_restarted_host_learns_of_a_doubled_hold);
+  tcase_add_test (tests, a_hold_is_not_extended_by_relayed_reports);
+  tcase_add_test (tests, greetings_list_quarantined_before_recent_strikes);
+  tcase_add_test (tests, a_recently_served_request_gets_no_strike);
+  tcase_add_test (tests,
+                  only_a_host_that_reported_strikes_reports_the_success);
+  tcase_add_test (tests, a_new_strike_is_broadcast_twice);
+  tcase_add_test (tests, single_strikes_do_not_evict_a_quarantine);
+  tcase_add_test (tests, old_suspects_expire);
+  tcase_add_loop_test (tests, a_malformed_report_quarantines_nothing, 0,
+                       sizeof malformed_reports / sizeof malformed_reports[0]);
+  tcase_add_loop_test (
+      tests, connected_hosts_do_not_send_a_quarantined_request, 0, SIM_SEEDS);
   suite_add_tcase (suite, tests);
   return run_suite (suite);
 }
