--- a/source/reach/reach.c
+++ b/source/reach/reach.c
@@ -4,17 +4,17 @@
 
 enum
 {
-  /* Hosts greet some host of each other data centre each half a second, and
-     are answered; where there are many data centres, more rarely.  A lossy
-     link drops some in a hundred; three lost ones in a row cost choices of a
-     second, no request.  */
-  SILENT_AFTER_MS = 1600,
+  /* Every half second a host greets some host of every other data centre and
+     gets an answer; with many data centres the period is longer.  A lossy link
+     drops a few per cent of greetings.  Three losses in a row wrongly rule out
+     the data centre for about a second, but lose no request.  */
+  SILENT_AFTER_MIN_MS = 1600,
   SILENT_GREETINGS = 3,
-  /* A cut heals unannounced; a question each half a second finds out soon
-     enough, and costs a handful of questions a cut.  */
-  ASK_AGAIN_MS = 500,
-  /* The planned size has 28 data centres; more than these aren't judged, and
-     count as reached.  */
+  /* A partition ends without notice.  A probe every half second detects that
+     soon enough, and costs only a few probes per partition.  */
+  PROBE_PERIOD_MS = 500,
+  /* The planned size is 28 data centres.  Data centres beyond this table
+     aren't tracked and count as reachable.  */
   DATA_CENTRES_MAX = 64
 };
 
@@ -22,18 +22,18 @@
 {
   uint32_t data_centre;
   int64_t answered_ms; /* 0: never */
-  int64_t heard_ms;    /* a host or a target; 0: never */
-  int64_t failed_ms;   /* 0: never since an answer */
-  int64_t ask_at_ms;
-  bool told_cut_off;
-} seen_t;
+  int64_t received_ms; /* last message from a host or target; 0: never */
+  int64_t failed_ms;   /* first failure since the last answer; 0: none */
+  int64_t next_probe_ms;
+  bool reported_unreachable;
+} data_centre_state_t;
 
 struct csp_reach
 {
   uint32_t home;
   uint32_t greeting_period_ms;
   size_t count;
-  seen_t seen[DATA_CENTRES_MAX];
+  data_centre_state_t states[DATA_CENTRES_MAX];
 };
 
 csp_reach_t *
@@ -52,75 +52,79 @@
   free (reach);
 }
 
-static const seen_t *
-find_seen (const csp_reach_t *reach, uint32_t data_centre)
+static const data_centre_state_t *
+find_state (const csp_reach_t *reach, uint32_t data_centre)
 {
   size_t i;
 
   for (i = 0; i < reach->count; i++)
-    if (reach->seen[i].data_centre == data_centre)
-      return &reach->seen[i];
+    if (reach->states[i].data_centre == data_centre)
+      return &reach->states[i];
   return NULL;
 }
 
-/* The row of a data centre; NULL for this host's own and beyond the table.  */
-static seen_t *
-take_seen (csp_reach_t *reach, uint32_t data_centre)
+/* Returns the row of a data centre, added if it is new; NULL for this host's
+   own data centre and when the table is full.  */
+static data_centre_state_t *
+get_state (csp_reach_t *reach, uint32_t data_centre)
 {
-  seen_t *seen = (seen_t *)find_seen (reach, data_centre);
+  data_centre_state_t *state
+      = (data_centre_state_t *)find_state (reach, data_centre);
 
-  if (seen != NULL || data_centre == reach->home
+  if (state != NULL || data_centre == reach->home
       || reach->count == DATA_CENTRES_MAX)
-    return seen;
-  seen = &reach->seen[reach->count++];
-  *seen = (seen_t){ .data_centre = data_centre };
-  return seen;
+    return state;
+  state = &reach->states[reach->count++];
+  *state = (data_centre_state_t){ .data_centre = data_centre };
+  return state;
 }
 
 void
 csp_note_answer_from (csp_reach_t *reach, uint32_t data_centre, int64_t now_ms)
 {
-  seen_t *seen = take_seen (reach, data_centre);
+  data_centre_state_t *state = get_state (reach, data_centre);
 
-  if (seen == NULL)
+  if (state == NULL)
     return;
-  seen->answered_ms = now_ms;
-  seen->heard_ms = now_ms;
-  seen->failed_ms = 0;
+  state->answered_ms = now_ms;
+  state->received_ms = now_ms;
+  state->failed_ms = 0;
 }
 
-/* It doesn't end a failure: in a cut of one direction hosts there are heard,
-   and requests are lost all the same.  */
+/* This doesn't clear a failure: in a one-way partition messages from hosts
+   there still arrive while requests to them are lost.  */
 void
 csp_note_host_heard (csp_reach_t *reach, uint32_t data_centre, int64_t now_ms)
 {
-  seen_t *seen = take_seen (reach, data_centre);
+  data_centre_state_t *state = get_state (reach, data_centre);
 
-  if (seen != NULL)
-    seen->heard_ms = now_ms;
+  if (state != NULL)
+    state->received_ms = now_ms;
 }
 
 void
 csp_note_exchange_failed (csp_reach_t *reach, uint32_t data_centre,
                           int64_t now_ms)
 {
-  seen_t *seen = take_seen (reach, data_centre);
+  data_centre_state_t *state = get_state (reach, data_centre);
 
-  if (seen != NULL && seen->failed_ms == 0)
-    seen->failed_ms = now_ms;
+  if (state != NULL && state->failed_ms == 0)
+    state->failed_ms = now_ms;
 }
 
-/* Nothing was ever heard of a data centre whose hosts are all down and that
-   this host has sent nothing to; there is no reason to doubt it.  */
+/* A data centre from which nothing was ever received isn't silent: its hosts
+   may all be down, which says nothing about its targets.  */
 static bool
-is_silent (const csp_reach_t *reach, const seen_t *seen, int64_t now_ms)
+is_silent (const csp_reach_t *reach, const data_centre_state_t *state,
+           int64_t now_ms)
 {
   int64_t silent_after_ms
       = (int64_t)reach->greeting_period_ms * SILENT_GREETINGS;
 
-  if (silent_after_ms < SILENT_AFTER_MS)
-    silent_after_ms = SILENT_AFTER_MS;
-  return seen->heard_ms != 0 && now_ms - seen->heard_ms >= silent_after_ms;
+  if (silent_after_ms < SILENT_AFTER_MIN_MS)
+    silent_after_ms = SILENT_AFTER_MIN_MS;
+  return state->received_ms != 0
+         && now_ms - state->received_ms >= silent_after_ms;
 }
 
 void
@@ -132,22 +136,22 @@
 bool
 csp_is_reached (const csp_reach_t *reach, uint32_t data_centre, int64_t now_ms)
 {
-  const seen_t *seen = find_seen (reach, data_centre);
+  const data_centre_state_t *state = find_state (reach, data_centre);
 
-  return seen == NULL
-         || (seen->failed_ms == 0 && !is_silent (reach, seen, now_ms));
+  return state == NULL
+         || (state->failed_ms == 0 && !is_silent (reach, state, now_ms));
 }
 
 bool
 csp_take_reach_change (csp_reach_t *reach, uint32_t data_centre,
                        int64_t now_ms)
 {
-  seen_t *seen = take_seen (reach, data_centre);
-  bool cut_off = !csp_is_reached (reach, data_centre, now_ms);
+  data_centre_state_t *state = get_state (reach, data_centre);
+  bool unreachable = !csp_is_reached (reach, data_centre, now_ms);
 
-  if (seen == NULL || seen->told_cut_off == cut_off)
+  if (state == NULL || state->reported_unreachable == unreachable)
     return false;
-  seen->told_cut_off = cut_off;
+  state->reported_unreachable = unreachable;
   return true;
 }
 
@@ -155,11 +159,11 @@
 csp_take_reach_question (csp_reach_t *reach, uint32_t data_centre,
                          int64_t now_ms)
 {
-  seen_t *seen = take_seen (reach, data_centre);
+  data_centre_state_t *state = get_state (reach, data_centre);
 
-  if (seen == NULL || csp_is_reached (reach, data_centre, now_ms)
-      || now_ms < seen->ask_at_ms)
+  if (state == NULL || csp_is_reached (reach, data_centre, now_ms)
+      || now_ms < state->next_probe_ms)
     return false;
-  seen->ask_at_ms = now_ms + ASK_AGAIN_MS;
+  state->next_probe_ms = now_ms + PROBE_PERIOD_MS;
   return true;
 }
--- a/tests/reach/reach-test.c
+++ b/tests/reach/reach-test.c
@@ -14,7 +14,7 @@
 typedef enum
 {
   ANSWER,
-  HEARD,
+  RECEIVED,
   FAILED
 } step_kind_t;
 
@@ -25,8 +25,8 @@
   uint32_t data_centre;
 } step_t;
 
-/* What a host sees of another data centre, and whether it reaches that at a
-   moment.  */
+/* Events that a host observes of a data centre, and whether the data centre
+   counts as reachable at at_ms.  */
 static const struct
 {
   const char *name;
@@ -34,20 +34,20 @@
   size_t step_count;
   uint32_t data_centre;
   int64_t at_ms;
-  bool reached;
-} stories[] = {
-  { "never heard of", { { 0 } }, 0, ELSEWHERE, 90000, true },
+  bool reachable;
+} cases[] = {
+  { "nothing was ever received", { { 0 } }, 0, ELSEWHERE, 90000, true },
   { "answers", { { ANSWER, 1000, ELSEWHERE } }, 1, ELSEWHERE, 2000, true },
-  { "connections are reset as the cut begins",
+  { "connections are reset as the partition begins",
     { { ANSWER, 1000, ELSEWHERE }, { FAILED, 1010, ELSEWHERE } },
     2,
     ELSEWHERE,
     1011,
     false },
-  { "its hosts are still heard, for datagrams come one way",
+  { "datagrams of its hosts still arrive in a one-way partition",
     { { ANSWER, 1000, ELSEWHERE },
       { FAILED, 1010, ELSEWHERE },
-      { HEARD, 1500, ELSEWHERE } },
+      { RECEIVED, 1500, ELSEWHERE } },
     3,
     ELSEWHERE,
     1501,
@@ -59,14 +59,14 @@
     1030,
     true },
   { "silence, no longer than between two greetings",
-    { { HEARD, 1000, ELSEWHERE } },
+    { { RECEIVED, 1000, ELSEWHERE } },
     1,
     ELSEWHERE,
     2500,
     true },
-  { "silence", { { HEARD, 1000, ELSEWHERE } }, 1, ELSEWHERE, 2600, false },
-  { "heard again behind a silence",
-    { { HEARD, 1000, ELSEWHERE }, { HEARD, 9000, ELSEWHERE } },
+  { "silence", { { RECEIVED, 1000, ELSEWHERE } }, 1, ELSEWHERE, 2600, false },
+  { "received again after a silence",
+    { { RECEIVED, 1000, ELSEWHERE }, { RECEIVED, 9000, ELSEWHERE } },
     2,
     ELSEWHERE,
     9001,
@@ -79,24 +79,24 @@
     true },
 };
 
-/* A data centre is cut off, and its callers keep coming.  Requests that are
-   sent across the cut can't be taken back: their callers see them fail, though
-   a target at home would have served them.  */
-START_TEST (what_is_seen_tells_which_data_centres_are_reached)
+/* Guards against sending requests into a partition: what was sent can't be
+   withdrawn, so callers see failures though a local target could have served
+   them.  */
+START_TEST (observed_events_decide_whether_a_data_centre_is_reachable)
 {
   csp_reach_t *reach = csp_create_reach (HOME);
   size_t i;
 
-  for (i = 0; i < stories[_i].step_count; i++)
+  for (i = 0; i < cases[_i].step_count; i++)
     {
-      const step_t *step = &stories[_i].steps[i];
+      const step_t *step = &cases[_i].steps[i];
 
       switch (step->kind)
         {
         case ANSWER:
           csp_note_answer_from (reach, step->data_centre, step->at_ms);
           break;
-        case HEARD:
+        case RECEIVED:
           csp_note_host_heard (reach, step->data_centre, step->at_ms);
           break;
         case FAILED:
@@ -104,17 +104,17 @@
           break;
         }
     }
-  ck_assert_msg (
-      csp_is_reached (reach, stories[_i].data_centre, stories[_i].at_ms)
-          == stories[_i].reached,
-      "%s", stories[_i].name);
+  ck_assert_msg (csp_is_reached (reach, cases[_i].data_centre, cases[_i].at_ms)
+                     == cases[_i].reachable,
+                 "%s", cases[_i].name);
   csp_destroy_reach (reach);
 }
 END_TEST
 
-/* All hosts of a data centre were lost, its targets weren't.  Nobody there
-   speaks unasked, so without questions it would be left alone for ever.  */
-START_TEST (what_is_cut_off_is_asked_now_and_then)
+/* Guards against never using a data centre again after all of its hosts were
+   lost while its targets run.  Targets send nothing unasked, so only probes
+   can find out.  */
+START_TEST (an_unreachable_data_centre_is_probed_periodically)
 {
   csp_reach_t *reach = csp_create_reach (HOME);
 
@@ -136,10 +136,10 @@
   Suite *suite = suite_create ("reach");
   TCase *tcase = tcase_create ("reach");
 
-  tcase_add_loop_test (tcase,
-                       what_is_seen_tells_which_data_centres_are_reached, 0,
-                       sizeof stories / sizeof *stories);
-  tcase_add_test (tcase, what_is_cut_off_is_asked_now_and_then);
+  tcase_add_loop_test (
+      tcase, observed_events_decide_whether_a_data_centre_is_reachable, 0,
+      sizeof cases / sizeof *cases);
+  tcase_add_test (tcase, an_unreachable_data_centre_is_probed_periodically);
   suite_add_tcase (suite, tcase);
   return run_suite (suite);
 }
