--- a/include/cowslipspoke/cordon.h
+++ b/include/cowslipspoke/cordon.h
@@ -5,15 +5,15 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* Data centres that operators have cordoned: nothing new is sent to their
-   targets until the cordon is lifted, and what runs there ends there.
+/* Data centres that operators have cordoned.  No new requests are sent to
+   their targets until the cordon is lifted; running requests finish there.
 
-   Failure: operators empty a data centre for work on its power.  A host that
-   doesn't know goes on sending there, and each of its requests is lost when
-   the power goes; one notices answers that break off together, on some hosts
-   only, seconds after the data centre was to be empty.  So the operators' word
-   comes with the list of targets, by the same way and with the same age, and
-   is looked at once more where a request is sent.  */
+   Failure: operators drain a data centre before work on its power supply.  A
+   host that hasn't received the cordon keeps sending requests there, which
+   are lost when the power goes off: seconds after the drain, answers of some
+   hosts break off together.  So cordons are distributed along with the list of
+   targets and are as fresh as the list, and they are checked again just before
+   a request is sent.  */
 
 enum
 {
@@ -23,14 +23,14 @@
 typedef struct
 {
   char data_centre[CSP_CORDON_NAME_BYTES];
-  int64_t since_ms; /* when this host heard of it */
+  int64_t since_ms; /* when this host received it */
 } csp_cordon_t;
 
 typedef enum
 {
   CSP_CORDON_CHANGED,
   CSP_CORDON_AS_BEFORE,
-  CSP_CORDON_NO_NAME, /* no data centre can have this name */
+  CSP_CORDON_NO_NAME, /* empty or too long for a data centre's name */
   CSP_CORDON_NO_MEMORY
 } csp_cordon_result_t;
 
@@ -39,12 +39,12 @@
 csp_cordons_t *csp_create_cordons (void);
 void csp_destroy_cordons (csp_cordons_t *cordons);
 
-/* Cordon a data centre, or lift its cordon.  */
+/* Cordons a data centre, or lifts its cordon.  */
 csp_cordon_result_t csp_set_cordon (csp_cordons_t *cordons,
                                     const char *data_centre, bool cordoned,
                                     int64_t now_ms);
 
-/* The cordon of a data centre; NULL where there is none.  */
+/* Returns the cordon of a data centre; NULL if it isn't cordoned.  */
 const csp_cordon_t *csp_find_cordon (const csp_cordons_t *cordons,
                                      const char *data_centre);
 
--- a/source/cordon/cordon.c
+++ b/source/cordon/cordon.c
@@ -7,14 +7,14 @@
 
 enum
 {
-  FIRST_ROOM = 4
+  INITIAL_CAPACITY = 4
 };
 
 struct csp_cordons
 {
   csp_cordon_t *rows;
   size_t count;
-  size_t room;
+  size_t capacity;
 };
 
 csp_cordons_t *
@@ -33,7 +33,7 @@
 }
 
 static csp_cordon_t *
-find (const csp_cordons_t *cordons, const char *data_centre)
+find_row (const csp_cordons_t *cordons, const char *data_centre)
 {
   size_t i;
 
@@ -46,31 +46,32 @@
 const csp_cordon_t *
 csp_find_cordon (const csp_cordons_t *cordons, const char *data_centre)
 {
-  return find (cordons, data_centre);
+  return find_row (cordons, data_centre);
 }
 
 static bool
-make_room (csp_cordons_t *cordons)
+reserve_row (csp_cordons_t *cordons)
 {
-  size_t room = cordons->room == 0 ? FIRST_ROOM : cordons->room * 2;
+  size_t capacity
+      = cordons->capacity == 0 ? INITIAL_CAPACITY : cordons->capacity * 2;
   csp_cordon_t *rows;
 
-  if (cordons->count < cordons->room)
+  if (cordons->count < cordons->capacity)
     return true;
-  rows = realloc (cordons->rows, room * sizeof *rows);
+  rows = realloc (cordons->rows, capacity * sizeof *rows);
   if (rows == NULL)
     return false;
   cordons->rows = rows;
-  cordons->room = room;
+  cordons->capacity = capacity;
   return true;
 }
 
 static csp_cordon_result_t
-cordon (csp_cordons_t *cordons, const char *data_centre, int64_t now_ms)
+add_cordon (csp_cordons_t *cordons, const char *data_centre, int64_t now_ms)
 {
   csp_cordon_t *row;
 
-  if (!make_room (cordons))
+  if (!reserve_row (cordons))
     return CSP_CORDON_NO_MEMORY;
   row = &cordons->rows[cordons->count++];
   csp_copy_text (row->data_centre, sizeof row->data_centre, data_centre);
@@ -82,14 +83,14 @@
 csp_set_cordon (csp_cordons_t *cordons, const char *data_centre, bool cordoned,
                 int64_t now_ms)
 {
-  csp_cordon_t *row = find (cordons, data_centre);
+  csp_cordon_t *row = find_row (cordons, data_centre);
 
   if (data_centre[0] == '\0' || strlen (data_centre) >= CSP_CORDON_NAME_BYTES)
     return CSP_CORDON_NO_NAME;
   if (cordoned == (row != NULL))
     return CSP_CORDON_AS_BEFORE;
   if (cordoned)
-    return cordon (cordons, data_centre, now_ms);
+    return add_cordon (cordons, data_centre, now_ms);
   *row = cordons->rows[--cordons->count];
   return CSP_CORDON_CHANGED;
 }
--- a/tests/cordon/cordon-test.c
+++ b/tests/cordon/cordon-test.c
@@ -24,14 +24,14 @@
 #define NAME_63                                                               \
   "abcdefghijabcdefghijabcdefghijabcdefghijabcdefghijabcdefghijabc"
 
-/* One word of an operator after another, and what each comes to.  */
+/* Commands of operators in order, with the result of each.  */
 static const struct
 {
   const char *data_centre;
-  bool on;
+  bool cordoned;
   csp_cordon_result_t result;
   size_t count;
-} words[] = {
+} commands[] = {
   { "a", true, CSP_CORDON_CHANGED, 1 },
   { "a", true, CSP_CORDON_AS_BEFORE, 1 },
   { "b", true, CSP_CORDON_CHANGED, 2 },
@@ -45,24 +45,24 @@
   { "b", true, CSP_CORDON_CHANGED, 2 },
 };
 
-START_TEST (each_word_counts_once)
+START_TEST (repeated_commands_change_nothing)
 {
   size_t i;
 
-  for (i = 0; i < sizeof words / sizeof words[0]; i++)
+  for (i = 0; i < sizeof commands / sizeof commands[0]; i++)
     {
-      ck_assert_int_eq (csp_set_cordon (cordons, words[i].data_centre,
-                                        words[i].on, (int64_t)i),
-                        words[i].result);
-      ck_assert_uint_eq (csp_count_cordons (cordons), words[i].count);
+      ck_assert_int_eq (csp_set_cordon (cordons, commands[i].data_centre,
+                                        commands[i].cordoned, (int64_t)i),
+                        commands[i].result);
+      ck_assert_uint_eq (csp_count_cordons (cordons), commands[i].count);
     }
   ck_assert_int_eq (csp_find_cordon (cordons, "b")->since_ms, 10);
   ck_assert_ptr_null (csp_find_cordon (cordons, "a"));
 }
 END_TEST
 
-/* Somebody writes a thousand names that nobody knows.  Each is kept, so that
-   none that matters is lost among them.  */
+/* Guards against losing a real cordon when operators cordon a thousand names
+   that don't exist: unknown names are kept as well.  */
 START_TEST (a_thousand_names_are_kept)
 {
   enum
@@ -100,7 +100,7 @@
   TCase *tcase = tcase_create ("cordon");
 
   tcase_add_checked_fixture (tcase, set_up, tear_down);
-  tcase_add_test (tcase, each_word_counts_once);
+  tcase_add_test (tcase, repeated_commands_change_nothing);
   tcase_add_test (tcase, a_thousand_names_are_kept);
   suite_add_tcase (suite, tcase);
   return run_suite (suite);
