--- a/include/cowslipspoke/limit.h
+++ b/include/cowslipspoke/limit.h
@@ -4,50 +4,51 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* Limits of an organisation, a route or a rule over all hosts, held without
-   shared state.
-
-   Load pattern: one organisation's requests come through every host.  A limit
-   that each host held alone would be exceeded as many times over as there are
-   hosts; divided evenly, it would turn callers away at one host while the
-   others' parts lie unused.  One notices either the tokens made for the
-   organisation against its limit, or refusals while it is far below.
-
-   Each host uses a share of the limit.  floor_share of it is divided evenly,
-   the rest by the demand that hosts publish to each other each round.  A
-   share falls at once, and rises by `rise` a round at most, and only while
-   every other host in the list is heard of.  So hosts that don't talk keep
-   the shares they had: with the whole host list known, a split exceeds
-   nothing, and strands what the other side doesn't use.
-
-   How far it can be exceeded.  Shares add up to at most 1 when all saw the
-   same demands; with news `lag` rounds old they can exceed it by what rises in
-   that time, at worst rise to the power of lag; measured 1.03 in the worst
-   second with news one round old, 1.16 with three.  Where the host list itself
-   splits, each side divides the limit among its own: at most as many times the
-   limit as there are sides, reached no faster than by `rise` a round.  A
-   joining host begins at its even part of floor_share.  Figures from
-   bench/limit-bench.c.  */
-
-/* floor_share: lets a host serve the first request of an organisation that
-   came through others so far.
-   rise: of 1.25, 1.5, 2 and 3, 2 used 69 in 100 of the limit while demand
-   jumped between hosts each ten seconds (34, 53 and 76 with the others), and
-   3 exceeded it by half when news was three rounds old.
-   stale_ms: a host not heard of for so long is silent; three rounds.
-   burst_s: how many seconds of its share a host may serve at once.  */
+/* Rate and concurrency limits of an organisation, a route or a rule, enforced
+   over all hosts without shared state.
+
+   Load pattern: one organisation's requests come through every host.  If each
+   host enforced the whole limit, it would be exceeded by as many times as
+      there are hosts; if each enforced an even part, callers would be refused
+   at one host while the parts of the others are unused and the organisation is
+   far below its limit.
+
+   Each host enforces a share of the limit.  floor_share of the limit is
+   divided evenly, the rest in proportion to the demand that hosts publish to
+   each other every round.  A share falls at once, but rises by at most a
+   factor of max_growth per round, and only while every listed host is heard
+   from.  So in a partition the shares don't rise: while the whole host list is
+   known, the limit isn't exceeded, and shares unused on the other side are
+   lost.
+
+   How far the limit can be exceeded: shares add up to at most 1 when all hosts
+   saw the same demands.  With demands `lag` rounds old the sum can reach
+   max_growth to the power of lag; in the worst second it is 1.03 with a lag
+   of one round and 1.16 with three.  If the host list itself is partitioned,
+   each side divides the whole limit among its own hosts, so the sum can reach
+   the number of sides, again growing by at most max_growth per round.  A
+   joining host starts with its even part of floor_share.  */
+
+/* floor_share: lets a host serve the first requests of an organisation that
+   came only through other hosts so far.
+   max_growth: with 2, 69 per cent of the limit are used while demand jumps
+   between hosts every ten seconds (34, 53 and 76 with 1.25, 1.5 and 3); 3
+   exceeds the limit by half when demands are three rounds old.
+   stale_ms: a host not heard from for this long counts as silent; three
+   rounds.
+   burst_s: how many seconds' worth of its share a host may serve at once.  */
 typedef struct
 {
   double floor_share;
-  double rise;
+  double max_growth;
   double burst_s;
   uint32_t stale_ms;
 } csp_limit_policy_t;
 
 csp_limit_policy_t csp_default_limit_policy (void);
 
-/* One limit on one host; a plain value.  Of tokens a second and of things
-   open at a time either may be 0 for none.  */
+/* One limit on one host; a plain value.  tokens_per_s limits the rate, and
+   most_open the streams that are open at a time; 0 means no limit.  */
 typedef struct
 {
   csp_limit_policy_t policy;
@@ -57,43 +58,44 @@
   int64_t filled_ms;
   uint32_t most_open;
   uint32_t open;
-  double asked;
+  double requested;
   double demand;
   double published;
 } csp_limit_t;
 
-/* Begin with the even part of floor_share among `hosts`, this one counted
-   in.  */
+/* Initialises a limit with the even part of floor_share among `hosts`, this
+   host included.  */
 void csp_open_limit (csp_limit_t *limit, const csp_limit_policy_t *policy,
                      double tokens_per_s, uint32_t most_open, uint32_t hosts,
                      int64_t now_ms);
 
-/* The limit was declared anew; shares and what is open stay.  */
+/* Changes the declared limit; the share and the open streams stay.  */
 void csp_change_limit (csp_limit_t *limit, double tokens_per_s,
                        uint32_t most_open);
 
-/* End a round: what this host publishes as its demand from now on.  */
+/* Ends a round; returns the demand that this host publishes from now on.  */
 double csp_publish_demand (csp_limit_t *limit);
 
-/* What another host in the list last published, and how old that is.  */
+/* The demand that another listed host last published, and its age.  */
 typedef struct
 {
   double demand;
   uint32_t age_ms;
 } csp_limit_peer_t;
 
-/* Work out this host's share, once a round, from all other hosts in the
-   list; one never heard of has demand 0 and age UINT32_MAX.  */
+/* Recomputes this host's share, once a round, from all other listed hosts.  A
+   host that was never heard from has demand 0 and age UINT32_MAX.  */
 void csp_share_limit (csp_limit_t *limit, const csp_limit_peer_t *peers,
                       uint32_t count);
 
-/* Ask for a stream of cost_tokens: true when it is within both limits, and
-   it then counts as open until csp_close_limited.  False with the time to
-   come back.  */
+/* Admits a stream of cost_tokens if it is within both limits; it then counts
+   as open until csp_close_limited.  Otherwise returns false and sets
+   retry_after_ms.  */
 bool csp_open_limited (csp_limit_t *limit, uint32_t cost_tokens,
                        int64_t now_ms, uint32_t *retry_after_ms);
 
-/* The stream is over, and cost used_tokens instead of cost_tokens.  */
+/* Ends a stream that was admitted with cost_tokens and has cost
+   used_tokens.  */
 void csp_close_limited (csp_limit_t *limit, uint32_t cost_tokens,
                         uint32_t used_tokens);
 
--- a/source/limit/limit.c
+++ b/source/limit/limit.c
@@ -2,28 +2,29 @@
 
 #include <math.h>
 
-/* A round's demand counts half, what was before the other half.  */
+/* Weight of the last round in the moving average of demand.  */
 static const double demand_weight = 0.5;
 
 static const double ms_per_s = 1000;
 
 enum
 {
-  RETRY_SOON_MS = 1000,
-  RETRY_MOST_MS = 60000
+  RETRY_OPEN_STREAMS_MS = 1000,
+  RETRY_MAX_MS = 60000
 };
 
 csp_limit_policy_t
 csp_default_limit_policy (void)
 {
-  csp_limit_policy_t policy
-      = { .floor_share = 0.1, .rise = 2, .burst_s = 2, .stale_ms = 3000 };
+  csp_limit_policy_t policy = {
+    .floor_share = 0.1, .max_growth = 2, .burst_s = 2, .stale_ms = 3000
+  };
 
   return policy;
 }
 
 static double
-most_in_bucket (const csp_limit_t *limit)
+bucket_capacity (const csp_limit_t *limit)
 {
   return limit->tokens_per_s * limit->share * limit->policy.burst_s;
 }
@@ -40,28 +41,29 @@
 
   *limit = fresh;
   limit->share = hosts <= 1 ? 1 : policy->floor_share / hosts;
-  limit->bucket = most_in_bucket (limit);
+  limit->bucket = bucket_capacity (limit);
 }
 
 void
 csp_change_limit (csp_limit_t *limit, double tokens_per_s, uint32_t most_open)
 {
-  bool counted = limit->tokens_per_s > 0;
+  bool had_rate = limit->tokens_per_s > 0;
 
   limit->tokens_per_s = tokens_per_s;
   limit->most_open = most_open;
-  /* What was made while no rate was declared is no debt: the first rate would
-     otherwise turn everybody away until it is worked off.  */
-  if (!counted)
-    limit->bucket = most_in_bucket (limit);
-  limit->bucket = fmin (limit->bucket, most_in_bucket (limit));
+  /* Tokens that were used while no rate was declared aren't charged.
+     Otherwise every request would be refused after the first declaration of a
+     rate until the bucket is refilled.  */
+  if (!had_rate)
+    limit->bucket = bucket_capacity (limit);
+  limit->bucket = fmin (limit->bucket, bucket_capacity (limit));
 }
 
 double
 csp_publish_demand (csp_limit_t *limit)
 {
-  limit->demand += demand_weight * (limit->asked - limit->demand);
-  limit->asked = 0;
+  limit->demand += demand_weight * (limit->requested - limit->demand);
+  limit->requested = 0;
   limit->published = limit->demand;
   return limit->published;
 }
@@ -72,27 +74,27 @@
 {
   const csp_limit_policy_t *policy = &limit->policy;
   double total = limit->published;
-  double part = 1.0 / (count + 1);
-  double wanted;
-  bool silent = false;
+  double demand_share = 1.0 / (count + 1);
+  double new_share;
+  bool any_silent = false;
   uint32_t i;
 
   for (i = 0; i < count; i++)
     {
       total += peers[i].demand;
-      silent = silent || peers[i].age_ms > policy->stale_ms;
+      any_silent = any_silent || peers[i].age_ms > policy->stale_ms;
     }
   if (total > 0)
-    part = limit->published / total;
-  wanted
-      = policy->floor_share / (count + 1) + (1 - policy->floor_share) * part;
-  if (wanted > limit->share && silent)
+    demand_share = limit->published / total;
+  new_share = policy->floor_share / (count + 1)
+              + (1 - policy->floor_share) * demand_share;
+  if (new_share > limit->share && any_silent)
     return;
-  limit->share = fmin (wanted, limit->share * policy->rise);
+  limit->share = fmin (new_share, limit->share * policy->max_growth);
 }
 
 static void
-fill_bucket (csp_limit_t *limit, int64_t now_ms)
+refill_bucket (csp_limit_t *limit, int64_t now_ms)
 {
   double seconds = (double)(now_ms - limit->filled_ms) / ms_per_s;
 
@@ -101,13 +103,14 @@
   limit->filled_ms = now_ms;
   limit->bucket
       = fmin (limit->bucket + seconds * limit->tokens_per_s * limit->share,
-              most_in_bucket (limit));
+              bucket_capacity (limit));
 }
 
-/* A limit of fewer streams than hosts would be 0 for each by its share; one
-   stream is allowed everywhere, and the excess is the number of hosts.  */
+/* With a limit of fewer streams than hosts the share of each host would round
+   down to 0.  One stream is allowed on every host, so the limit can be
+   exceeded up to the number of hosts.  */
 static uint32_t
-most_open_here (const csp_limit_t *limit)
+max_open_here (const csp_limit_t *limit)
 {
   double most = limit->most_open * limit->share;
 
@@ -115,12 +118,12 @@
 }
 
 static uint32_t
-time_to_fill_ms (const csp_limit_t *limit)
+refill_time_ms (const csp_limit_t *limit)
 {
   double rate = limit->tokens_per_s * limit->share;
   double ms = -limit->bucket / fmax (rate, 1e-6) * ms_per_s;
 
-  return (uint32_t)fmin (ms + 1, RETRY_MOST_MS);
+  return (uint32_t)fmin (ms + 1, RETRY_MAX_MS);
 }
 
 bool
@@ -128,16 +131,16 @@
                   uint32_t *retry_after_ms)
 {
   *retry_after_ms = 0;
-  limit->asked += cost_tokens;
-  fill_bucket (limit, now_ms);
-  if (limit->most_open != 0 && limit->open >= most_open_here (limit))
+  limit->requested += cost_tokens;
+  refill_bucket (limit, now_ms);
+  if (limit->most_open != 0 && limit->open >= max_open_here (limit))
     {
-      *retry_after_ms = RETRY_SOON_MS;
+      *retry_after_ms = RETRY_OPEN_STREAMS_MS;
       return false;
     }
   if (limit->tokens_per_s > 0 && limit->bucket <= 0)
     {
-      *retry_after_ms = time_to_fill_ms (limit);
+      *retry_after_ms = refill_time_ms (limit);
       return false;
     }
   limit->bucket -= cost_tokens;
