--- a/include/cowslipspoke/retry-lease.h
+++ b/include/cowslipspoke/retry-lease.h
@@ -5,56 +5,57 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* The retries of a service that all hosts share, handed out in leases by the
-   host that decides.
+/* Pool of retries of a service that all hosts share.  The decider lends them
+   to hosts as leases.
 
-   Load pattern: operators allow a service so many requests beyond the first
-   attempts in each window, counted over all hosts.  Hosts that each save up a
-   part that is set for 64 hosts send 2,700 where 1,600 are allowed when 295 of
-   them meet engines that all refuse, and the engines drown in repeats.  With
-   the part of 295 hosts a fleet of 18 has so little that 49 requests were
-   turned away because an engine had started again, with half a minute left and
-   idle engines beside.
+   Load pattern: operators limit a service's retries per time window, counted
+   over all hosts.  A fixed part per host fits only one size of fleet.  With
+   the part for 64 hosts, 295 hosts whose engines all refuse send 2,700 retries
+   where 1,600 are allowed, which overloads the engines.  With the part for 295
+   hosts, a fleet of 18 failed 49 requests after an engine restarted, although
+   they had half a minute left and other engines were idle.
 
-   So each host keeps one retry of its own, and half of what the fleet may
-   spend is lent to who needs it.  A lease dies by itself, and counts as spent
-   in every window in which it could have been.  What goes wrong with a pool
-   that one host keeps: a cut makes two of them, and a host that takes over
-   doesn't know what is out.  So a pool is worth the part of the fleet that
-   asks this host, counted among all hosts that it remembers and all data
-   centres that have targets, and a host that takes over waits until every
-   lease of the one before is forgotten.  */
+   So each host has a budget of one retry, and half of the fleet's limit is
+   lent to the hosts that need more.  A lease expires by itself, and counts as
+   used in every window in which it could have been used.
+
+   A partition can produce two deciders, and a new decider doesn't know the
+   leases of its predecessor.  So a pool is limited to the part of the fleet
+   that asks this host, relative to all hosts it has known and all data centres
+   that have targets; and a new decider grants nothing until all leases of its
+   predecessor no longer count.  */
 
 enum
 {
-  /* Failures come in bursts; who asks has requests that wait.  */
+  /* Short, as failures come in bursts and a host that asks for a lease has
+     requests waiting to be retried.  */
   CSP_LEASE_MS = 2000,
-  /* Grants are remembered in that many steps.  */
+  /* Number of time steps for which grants are counted.  */
   CSP_LEASE_STEPS = 64
 };
 
 typedef struct
 {
-  uint32_t extra;     /* that the whole fleet may send in any window */
-  uint32_t window_ms; /* in which operators count */
-  uint32_t lease_ms;  /* for which a grant may be used; 0: CSP_LEASE_MS */
+  uint32_t extra;     /* limit of the whole fleet in any window */
+  uint32_t window_ms; /* length of the operators' window */
+  uint32_t lease_ms;  /* lifetime of a grant; 0: CSP_LEASE_MS */
 } csp_lease_policy_t;
 
-/* One service's pool; a plain value.  */
+/* The pool of one service; a plain value.  */
 typedef struct
 {
   csp_lease_policy_t policy;
   bool decides;
   int64_t decides_since_ms;
-  int64_t step;                      /* the newest that is written */
-  uint32_t granted[CSP_LEASE_STEPS]; /* in each of the last steps */
+  int64_t step;                      /* newest step with a counter */
+  uint32_t granted[CSP_LEASE_STEPS]; /* ring buffer by step */
 } csp_lease_pool_t;
 
-/* What is known of the fleet.  */
+/* The decider's view of the fleet.  */
 typedef struct
 {
-  size_t hosts_asking; /* that ask this host, itself counted in */
-  size_t hosts_known;  /* all that are remembered, dead or alive, and itself */
+  size_t hosts_asking; /* hosts that ask this host, itself included */
+  size_t hosts_known;  /* all known hosts, dead or alive, itself included */
   size_t data_centres_heard;
   size_t data_centres_listed; /* that have targets */
 } csp_lease_facts_t;
@@ -62,22 +63,23 @@
 void csp_open_lease_pool (csp_lease_pool_t *pool,
                           const csp_lease_policy_t *policy, int64_t now_ms);
 
-/* Whether this host decides for the others.  Call it whenever that may have
+/* Sets whether this host is the decider.  Call it whenever that may have
    changed, and before each grant.  */
 void csp_note_lease_duty (csp_lease_pool_t *pool, bool decides,
                           int64_t now_ms);
 
-/* How many could be granted now.  */
-uint32_t csp_count_lendable (csp_lease_pool_t *pool,
-                             const csp_lease_facts_t *facts, int64_t now_ms);
+/* Returns how many leases could be granted now.  */
+uint32_t csp_count_grantable (csp_lease_pool_t *pool,
+                              const csp_lease_facts_t *facts, int64_t now_ms);
 
-/* How many of the wanted retries a host may spend until CSP_LEASE_MS behind
-   its question.  */
+/* Grants up to `wanted` leases; returns how many.  They are valid for lease_ms
+   from the time when the asking host sent its request.  */
 uint32_t csp_grant_leases (csp_lease_pool_t *pool,
                            const csp_lease_facts_t *facts, uint32_t wanted,
                            int64_t now_ms);
 
-/* What could be spent now of what was granted, in the worst case.  */
+/* Returns how many granted leases still count, as they could have been used
+   within the current window.  */
 uint32_t csp_count_leased (const csp_lease_pool_t *pool, int64_t now_ms);
 
 #endif
--- a/include/cowslipspoke/retry.h
+++ b/include/cowslipspoke/retry.h
@@ -6,45 +6,46 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* Whether a request is sent a second time, after a failure (retry) or beside
-   a first attempt that is late (hedge).
+/* Decides whether a request is sent a second time: after a failure (retry), or
+   in parallel to a first attempt that is late (hedge).
 
    Load pattern: targets fail or slow down under load.  Without a budget each
-   failure adds an attempt, attempts add load, load adds failures: an outage
-   of a tenth of the engines becomes one of all of them.  One notices attempts
-   at the targets that are a multiple of the requests that came, and that go
-   on after the cause has gone.
-
-   Retries may be a share of first attempts, in a bucket that first attempts
-   fill: in quiet times a few are saved up for a burst of failures, in an
-   outage the load is at most 1 + retry_share times that of first attempts.
-   Hedges have a smaller bucket, and none are sent while anything waits: then
-   a second attempt takes the place of somebody's first.  */
-
-/* retry_share: 0.1 adds a tenth of load at worst, and covers the loss of one
-   engine of twelve (8 in 100 of requests) in full.
-   retry_most: what can be saved up; at 27 requests a second a host collects
-   20 in 7 s.
-   retry_start: what a host that starts may spend before it has seen first
-   attempts; with none, the first caller that meets a dead engine gets its
-   error.  Ten on each of 330 hosts are a third of a second's requests.
-   hedge_share, hedge_most: 0.02 is the part of requests beyond the p98 of
-   time to first token, which is the delay that hedge_after should be given.
-   most_attempts: for one request, the first counted in.  */
+   failure adds an attempt, attempts add load, and load adds failures: an
+   outage of a tenth of the engines becomes an outage of all.  The symptom is
+   that targets get a multiple of the callers' requests, even after the cause
+   is gone.
+
+   Retries are limited to a share of first attempts by a token bucket that
+   first attempts fill.  In quiet times a few are saved up for a burst of
+   failures; in an outage the load is at most 1 + retry_share times that of
+   first attempts.  Hedges have a smaller bucket, and none are sent while
+   requests are queued, as a hedge would then take the slot of a first
+   attempt.  */
+
+/* retry_share: 0.1 adds a tenth of load at worst, and fully covers the loss of
+   one engine of twelve (8 per cent of requests).
+   retry_most: capacity of the bucket; at 27 requests a second a host saves up
+   20 retries in 7 s.
+   retry_start: initial content of the bucket.  With 0, the first caller of a
+   restarted host whose request reaches a dead engine gets an error.  Ten on
+   each of 330 hosts are a third of a second's requests.
+   hedge_share, hedge_max: 0.02 is the share of requests beyond the p98 of
+   time to first token, which is the delay that hedge_after should have.
+   max_attempts: for one request, the first attempt included.  */
 typedef struct
 {
   double retry_share;
   double retry_most;
   double retry_start;
   double hedge_share;
-  double hedge_most;
-  uint32_t most_attempts;
+  double hedge_max;
+  uint32_t max_attempts;
 } csp_retry_policy_t;
 
 csp_retry_policy_t csp_default_retry_policy (void);
 
-/* The budget of one host; a plain value.  leased: what it got beyond its own
-   from the fleet's, see retry-lease.h; good until leased_until_ms.  */
+/* The budget of one host; a plain value.  leased: additional retries from the
+   fleet's shared pool, valid until leased_until_ms (see retry-lease.h).  */
 typedef struct
 {
   csp_retry_policy_t policy;
@@ -61,19 +62,19 @@
 void csp_open_retry_budget (csp_retry_budget_t *budget,
                             const csp_retry_policy_t *policy);
 
-/* A first attempt was sent.  */
+/* Records that a first attempt was sent, which adds to the budget.  */
 void csp_note_first_attempt (csp_retry_budget_t *budget);
 
-/* A lease came; what is left of the one before is let go, so that none is
-   kept beyond its time.  */
+/* Replaces the lease.  The rest of the previous one is dropped, so that no
+   retry is used after its lease expired.  */
 void csp_take_retry_lease (csp_retry_budget_t *budget, uint32_t amount,
                            int64_t until_ms);
 
-/* What is known of a request that could be sent again.  idempotent: by its
-   mark, or by a key under which the targets run it once.  tokens_sent: the
-   caller has seen some of the answer.  verdict: of the last attempt.
-   left_ms: until its deadline.  needs_ms: the usual time to a first token.
- */
+/* State of a request that could be sent again.  idempotent: it is marked so,
+   or has an idempotency key with which targets run it only once.  tokens_sent:
+   the caller has received a part of the answer.  verdict: of the last attempt.
+   left_ms: until its deadline.  needs_ms: usual time to first token.  waiting:
+   queued requests.  load: share of the targets' memory that is used.  */
 typedef struct
 {
   bool idempotent;
@@ -84,10 +85,10 @@
   int64_t needs_ms;
   uint32_t waiting;
   double load;
-  int64_t now_ms; /* matters where there are leases */
+  int64_t now_ms; /* needed only with leases */
 } csp_retry_facts_t;
 
-/* Why a second attempt was made or not.  */
+/* The decision on a second attempt, or the reason for refusing it.  */
 typedef enum
 {
   CSP_RETRY_YES,
@@ -99,15 +100,15 @@
   CSP_RETRY_BUSY
 } csp_retry_t;
 
-/* Send a failed request again?  Takes from the budget when YES.  What did
-   not run, by its verdict, may be sent again even when it isn't idempotent,
-   as that is no repetition; it still takes from the budget.  */
+/* Decides whether to retry a failed request; CSP_RETRY_YES takes a retry from
+   the budget.  A request that didn't run, by its verdict, may be retried even
+   if it isn't idempotent; that also takes from the budget.  */
 csp_retry_t csp_decide_retry (csp_retry_budget_t *budget,
                               const csp_retry_facts_t *facts);
 
-/* Send a second attempt beside a first one that is late?  Never when it isn't
-   idempotent, when the caller has seen a token, or when anything waits or the
-   targets are more than hedge_load full.  */
+/* Decides whether to hedge a first attempt that is late.  Never if the request
+   isn't idempotent, the caller has received a token, requests are queued, or
+   the targets' memory is used to more than hedge_load.  */
 csp_retry_t csp_decide_hedge (csp_retry_budget_t *budget,
                               const csp_retry_facts_t *facts);
 
--- a/source/retry/retry-lease.c
+++ b/source/retry/retry-lease.c
@@ -4,15 +4,16 @@
 
 enum
 {
-  /* The other half is what hosts save up by themselves, one each; a fleet has
-     fewer hosts than half of what it may spend.  */
-  LEASED_PART = 2
+  /* One half of the limit is lent; the other half covers the hosts' own
+     budgets of one retry each, as a fleet has fewer hosts than half of its
+     limit.  */
+  LEASED_DIVISOR = 2
 };
 
-/* For how long a grant counts: it may be spent at the end of its time, and
-   operators' windows that hold that moment end a window later.  */
+/* Returns for how long a grant counts: it may be used just before it expires,
+   and operators' windows with that moment end up to a window later.  */
 static int64_t
-counted_ms (const csp_lease_pool_t *pool)
+grant_counts_ms (const csp_lease_pool_t *pool)
 {
   int64_t lease_ms
       = pool->policy.lease_ms > 0 ? pool->policy.lease_ms : CSP_LEASE_MS;
@@ -20,25 +21,26 @@
   return lease_ms + (int64_t)pool->policy.window_ms;
 }
 
-/* Rounded up, so that nothing is forgotten early; a step is only half over
-   when the first of its grants is to be forgotten.  */
+/* Returns the length of a step, rounded up so that no grant is dropped too
+   early: all grants of a step are dropped together, also those made at its
+   end.  */
 static int64_t
 step_ms (const csp_lease_pool_t *pool)
 {
-  return counted_ms (pool) / (CSP_LEASE_STEPS - 2) + 1;
+  return grant_counts_ms (pool) / (CSP_LEASE_STEPS - 2) + 1;
 }
 
 static int64_t
-step_of (const csp_lease_pool_t *pool, int64_t now_ms)
+step_at (const csp_lease_pool_t *pool, int64_t now_ms)
 {
   return now_ms / step_ms (pool);
 }
 
-/* Forget the steps that lie back far enough.  */
+/* Advances to the current step and clears the counters of expired steps.  */
 static void
-turn_steps (csp_lease_pool_t *pool, int64_t now_ms)
+advance_steps (csp_lease_pool_t *pool, int64_t now_ms)
 {
-  int64_t step = step_of (pool, now_ms);
+  int64_t step = step_at (pool, now_ms);
 
   if (step - pool->step >= CSP_LEASE_STEPS)
     memset (pool->granted, 0, sizeof pool->granted);
@@ -54,7 +56,7 @@
                      int64_t now_ms)
 {
   *pool = (csp_lease_pool_t){ .policy = *policy };
-  pool->step = step_of (pool, now_ms);
+  pool->step = step_at (pool, now_ms);
 }
 
 void
@@ -68,7 +70,7 @@
 uint32_t
 csp_count_leased (const csp_lease_pool_t *pool, int64_t now_ms)
 {
-  int64_t newest = step_of (pool, now_ms);
+  int64_t newest = step_at (pool, now_ms);
   uint32_t leased = 0;
   int64_t step;
 
@@ -78,11 +80,11 @@
   return leased;
 }
 
-/* This host's part of what the fleet lends.  */
+/* Returns this host's part of the fleet's leases.  */
 static uint32_t
-limit_of (const csp_lease_pool_t *pool, const csp_lease_facts_t *facts)
+lease_limit (const csp_lease_pool_t *pool, const csp_lease_facts_t *facts)
 {
-  uint64_t limit = pool->policy.extra / LEASED_PART;
+  uint64_t limit = pool->policy.extra / LEASED_DIVISOR;
 
   if (facts->hosts_known == 0 || facts->data_centres_listed == 0)
     return 0;
@@ -94,15 +96,16 @@
 }
 
 uint32_t
-csp_count_lendable (csp_lease_pool_t *pool, const csp_lease_facts_t *facts,
-                    int64_t now_ms)
+csp_count_grantable (csp_lease_pool_t *pool, const csp_lease_facts_t *facts,
+                     int64_t now_ms)
 {
-  uint32_t limit = limit_of (pool, facts);
+  uint32_t limit = lease_limit (pool, facts);
   uint32_t leased;
 
-  if (!pool->decides || now_ms - pool->decides_since_ms < counted_ms (pool))
+  if (!pool->decides
+      || now_ms - pool->decides_since_ms < grant_counts_ms (pool))
     return 0;
-  turn_steps (pool, now_ms);
+  advance_steps (pool, now_ms);
   leased = csp_count_leased (pool, now_ms);
   return leased < limit ? limit - leased : 0;
 }
@@ -111,10 +114,10 @@
 csp_grant_leases (csp_lease_pool_t *pool, const csp_lease_facts_t *facts,
                   uint32_t wanted, int64_t now_ms)
 {
-  uint32_t lendable = csp_count_lendable (pool, facts, now_ms);
+  uint32_t grantable = csp_count_grantable (pool, facts, now_ms);
 
-  if (wanted > lendable)
-    wanted = lendable;
+  if (wanted > grantable)
+    wanted = grantable;
   if (wanted == 0)
     return 0;
   pool->granted[pool->step % CSP_LEASE_STEPS] += wanted;
--- a/source/retry/retry.c
+++ b/source/retry/retry.c
@@ -2,8 +2,8 @@
 
 #include <math.h>
 
-/* Above this share of memory a hedge takes room that a first attempt will
-   soon need.  */
+/* Above this share of used memory a hedge takes memory that first attempts
+   will soon need.  */
 static const double hedge_load = 0.7;
 
 csp_retry_policy_t
@@ -13,8 +13,8 @@
                                 .retry_most = 20,
                                 .retry_start = 10,
                                 .hedge_share = 0.02,
-                                .hedge_most = 4,
-                                .most_attempts = 3 };
+                                .hedge_max = 4,
+                                .max_attempts = 3 };
 
   return policy;
 }
@@ -38,7 +38,7 @@
   budget->retries
       = fmin (budget->retries + policy->retry_share, policy->retry_most);
   budget->hedges
-      = fmin (budget->hedges + policy->hedge_share, policy->hedge_most);
+      = fmin (budget->hedges + policy->hedge_share, policy->hedge_max);
 }
 
 void
@@ -49,7 +49,8 @@
   budget->leased_until_ms = until_ms;
 }
 
-/* Own retries go first: a lease that isn't used is nobody's for a while.  */
+/* The host's own retries are used first, as they last, while a lease
+   expires.  */
 static bool
 spend_retry (csp_retry_budget_t *budget, int64_t now_ms)
 {
@@ -78,7 +79,7 @@
     return deny (budget, CSP_RETRY_TOKENS_SENT);
   if (!facts->idempotent && facts->verdict != CSP_VERDICT_NOT_RUN)
     return deny (budget, CSP_RETRY_MAY_HAVE_RUN);
-  if (facts->attempts >= budget->policy.most_attempts)
+  if (facts->attempts >= budget->policy.max_attempts)
     return deny (budget, CSP_RETRY_ATTEMPTS);
   if (facts->left_ms <= facts->needs_ms)
     return deny (budget, CSP_RETRY_DEADLINE);
--- a/source/warmup/warmup.c
+++ b/source/warmup/warmup.c
@@ -40,7 +40,7 @@
                       int64_t now_ms)
 {
   note_role (warmup, role);
-  return csp_count_lendable (&warmup->grants, &role->fleet, now_ms) > 0;
+  return csp_count_grantable (&warmup->grants, &role->fleet, now_ms) > 0;
 }
 
 bool
--- a/tests/retry/retry-test.c
+++ b/tests/retry/retry-test.c
@@ -5,11 +5,12 @@
 #include <check.h>
 #include <stdlib.h>
 
-static const csp_retry_facts_t usual = { .idempotent = true,
-                                         .verdict = CSP_VERDICT_MAY_HAVE_RUN,
-                                         .attempts = 1,
-                                         .left_ms = 10000,
-                                         .needs_ms = 1000 };
+static const csp_retry_facts_t idempotent_request
+    = { .idempotent = true,
+        .verdict = CSP_VERDICT_MAY_HAVE_RUN,
+        .attempts = 1,
+        .left_ms = 10000,
+        .needs_ms = 1000 };
 
 static csp_retry_budget_t
 full_budget (void)
@@ -24,9 +25,9 @@
   return budget;
 }
 
-/* One fact changed from a request that may be repeated, and what is decided
-   for a retry and for a hedge.  A lease score that may have run must not run
-   again: its buyer would get two quotes.  */
+/* Each row differs in one fact from a request that may be repeated, and has
+   the decisions on a retry and on a hedge.  A request that isn't idempotent
+   and may have run must not run again.  */
 static const struct
 {
   csp_retry_facts_t facts;
@@ -62,7 +63,7 @@
     CSP_RETRY_BUSY },
 };
 
-START_TEST (who_may_be_sent_again)
+START_TEST (the_facts_decide_on_retry_and_hedge)
 {
   csp_retry_budget_t budget = full_budget ();
 
@@ -73,13 +74,13 @@
 }
 END_TEST
 
-/* Every target fails for ten minutes.  Without a budget each request is sent
-   three times, and the targets that come back are met by three times their
-   load; with it by 1.1 times.  */
-START_TEST (an_outage_is_not_multiplied)
+/* Guards against multiplied load while every target fails.  Without a budget
+   each request is sent three times, so recovering targets get three times
+   their load; with it, 1.1 times.  */
+START_TEST (an_outage_does_not_multiply_the_load)
 {
   csp_retry_budget_t budget = full_budget ();
-  csp_retry_facts_t facts = usual;
+  csp_retry_facts_t facts = idempotent_request;
   uint64_t before = budget.first_attempts;
   uint32_t sent = 0;
   int i;
@@ -96,14 +97,15 @@
   ck_assert_uint_le (sent, 11020);
   ck_assert_uint_ge (sent, 10900);
   ck_assert_uint_eq (budget.first_attempts - before, 10000);
-  ck_assert_int_eq (csp_decide_retry (&budget, &usual), CSP_RETRY_BUDGET);
+  ck_assert_int_eq (csp_decide_retry (&budget, &idempotent_request),
+                    CSP_RETRY_BUDGET);
 }
 END_TEST
 
-/* A host has just started and its first callers meet a dead engine.  Without
-   any budget the very first of them gets the engine's error; with no bound, a
-   fleet that restarts during an outage multiplies it.  */
-START_TEST (a_fresh_host_has_a_small_budget)
+/* The first requests of a host that has just started go to a dead engine.
+   Without an initial budget the first caller gets the engine's error; without
+   a bound, a fleet that restarts during an outage multiplies the load.  */
+START_TEST (a_new_host_has_a_small_budget)
 {
   csp_retry_policy_t policy = csp_default_retry_policy ();
   csp_retry_budget_t budget;
@@ -111,9 +113,12 @@
 
   csp_open_retry_budget (&budget, &policy);
   for (sent = 0; sent < (uint32_t)policy.retry_start; sent++)
-    ck_assert_int_eq (csp_decide_retry (&budget, &usual), CSP_RETRY_YES);
-  ck_assert_int_eq (csp_decide_retry (&budget, &usual), CSP_RETRY_BUDGET);
-  ck_assert_int_eq (csp_decide_hedge (&budget, &usual), CSP_RETRY_BUDGET);
+    ck_assert_int_eq (csp_decide_retry (&budget, &idempotent_request),
+                      CSP_RETRY_YES);
+  ck_assert_int_eq (csp_decide_retry (&budget, &idempotent_request),
+                    CSP_RETRY_BUDGET);
+  ck_assert_int_eq (csp_decide_hedge (&budget, &idempotent_request),
+                    CSP_RETRY_BUDGET);
 }
 END_TEST
 
@@ -123,10 +128,10 @@
   Suite *suite = suite_create ("retry");
   TCase *tcase = tcase_create ("retry");
 
-  tcase_add_loop_test (tcase, who_may_be_sent_again, 0,
+  tcase_add_loop_test (tcase, the_facts_decide_on_retry_and_hedge, 0,
                        sizeof rows / sizeof rows[0]);
-  tcase_add_test (tcase, an_outage_is_not_multiplied);
-  tcase_add_test (tcase, a_fresh_host_has_a_small_budget);
+  tcase_add_test (tcase, an_outage_does_not_multiply_the_load);
+  tcase_add_test (tcase, a_new_host_has_a_small_budget);
   suite_add_tcase (suite, tcase);
   return run_suite (suite);
 }
