--- a/source/length/length.c
+++ b/source/length/length.c
@@ -9,14 +9,14 @@
   BINS_PER_OCTAVE = 4,
   OCTAVES = 17,
   BINS = BINS_PER_OCTAVE * OCTAVES,
-  EVENTS_PER_REBUILD = 32,
-  EVENTS_PER_FORGET = 64,
+  ENDS_PER_REBUILD = 32,
+  ENDS_PER_DECAY = 64,
   EXPOSURE_PER_REBUILD = 16384,
   NAME_BYTES = 64
 };
 
-/* One key.  cumulative[b] is the hazard up to the lower edge of bin b, and
-   left[b] the mean still to come there.  */
+/* The life table of one key.  cumulative[b] is the cumulative hazard up to the
+   lower edge of bin b, and left[b] the mean remaining tokens there.  */
 typedef struct
 {
   char model[NAME_BYTES];
@@ -26,8 +26,8 @@
   float hazard[BINS];
   float cumulative[BINS + 1];
   float left[BINS + 1];
-  uint32_t events;
-  uint32_t stale_events;
+  uint32_t ended_answers;
+  uint32_t stale_ends;
   uint32_t stale_exposure;
 } length_key_t;
 
@@ -35,7 +35,7 @@
 {
   csp_length_policy_t policy;
   double edge[BINS + 1];
-  double start_hazard[BINS];
+  double prior_hazard[BINS];
   uint32_t count;
   length_key_t *keys;
 };
@@ -43,8 +43,8 @@
 csp_length_policy_t
 csp_default_length_policy (void)
 {
-  csp_length_policy_t policy = { .start_median_tokens = 77,
-                                 .start_sigma = 1.5,
+  csp_length_policy_t policy = { .prior_median_tokens = 77,
+                                 .prior_sigma = 1.5,
                                  .start_weight = 4,
                                  .half_life_answers = 4096,
                                  .max_keys = 64 };
@@ -52,8 +52,8 @@
   return policy;
 }
 
-/* Bin of the n-th token: octaves of n, each cut into four equal parts, so
-   that the width of a bin is a fifth of n at most.  */
+/* Returns the bin of the n-th token.  Octaves of n are divided into four equal
+   bins, so that a bin's width is at most a quarter of n.  */
 static uint32_t
 find_bin (uint32_t tokens)
 {
@@ -80,15 +80,15 @@
 }
 
 static double
-survive_log_normal (const csp_length_policy_t *policy, double tokens)
+log_normal_survival (const csp_length_policy_t *policy, double tokens)
 {
-  double z = log (tokens / policy->start_median_tokens) / policy->start_sigma;
+  double z = log (tokens / policy->prior_median_tokens) / policy->prior_sigma;
 
   return 0.5 * erfc (z / sqrt (2));
 }
 
 static void
-fill_start (csp_lengths_t *lengths)
+fill_prior (csp_lengths_t *lengths)
 {
   uint32_t bin;
   double low;
@@ -98,22 +98,23 @@
     lengths->edge[bin] = bin_edge (bin);
   for (bin = 0; bin < BINS; bin++)
     {
-      low = survive_log_normal (&lengths->policy, lengths->edge[bin]);
-      high = survive_log_normal (&lengths->policy, lengths->edge[bin + 1]);
-      lengths->start_hazard[bin]
+      low = log_normal_survival (&lengths->policy, lengths->edge[bin]);
+      high = log_normal_survival (&lengths->policy, lengths->edge[bin + 1]);
+      lengths->prior_hazard[bin]
           = log (low / high) / (lengths->edge[bin + 1] - lengths->edge[bin]);
     }
 }
 
-/* Mean tokens from a point `width` before the upper edge of a bin.  */
+/* Returns the mean remaining tokens at a point `width` tokens below the upper
+   edge of a bin.  */
 static double
-mean_through_bin (double hazard, double width, double left_after)
+mean_left_in_bin (double hazard, double width, double left_after)
 {
-  double stay = exp (-hazard * width);
+  double survival = exp (-hazard * width);
 
   if (hazard * width < 1e-9)
     return width + left_after;
-  return (1 - stay) / hazard + stay * left_after;
+  return (1 - survival) / hazard + survival * left_after;
 }
 
 static void
@@ -129,17 +130,17 @@
       width = lengths->edge[bin + 1] - lengths->edge[bin];
       weight = lengths->policy.start_weight * width;
       key->hazard[bin]
-          = (float)((key->ended[bin] + weight * lengths->start_hazard[bin])
+          = (float)((key->ended[bin] + weight * lengths->prior_hazard[bin])
                     / (key->exposure[bin] + weight));
       key->cumulative[bin + 1]
           = (float)(key->cumulative[bin] + key->hazard[bin] * width);
     }
   key->left[BINS] = 0;
   for (bin = BINS; bin-- > 0;)
-    key->left[bin] = (float)mean_through_bin (
+    key->left[bin] = (float)mean_left_in_bin (
         key->hazard[bin], lengths->edge[bin + 1] - lengths->edge[bin],
         key->left[bin + 1]);
-  key->stale_events = 0;
+  key->stale_ends = 0;
   key->stale_exposure = 0;
 }
 
@@ -157,7 +158,7 @@
       free (lengths);
       return NULL;
     }
-  fill_start (lengths);
+  fill_prior (lengths);
   lengths->count = 1;
   rebuild_key (lengths, &lengths->keys[CSP_LENGTH_KEY_SHARED]);
   return lengths;
@@ -215,13 +216,13 @@
     rebuild_key (lengths, key);
 }
 
-/* Old answers fade.  What goes wrong without it: a new version of a model
-   writes twice as much, and the engines fill on the old one's lengths for
-   weeks; one notices preemptions that begin with the new version and stay.  */
+/* Decays old observations.  Otherwise, when a new version of a model writes
+   answers twice as long, engines would be filled by the old lengths for weeks,
+   with preemptions all that time.  */
 static void
-forget_key (const csp_lengths_t *lengths, length_key_t *key)
+decay_key (const csp_lengths_t *lengths, length_key_t *key)
 {
-  float keep = (float)exp2 (-(double)EVENTS_PER_FORGET
+  float keep = (float)exp2 (-(double)ENDS_PER_DECAY
                             / lengths->policy.half_life_answers);
   uint32_t bin;
 
@@ -240,12 +241,12 @@
 
   if (end == CSP_LENGTH_FINISHED)
     key->ended[find_bin (tokens)] += 1;
-  key->events++;
-  key->stale_events++;
-  if (key->events % EVENTS_PER_FORGET == 0)
-    forget_key (lengths, key);
-  if (key->stale_events >= EVENTS_PER_REBUILD
-      || key->events < EVENTS_PER_REBUILD)
+  key->ended_answers++;
+  key->stale_ends++;
+  if (key->ended_answers % ENDS_PER_DECAY == 0)
+    decay_key (lengths, key);
+  if (key->stale_ends >= ENDS_PER_REBUILD
+      || key->ended_answers < ENDS_PER_REBUILD)
     rebuild_key (lengths, key);
 }
 
@@ -280,23 +281,24 @@
 
   if (width <= 0)
     return 0;
-  return mean_through_bin (key->hazard[bin], width, key->left[bin + 1]);
+  return mean_left_in_bin (key->hazard[bin], width, key->left[bin + 1]);
 }
 
 uint32_t
-csp_bound_tokens_left (csp_lengths_t *lengths, uint32_t key_index,
-                       uint32_t made, double quantile)
+csp_quantile_tokens_left (csp_lengths_t *lengths, uint32_t key_index,
+                          uint32_t made, double quantile)
 {
   const length_key_t *key = &lengths->keys[key_index];
-  double goal = hazard_up_to (lengths, key, made) - log1p (-quantile);
+  double target_hazard = hazard_up_to (lengths, key, made) - log1p (-quantile);
   uint32_t bin = find_bin (made);
   double inside;
 
-  while (bin < BINS && key->cumulative[bin + 1] < goal)
+  while (bin < BINS && key->cumulative[bin + 1] < target_hazard)
     bin++;
   if (bin >= BINS)
     return made < CSP_LENGTH_MAX_TOKENS ? CSP_LENGTH_MAX_TOKENS - made : 0;
-  inside = (goal - key->cumulative[bin]) / fmax (key->hazard[bin], 1e-12);
+  inside = (target_hazard - key->cumulative[bin])
+           / fmax (key->hazard[bin], 1e-12);
   return (uint32_t)fmax (0, ceil (lengths->edge[bin] + inside - made));
 }
 
--- a/tests/length/length-test.c
+++ b/tests/length/length-test.c
@@ -24,7 +24,7 @@
 }
 
 static csp_lengths_t *
-new_lengths (uint32_t *key)
+create_lengths (uint32_t *key)
 {
   csp_length_policy_t policy = csp_default_length_policy ();
   csp_lengths_t *lengths = csp_create_lengths (&policy);
@@ -33,33 +33,34 @@
   return lengths;
 }
 
-START_TEST (the_start_is_the_stated_mean)
+START_TEST (the_prior_has_the_stated_mean)
 {
   uint32_t key;
-  csp_lengths_t *lengths = new_lengths (&key);
+  csp_lengths_t *lengths = create_lengths (&key);
 
   ck_assert_double_eq_tol (csp_expect_tokens_left (lengths, key, 0), 236, 12);
-  ck_assert_uint_gt (csp_bound_tokens_left (lengths, key, 0, 0.99), 1500);
+  ck_assert_uint_gt (csp_quantile_tokens_left (lengths, key, 0, 0.99), 1500);
   csp_destroy_lengths (lengths);
 }
 END_TEST
 
-/* Mean and quantile of what is still to come, given that the answer already
-   has `made` tokens, against the same drawn numbers counted directly.  */
+/* Compares the estimated mean and quantile of the remaining tokens, given that
+   the answer already has `made` tokens, with those of a direct sample from the
+   same distribution.  */
 static const struct
 {
   double median;
   double sigma;
   uint32_t made;
-} shape_rows[] = {
+} distributions[] = {
   { 40, 0.8, 0 },    { 40, 0.8, 60 },    { 290, 1.3, 0 },
   { 290, 1.3, 500 }, { 290, 1.3, 3000 }, { 12, 0.6, 5 },
 };
 
-START_TEST (learns_what_is_left)
+START_TEST (estimates_the_remaining_tokens)
 {
   uint32_t key;
-  csp_lengths_t *lengths = new_lengths (&key);
+  csp_lengths_t *lengths = create_lengths (&key);
   csp_random_t random;
   double sum = 0;
   uint32_t over = 0;
@@ -72,22 +73,22 @@
   for (i = 0; i < 20000; i++)
     learn_answer (
         lengths, key,
-        (uint32_t)fmax (1, draw_log_normal (&random, shape_rows[_i].median,
-                                            shape_rows[_i].sigma)));
-  bound = csp_bound_tokens_left (lengths, key, shape_rows[_i].made, 0.9);
+        (uint32_t)fmax (1, draw_log_normal (&random, distributions[_i].median,
+                                            distributions[_i].sigma)));
+  bound = csp_quantile_tokens_left (lengths, key, distributions[_i].made, 0.9);
   for (i = 0; i < 200000; i++)
     {
-      tokens
-          = (uint32_t)fmax (1, draw_log_normal (&random, shape_rows[_i].median,
-                                                shape_rows[_i].sigma));
-      if (tokens <= shape_rows[_i].made)
+      tokens = (uint32_t)fmax (1, draw_log_normal (&random,
+                                                   distributions[_i].median,
+                                                   distributions[_i].sigma));
+      if (tokens <= distributions[_i].made)
         continue;
       over++;
-      sum += tokens - shape_rows[_i].made;
-      beyond += tokens - shape_rows[_i].made > bound;
+      sum += tokens - distributions[_i].made;
+      beyond += tokens - distributions[_i].made > bound;
     }
   ck_assert_double_eq_tol (
-      csp_expect_tokens_left (lengths, key, shape_rows[_i].made)
+      csp_expect_tokens_left (lengths, key, distributions[_i].made)
           / (sum / over),
       1, 0.2);
   ck_assert_double_eq_tol ((double)beyond / over, 0.1, 0.05);
@@ -96,12 +97,12 @@
 END_TEST
 
 /* After a start the short answers end first, while the long ones still run.
-   If only ended answers counted, lengths would be guessed far too low, the
-   engines filled, and the long answers preempted.  */
-START_TEST (answers_under_way_count)
+   If only ended answers counted, lengths would be underestimated, engines
+   overfilled, and the long answers preempted.  */
+START_TEST (running_answers_count)
 {
   uint32_t key;
-  csp_lengths_t *lengths = new_lengths (&key);
+  csp_lengths_t *lengths = create_lengths (&key);
   uint32_t i;
 
   for (i = 0; i < 80; i++)
@@ -118,12 +119,13 @@
 }
 END_TEST
 
-/* A new version of a model writes eight times as much.  Old answers that
-   weigh for ever would let engines fill on the old lengths for weeks.  */
-START_TEST (old_answers_fade)
+/* A new version of a model writes answers eight times as long.  Without decay
+   of old observations engines would be filled by the old lengths for
+   weeks.  */
+START_TEST (old_answers_decay)
 {
   uint32_t key;
-  csp_lengths_t *lengths = new_lengths (&key);
+  csp_lengths_t *lengths = create_lengths (&key);
   uint32_t i;
 
   for (i = 0; i < 100000; i++)
@@ -158,11 +160,11 @@
   Suite *suite = suite_create ("length");
   TCase *tcase = tcase_create ("length");
 
-  tcase_add_test (tcase, the_start_is_the_stated_mean);
-  tcase_add_loop_test (tcase, learns_what_is_left, 0,
-                       sizeof shape_rows / sizeof shape_rows[0]);
-  tcase_add_test (tcase, answers_under_way_count);
-  tcase_add_test (tcase, old_answers_fade);
+  tcase_add_test (tcase, the_prior_has_the_stated_mean);
+  tcase_add_loop_test (tcase, estimates_the_remaining_tokens, 0,
+                       sizeof distributions / sizeof distributions[0]);
+  tcase_add_test (tcase, running_answers_count);
+  tcase_add_test (tcase, old_answers_decay);
   tcase_add_test (tcase, keys_are_bounded);
   suite_add_tcase (suite, tcase);
   return run_suite (suite);
