--- a/include/cowslipspoke/shift.h
+++ b/include/cowslipspoke/shift.h
@@ -4,68 +4,71 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* How fast load moves to a target or data centre that is new, has come back
-   or was emptied.
+/* Limits how fast load moves to a target or data centre that is new, has come
+   back or was emptied (slow start).
 
    Load pattern: a target comes back at saturation, while hundreds of requests
-   wait.  Without this decision all of them go there at once, as it is the
-   only one with room: their prompts queue up behind each other, the first
-   tokens come seconds late, the answers end together, and the next wave goes
-   in together.  One notices a time to first token on that target of many
-   times the others', again and again some ten seconds apart.  Between data
-   centres the same wave goes back and forth, as each sees the other's
-   headroom late.
+   are queued.  Without slow start all of them go there at once, as it is the
+   only target with free memory.  Their prompts queue up behind each other, the
+   first tokens are seconds late, the answers end together, and the next wave
+   of requests starts together.  The symptom is a time to first token many
+   times that of other targets, recurring every ten seconds or so.  Between
+   data centres such a wave oscillates, as each sees the other's headroom with
+   a delay.
 
-   A target opens from `start` of its memory by doubling each double_ms.  A
-   data centre's share moves by at most rise_per_s up, and not at all for
-   differences within dead_band; down it goes at once when there is trouble
-   there, and by rise_per_s otherwise.  */
+   A target may first use the share `start` of its memory, which doubles every
+   doubling_ms.  A data centre's share rises by at most rise_per_s, and stays
+   if the difference is within dead_band.  It falls at once if the data centre
+   is in trouble, else by at most rise_per_s.  */
 
-/* start: 0.1 of an engine's memory is the prompt of one stream or two.
-   double_ms: three times the time in which an engine computes a mean prompt
-   (some 0.7 s), so that each step's prompts are done before the next;
-   a target is open after 3.3 doublings, 6.6 s.
-   rise_per_s: gossip about headroom is 1 to 2 s old, so a tenth a second
-   moves at most a fifth before its effect is seen.
-   dead_band: noise of the measured headroom, below which nothing moves.  */
+/* start: 0.1 of an engine's memory is enough for the prompts of one or two
+   streams.
+   doubling_ms: three times the time in which an engine computes a mean prompt
+   (some 0.7 s), so that the prompts of a step are done before the next step.
+   A target is fully open after 3.3 doublings, 6.6 s.
+   rise_per_s: gossip about headroom is 1 to 2 s old, so with a tenth a second
+   at most a fifth is moved before the effect is seen.
+   dead_band: noise of the measured headroom; smaller differences move
+   nothing.  */
 typedef struct
 {
   double start;
-  uint32_t double_ms;
+  uint32_t doubling_ms;
   double rise_per_s;
   double dead_band;
 } csp_shift_policy_t;
 
 csp_shift_policy_t csp_default_shift_policy (void);
 
-/* One target's opening; a plain value.  All zero is a target that was never
-   opened.  */
+/* The slow start of one target; a plain value.  A zeroed value is a target
+   that was never opened.  */
 typedef struct
 {
   double open;
-  int64_t moved_ms;
+  int64_t advanced_ms;
   bool opening;
 } csp_shift_t;
 
-/* The target is new, came back or was emptied: begin at `start`.  */
+/* Begins a slow start at policy->start, as the target is new, came back or was
+   emptied.  */
 void csp_start_shift (csp_shift_t *shift, const csp_shift_policy_t *policy,
                       int64_t now_ms);
 
-/* The target is known to be as it was (a host that restarts finds it in full
-   service): open at once.  */
+/* Opens the target fully at once, without a slow start: for example when a
+   host restarts and finds the target in full service.  */
 void csp_open_shift (csp_shift_t *shift);
 
-/* The target is leaving or lost: nothing new from now on.  */
-void csp_stop_shift (csp_shift_t *shift);
+/* Closes the target, as it is leaving or lost.  */
+void csp_stop_slow_start (csp_shift_t *shift);
 
-/* Move on to now_ms; well is false while the target shows trouble (slow, or
-   reports more than is known to be there), which keeps it where it is.
-   Returns the share that may be used.  */
+/* Advances the slow start to now_ms and returns the share of the target's
+   memory that may be used.  The share doesn't grow while the target isn't
+   healthy (is slow, or reports more load than the hosts know of).  */
 double csp_move_shift (csp_shift_t *shift, const csp_shift_policy_t *policy,
-                       bool well, int64_t now_ms);
+                       bool healthy, int64_t now_ms);
 
-/* A data centre's share of what is spilled, moved from `current` towards
-   `wanted` over passed_ms.  */
+/* Returns a data centre's share of the spilled load, moved from `current`
+   towards `wanted` over passed_ms.  */
 double csp_move_share (const csp_shift_policy_t *policy, double current,
                        double wanted, bool trouble, int64_t passed_ms);
 
--- a/source/shift/shift.c
+++ b/source/shift/shift.c
@@ -8,7 +8,7 @@
 csp_default_shift_policy (void)
 {
   csp_shift_policy_t policy = {
-    .start = 0.1, .double_ms = 2000, .rise_per_s = 0.1, .dead_band = 0.05
+    .start = 0.1, .doubling_ms = 2000, .rise_per_s = 0.1, .dead_band = 0.05
   };
 
   return policy;
@@ -19,7 +19,7 @@
                  int64_t now_ms)
 {
   shift->open = policy->start;
-  shift->moved_ms = now_ms;
+  shift->advanced_ms = now_ms;
   shift->opening = true;
 }
 
@@ -31,7 +31,7 @@
 }
 
 void
-csp_stop_shift (csp_shift_t *shift)
+csp_stop_slow_start (csp_shift_t *shift)
 {
   shift->open = 0;
   shift->opening = false;
@@ -39,32 +39,32 @@
 
 double
 csp_move_shift (csp_shift_t *shift, const csp_shift_policy_t *policy,
-                bool well, int64_t now_ms)
+                bool healthy, int64_t now_ms)
 {
-  double passed_ms = (double)(now_ms - shift->moved_ms);
+  double passed_ms = (double)(now_ms - shift->advanced_ms);
 
   if (!shift->opening)
     return shift->open;
-  shift->moved_ms = now_ms;
-  if (well && passed_ms > 0)
-    shift->open *= exp2 (passed_ms / fmax (policy->double_ms, 1));
+  shift->advanced_ms = now_ms;
+  if (healthy && passed_ms > 0)
+    shift->open *= exp2 (passed_ms / fmax (policy->doubling_ms, 1));
   if (shift->open >= 1)
     csp_open_shift (shift);
   return shift->open;
 }
 
-/* A pause of the host must not become one big step: a second's worth is moved
-   at most, as nothing was observed in the rest.  */
+/* Moves by at most one second's worth, so that a pause of the host, in which
+   it observed nothing, doesn't end in one big step.  */
 double
 csp_move_share (const csp_shift_policy_t *policy, double current,
                 double wanted, bool trouble, int64_t passed_ms)
 {
   double seconds = fmin ((double)passed_ms / ms_per_s, 1);
-  double most = policy->rise_per_s * seconds;
+  double max_step = policy->rise_per_s * seconds;
 
   if (trouble && wanted < current)
     return wanted;
   if (fabs (wanted - current) <= policy->dead_band)
     return current;
-  return current + fmax (-most, fmin (most, wanted - current));
+  return current + fmax (-max_step, fmin (max_step, wanted - current));
 }
--- a/tests/shift/shift-test.c
+++ b/tests/shift/shift-test.c
@@ -6,9 +6,9 @@
 #include <math.h>
 #include <stdlib.h>
 
-/* A target comes back at saturation.  It opens in steps that it can work off,
-   waits while it shows trouble, and is open within seven seconds when well.
- */
+/* A target that comes back at saturation opens in steps that it can handle,
+   doesn't open further while it is unhealthy, and is fully open within seven
+   seconds if healthy.  */
 START_TEST (a_target_opens_by_doubling)
 {
   csp_shift_policy_t policy = csp_default_shift_policy ();
@@ -29,53 +29,54 @@
   ck_assert_double_lt (before, 0.7);
   ck_assert_double_eq (csp_move_shift (&shift, &policy, false, 20000), before);
   ck_assert_double_eq (csp_move_shift (&shift, &policy, true, 24000), 1);
-  csp_stop_shift (&shift);
+  csp_stop_slow_start (&shift);
   ck_assert_double_eq (csp_move_shift (&shift, &policy, true, 90000), 0);
 }
 END_TEST
 
-/* Two data centres see each other's headroom two seconds late and move load
-   to the emptier.  Without a bound on the step the load goes back and forth
-   for ever; with it, it settles.  */
+/* Two data centres see each other's headroom with a delay of two seconds and
+   move load to the emptier one.  Without a bound on the step the load
+   oscillates forever; with it, it settles.  */
 static const struct
 {
   double rise_per_s;
   bool settles;
-} wave_rows[] = { { 0.1, true }, { 10, false } };
+} step_bounds[] = { { 0.1, true }, { 10, false } };
 
-START_TEST (no_waves_between_data_centres)
+START_TEST (load_does_not_oscillate_between_data_centres)
 {
   csp_shift_policy_t policy = csp_default_shift_policy ();
-  double told[3] = { 1, 1, 1 };
+  double published[3] = { 1, 1, 1 };
   double share = 1;
   double least = 1;
   double most = 0;
   double wanted;
   int second;
 
-  policy.rise_per_s = wave_rows[_i].rise_per_s;
+  policy.rise_per_s = step_bounds[_i].rise_per_s;
   for (second = 0; second < 120; second++)
     {
-      wanted = told[second % 3] > 0.5 ? 0 : 1;
-      if (fabs (told[second % 3] - 0.5) < 0.3)
+      wanted = published[second % 3] > 0.5 ? 0 : 1;
+      if (fabs (published[second % 3] - 0.5) < 0.3)
         wanted = 0.5;
       share = csp_move_share (&policy, share, wanted, false, 1000);
-      told[second % 3] = share;
+      published[second % 3] = share;
       if (second < 60)
         continue;
       least = fmin (least, share);
       most = fmax (most, share);
     }
-  if (wave_rows[_i].settles)
+  if (step_bounds[_i].settles)
     ck_assert_double_le (most - least, 0.05);
   else
     ck_assert_double_ge (most - least, 0.5);
 }
 END_TEST
 
-/* A host that was paused for a minute has seen nothing of it, so it doesn't
-   move a minute's worth; a data centre in trouble is left at once.  */
-START_TEST (pauses_and_trouble)
+/* A host that was paused for a minute has observed nothing, so it moves only a
+   second's worth of load.  A data centre in trouble loses its share at
+   once.  */
+START_TEST (pauses_move_little_and_trouble_moves_at_once)
 {
   csp_shift_policy_t policy = csp_default_shift_policy ();
 
@@ -93,9 +94,9 @@
   TCase *tcase = tcase_create ("shift");
 
   tcase_add_test (tcase, a_target_opens_by_doubling);
-  tcase_add_loop_test (tcase, no_waves_between_data_centres, 0,
-                       sizeof wave_rows / sizeof wave_rows[0]);
-  tcase_add_test (tcase, pauses_and_trouble);
+  tcase_add_loop_test (tcase, load_does_not_oscillate_between_data_centres, 0,
+                       sizeof step_bounds / sizeof step_bounds[0]);
+  tcase_add_test (tcase, pauses_move_little_and_trouble_moves_at_once);
   suite_add_tcase (suite, tcase);
   return run_suite (suite);
 }
