--- a/include/cowslipspoke/health.h
+++ b/include/cowslipspoke/health.h
@@ -4,85 +4,91 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* Which targets are slow or half dead, by the time between tokens against
-   their peers.
+/* Outlier detection: finds targets that are slow or half dead by comparing the
+   gaps between their tokens with those of their peers.
 
    Load pattern: one engine of many slows down, by a failing card, a throttled
-   clock or a neighbour; it answers every check.  Without this decision it is
-   sent as much as the rest, more even, as streams that crawl hold little;
-   one notices a p99 between tokens of twice the median, all of it from one
-   target.
-
-   A target whose gaps are slow_factor times the median of all for slow_ms is
-   closed by halves, one half each step_ms, and at zero gets a single stream
-   each probe_ms.  Once its gaps are under well_factor it is opened again by
-   doubling.  No more than most_out of the targets, and one in any case, are
-   not fully open at any time: when all of them are slow the median moves, and
-   what is left must not break down under the load of the rest.  Hosts that
-   take targets out within one round of news can exceed that by one each.  */
+   clock or a noisy neighbour, but passes every health check.  Without outlier
+   detection it gets as much load as the others, or more, as slow streams use
+   little memory.  The symptom is a p99 of the gap between tokens of twice the
+   median, caused by one target alone.
+
+   If a target's gaps exceed slow_factor times the median of all targets for
+   slow_ms, its usable share is halved every step_ms, down to zero; then it
+   gets a single stream as a probe every probe_ms.  Once its gaps are below
+   healthy_factor times the median, its share doubles again step by step.
+
+   At most the fraction max_reduced of the targets, but always one, have a
+   reduced share at any time.  If all targets are slow the median rises, and
+   the remaining targets must not break down under the load of the others.
+   Hosts that reduce targets within the same round of gossip can exceed this by
+   one target each.  */
 typedef struct csp_health csp_health_t;
 
-/* slow_factor: on the bench's model the median gap of an engine full of
-   streams and prompts is 1.6 times that of an engine at half load, so 2
-   isn't reached by load.
-   gap_half_life: gaps after which one counts half; 32 are 1.3 s of one
-   stream, or 0.2 s of a full engine.
-   silent_factor: a stream that has made nothing for so many median gaps is
-   counted as a gap of that length, so that a target which stopped is noticed
-   without a token.  */
+/* slow_factor: the median gap of an engine full of streams and prompts is 1.6
+   times that of an engine at half load, so load alone doesn't reach 2.
+   gap_half_life: number of gaps after which the weight of a gap halves; 32 are
+   1.3 s of one stream, or 0.2 s of a full engine.
+   silent_factor: when a stream has had no token for so many median gaps, the
+   silence is counted as a gap, so that a target that hangs is detected.  */
 typedef struct
 {
   double slow_factor;
-  double well_factor;
+  double healthy_factor;
   double silent_factor;
   uint32_t gap_half_life;
   uint32_t slow_ms;
   uint32_t step_ms;
   uint32_t probe_ms;
-  double most_out;
+  double max_reduced;
 } csp_health_policy_t;
 
 csp_health_policy_t csp_default_health_policy (void);
 
-/* Create for up to `targets` targets, named by their index; NULL when memory
-   is short.  */
+/* Creates the state for up to `targets` targets, identified by their index;
+   returns NULL when out of memory.  */
 csp_health_t *csp_create_health (const csp_health_policy_t *policy,
                                  uint32_t targets);
 void csp_destroy_health (csp_health_t *health);
 
-/* A target joined under this index, or left: what was known is forgotten.  */
-void csp_reset_health (csp_health_t *health, uint32_t target, bool used);
+/* Resets the state of an index, as a target joined under it or left.  */
+void csp_reset_health (csp_health_t *health, uint32_t target, bool in_use);
 
-/* Mean gap between tokens of a stream there, over `tokens` tokens.  */
+/* Records the mean gap between tokens of a stream there, over `tokens`
+   tokens.  */
 void csp_note_gaps (csp_health_t *health, uint32_t target, uint32_t tokens,
                     double gap_ms);
 
-/* A stream there has been silent for so long, though it had begun.  */
+/* Records that a stream there, which has begun, has had no token for
+   silent_ms.  */
 void csp_note_silence (csp_health_t *health, uint32_t target,
                        double silent_ms);
 
-/* What the other hosts of the data centre say: the median of their medians
-   (0 when unknown), how many targets they own, and how many of those are not
-   fully open.  A host with few targets can't judge them against each other.
-   */
+/* Sets the reports of the data centre's other hosts: the median of their
+   medians (0 if unknown), the number of targets that they own, and how many of
+   those have a reduced share.  Needed as a host with few targets can't tell
+   which of them is the outlier.  */
 void csp_set_fleet_health (csp_health_t *health, double median_ms,
-                           uint32_t targets, uint32_t out);
+                           uint32_t targets, uint32_t reduced);
 
-/* What this host says to the others.  */
+/* The median gap of this host's targets and the number of its targets with a
+   reduced share, as it reports them to the other hosts.  */
 double csp_health_median_ms (const csp_health_t *health);
 uint32_t csp_health_out (const csp_health_t *health);
 
-/* Weigh all targets; call once a second.  */
+/* Updates the usable share of all targets; call once a second.  */
 void csp_weigh_health (csp_health_t *health, int64_t now_ms);
 
-/* Share of the target that may be used, 0 to 1.  */
+/* Returns the usable share of the target, 0 to 1.  */
 double csp_health_open (const csp_health_t *health, uint32_t target);
 
-/* How slow it is beside its peers; 1 when nothing is known.  */
+/* Returns the target's gap relative to the median, at least 1; 1 if too few
+   gaps are known.  */
 double csp_health_slowness (const csp_health_t *health, uint32_t target);
 
-/* Whether a closed target may get a single stream as a probe now, with at
-   most `streams` there already; true at most once each probe_ms.  */
+/* Whether a target with a share of zero gets a single stream as a probe now.
+   `streams` is the number of streams that run there, which must be 0.  Returns
+   true at most once per probe_ms.  */
 bool csp_take_probe (csp_health_t *health, uint32_t target, uint32_t streams,
                      int64_t now_ms);
 
--- a/include/cowslipspoke/limit.h
+++ b/include/cowslipspoke/limit.h
@@ -9,7 +9,7 @@
 
    Load pattern: one organisation's requests come through every host.  If each
    host enforced the whole limit, it would be exceeded by as many times as
-      there are hosts; if each enforced an even part, callers would be refused
+   there are hosts; if each enforced an even part, callers would be refused
    at one host while the parts of the others are unused and the organisation is
    far below its limit.
 
--- a/include/cowslipspoke/placement.h
+++ b/include/cowslipspoke/placement.h
@@ -3,27 +3,27 @@
 
 #include "cowslipspoke/admission.h"
 
-/* Which of the targets that would admit a stream gets it.
-
-   Load patterns: prompts that share a prefix, for which one target has the
-   work done already; targets that are slow or half dead.  Without this
-   decision every target computes every prefix; prompts queue up on one target
-   while others have none; and a slow target is filled like the rest, as it
-   looks emptier than they do.  One notices the time to first token, which
-   grows by whole prompts, and gaps between tokens that differ from target to
-   target.
-
-   Each target is given the work ahead of the first token there, in tokens:
-   the prompts that it hasn't finished, and the part of this prompt that it
-   hasn't cached; plus a part of what it holds, as fuller targets make slower
-   steps; all times how slow it is beside its peers.  The least wins.  */
-
-/* How placement weighs.  Figures in docs/DECISIONS.md.
-
-   held_weight: what a token in memory costs beside a prompt token still to be
-   computed.  On the bench's engine a step has 0.17 us for each token held
-   and a prompt token 50 us; over a prompt's some six steps and an answer's
-   some 230 that is of the order of 0.1 to 1.  */
+/* Chooses one of the targets that would admit a stream.
+
+   Load patterns: prompts share a prefix that one target has already computed;
+   some targets are slow or half dead.  Without regard to these, every target
+   computes every prefix, prompts queue up on one target while others have
+   none, and a slow target is filled like the rest, as it looks emptier.  The
+   symptoms are a time to first token that grows by whole prompts, and gaps
+   between tokens that differ between targets.
+
+   The cost of a target is the work before the first token there, in tokens:
+   the prompts that it hasn't finished and the uncached part of this prompt.  A
+   part of the tokens in its memory is added, as fuller targets have slower
+   steps, and the sum is multiplied by the target's slowness relative to its
+   peers.  The lowest cost wins.  */
+
+/* Weights of the cost (see docs/DECISIONS.md).
+
+   held_weight: cost of a token in memory relative to a prompt token still to
+   be computed.  If a step takes 0.17 us for each token in memory and 50 us for
+   a prompt token, the ratio over some six steps of a prompt and 230 steps of
+   an answer is of the order of 0.1 to 1.  */
 typedef struct
 {
   double held_weight;
@@ -31,10 +31,10 @@
 
 csp_placement_policy_t csp_default_placement_policy (void);
 
-/* A target that may be used.  cached_tokens of the prompt are believed to be
-   in its cache; open is the share of it that may be used (csp_health_open
-   times csp_shift_open); slowness is how slow it is beside its peers, 1 for
-   as fast.  */
+/* A target that may be chosen.  cached_tokens: estimated tokens of the prompt
+   that are in its cache.  open: share of its memory that may be used, by its
+   health and its slow start.  slowness: its gap between tokens relative to its
+   peers, 1 if as fast.  */
 typedef struct
 {
   const csp_ledger_t *ledger;
@@ -43,27 +43,29 @@
   double slowness;
 } csp_candidate_t;
 
-/* Choose among count candidates; false when none admits the stream.  The
-   first of equals wins.  All candidates share one length store.  */
+/* Chooses one of `count` candidates; returns false if none admits the stream.
+   The first of equal candidates wins.  All candidates share one length
+   store.  */
 bool csp_choose_target (const csp_placement_policy_t *policy,
                         const csp_candidate_t *candidates, uint32_t count,
                         const csp_stream_t *stream, int64_t now_ms,
                         uint32_t *chosen);
 
-/* Whether a request of an organisation that borrows may be let in: the
-   candidates together keep kept_tokens (csp_queue_kept_tokens) free beside
-   its cost.  Over all of them and not on each, as what comes back needs one
-   place and not a bit everywhere.  */
+/* Whether a request of a borrowing organisation, one above its share, may be
+   admitted: kept_tokens (csp_queue_kept_tokens) must stay free in addition to
+   its cost.  The sum over all candidates counts, as a request of a returning
+   organisation needs memory on one target and not some on each.  */
 bool csp_may_borrow (const csp_candidate_t *candidates, uint32_t count,
                      uint64_t kept_tokens, uint32_t cost_tokens,
                      int64_t now_ms);
 
-/* Prompt prefixes that one target is believed to have cached: the last
-   CSP_PREFIXES of them, by hash.  Learnt from what was sent there, and
-   corrected by the target's events, which come late and with gaps.  */
+/* Prompt prefixes that one target has probably cached: the last
+   CSP_PREFIXES_MAX of them, by hash.  Derived from the prompts that were sent
+   there, and corrected by the target's cache events, which are late and
+   incomplete.  */
 enum
 {
-  CSP_PREFIXES = 32
+  CSP_PREFIXES_MAX = 32
 };
 
 typedef struct
@@ -73,22 +75,23 @@
     uint64_t hash;
     uint32_t tokens;
     int64_t used_ms;
-  } entries[CSP_PREFIXES];
+  } entries[CSP_PREFIXES_MAX];
 } csp_prefixes_t;
 
-/* A prompt with this prefix was sent, or the target said that it stored it.
- */
+/* Records that a prompt with this prefix was sent, or that the target reported
+   to have stored the prefix.  */
 void csp_note_prefix (csp_prefixes_t *prefixes, uint64_t hash, uint32_t tokens,
                       int64_t now_ms);
 
-/* The target said that it dropped the prefix.  */
+/* Removes a prefix that the target reported as dropped.  */
 void csp_forget_prefix (csp_prefixes_t *prefixes, uint64_t hash);
 
-/* Events were missed: nothing that is believed can be told from what was
-   dropped in the gap, so all of it goes.  */
+/* Removes all prefixes.  Needed after missed events, as any of the prefixes
+   may have been dropped in between.  */
 void csp_forget_prefixes (csp_prefixes_t *prefixes);
 
-/* Tokens of this prefix that the target has, 0 when it isn't known.  */
+/* Returns the tokens of this prefix that the target has cached; 0 if the
+   prefix isn't known.  */
 uint32_t csp_cached_tokens (const csp_prefixes_t *prefixes, uint64_t hash);
 
 #endif
--- a/include/cowslipspoke/quarantine.h
+++ b/include/cowslipspoke/quarantine.h
@@ -19,7 +19,7 @@
    expires, and a further strike after that doubles the hold.
 
    A complete successful answer clears all strikes.  A request that was served
-      recently gets no strikes: many callers send the same short request, so
+   recently gets no strikes: many callers send the same short request, so
    copies of it are often running on a target that crashes.  An error answer
    clears nothing, since a failing target returns errors without running the
    request.  */
--- a/source/placement/placement-health.c
+++ b/source/placement/placement-health.c
@@ -3,22 +3,24 @@
 #include <math.h>
 #include <stdlib.h>
 
-/* Below this share a target gets probes only.  */
-static const double least_open = 0.1;
+/* A share below this is set to zero, and the target gets only probes.  */
+static const double min_share = 0.1;
 
-/* A target with fewer gaps seen than this isn't judged.  */
-static const double known_after = 16;
+/* Number of observed gaps from which on a target is compared with its
+   peers.  */
+static const double min_gaps = 16;
 
-/* Evidence counts in full for so many gaps.  */
+/* The state of one target.  gap_ms is a moving average over `gaps_seen`
+   observed gaps.  */
 typedef struct
 {
   double gap_ms;
-  double seen;
+  double gaps_seen;
   double open;
   int64_t slow_since_ms;
-  int64_t stepped_ms;
-  int64_t probed_ms;
-  bool used;
+  int64_t stepped_at_ms;
+  int64_t probed_at_ms;
+  bool in_use;
 } target_health_t;
 
 struct csp_health
@@ -31,20 +33,20 @@
   double own_median_ms;
   double fleet_median_ms;
   uint32_t fleet_targets;
-  uint32_t fleet_out;
+  uint32_t fleet_reduced;
 };
 
 csp_health_policy_t
 csp_default_health_policy (void)
 {
   csp_health_policy_t policy = { .slow_factor = 2,
-                                 .well_factor = 1.5,
+                                 .healthy_factor = 1.5,
                                  .silent_factor = 20,
                                  .gap_half_life = 32,
                                  .slow_ms = 3000,
                                  .step_ms = 2000,
                                  .probe_ms = 5000,
-                                 .most_out = 0.2 };
+                                 .max_reduced = 0.2 };
 
   return policy;
 }
@@ -82,9 +84,9 @@
 }
 
 void
-csp_reset_health (csp_health_t *health, uint32_t target, bool used)
+csp_reset_health (csp_health_t *health, uint32_t target, bool in_use)
 {
-  target_health_t fresh = { .open = 1, .used = used };
+  target_health_t fresh = { .open = 1, .in_use = in_use };
 
   health->targets[target] = fresh;
 }
@@ -93,27 +95,27 @@
 csp_note_gaps (csp_health_t *health, uint32_t target, uint32_t tokens,
                double gap_ms)
 {
-  target_health_t *one = &health->targets[target];
+  target_health_t *state = &health->targets[target];
   double keep = exp2 (-(double)tokens / health->policy.gap_half_life);
 
-  if (one->seen == 0)
+  if (state->gaps_seen == 0)
     keep = 0;
-  one->gap_ms = one->gap_ms * keep + gap_ms * (1 - keep);
-  one->seen += tokens;
-  one->used = true;
+  state->gap_ms = state->gap_ms * keep + gap_ms * (1 - keep);
+  state->gaps_seen += tokens;
+  state->in_use = true;
 }
 
 void
 csp_note_silence (csp_health_t *health, uint32_t target, double silent_ms)
 {
-  target_health_t *one = &health->targets[target];
+  target_health_t *state = &health->targets[target];
 
   if (health->median_ms == 0
       || silent_ms < health->policy.silent_factor * health->median_ms)
     return;
-  if (silent_ms > one->gap_ms)
-    one->gap_ms = silent_ms;
-  one->seen += known_after;
+  if (silent_ms > state->gap_ms)
+    state->gap_ms = silent_ms;
+  state->gaps_seen += min_gaps;
 }
 
 static int
@@ -128,50 +130,51 @@
 static double
 find_median (const csp_health_t *health)
 {
-  uint32_t known = 0;
+  uint32_t known_count = 0;
   uint32_t i;
 
   for (i = 0; i < health->count; i++)
-    if (health->targets[i].used && health->targets[i].seen >= known_after)
-      health->gaps[known++] = health->targets[i].gap_ms;
-  if (known == 0)
+    if (health->targets[i].in_use && health->targets[i].gaps_seen >= min_gaps)
+      health->gaps[known_count++] = health->targets[i].gap_ms;
+  if (known_count == 0)
     return 0;
-  qsort (health->gaps, known, sizeof *health->gaps, compare_doubles);
-  return health->gaps[(known - 1) / 2];
+  qsort (health->gaps, known_count, sizeof *health->gaps, compare_doubles);
+  return health->gaps[(known_count - 1) / 2];
 }
 
 static uint32_t
-count_out (const csp_health_t *health, uint32_t *used)
+count_reduced (const csp_health_t *health, uint32_t *in_use)
 {
-  uint32_t out = 0;
+  uint32_t reduced = 0;
   uint32_t i;
 
-  *used = 0;
+  *in_use = 0;
   for (i = 0; i < health->count; i++)
     {
-      *used += health->targets[i].used;
-      out += health->targets[i].used && health->targets[i].open < 1;
+      *in_use += health->targets[i].in_use;
+      reduced += health->targets[i].in_use && health->targets[i].open < 1;
     }
-  return out;
+  return reduced;
 }
 
 static bool
-may_take_out (const csp_health_t *health)
+may_reduce_another (const csp_health_t *health)
 {
-  uint32_t used;
-  uint32_t out = count_out (health, &used) + health->fleet_out;
-  double most = (used + health->fleet_targets) * health->policy.most_out;
+  uint32_t in_use;
+  uint32_t reduced = count_reduced (health, &in_use) + health->fleet_reduced;
+  double max_count
+      = (in_use + health->fleet_targets) * health->policy.max_reduced;
 
-  return out + 1 <= fmax (most, 1);
+  return reduced + 1 <= fmax (max_count, 1);
 }
 
 void
 csp_set_fleet_health (csp_health_t *health, double median_ms, uint32_t targets,
-                      uint32_t out)
+                      uint32_t reduced)
 {
   health->fleet_median_ms = median_ms;
   health->fleet_targets = targets;
-  health->fleet_out = out;
+  health->fleet_reduced = reduced;
 }
 
 double
@@ -183,42 +186,45 @@
 uint32_t
 csp_health_out (const csp_health_t *health)
 {
-  uint32_t used;
+  uint32_t in_use;
 
-  return count_out (health, &used);
+  return count_reduced (health, &in_use);
 }
 
 static void
-close_one (const csp_health_t *health, target_health_t *one, int64_t now_ms)
+reduce_share (const csp_health_t *health, target_health_t *state,
+              int64_t now_ms)
 {
-  if (one->slow_since_ms == 0)
-    one->slow_since_ms = now_ms;
-  if (now_ms - one->slow_since_ms < health->policy.slow_ms
-      || now_ms - one->stepped_ms < health->policy.step_ms)
+  if (state->slow_since_ms == 0)
+    state->slow_since_ms = now_ms;
+  if (now_ms - state->slow_since_ms < health->policy.slow_ms
+      || now_ms - state->stepped_at_ms < health->policy.step_ms)
     return;
-  if (one->open >= 1 && !may_take_out (health))
+  if (state->open >= 1 && !may_reduce_another (health))
     return;
-  one->open = one->open / 2 < least_open ? 0 : one->open / 2;
-  one->stepped_ms = now_ms;
+  state->open = state->open / 2 < min_share ? 0 : state->open / 2;
+  state->stepped_at_ms = now_ms;
 }
 
-/* Opened at once, a target that is well for a moment would get the load of
-   all that wait, and be slow again.  */
+/* Restores the share step by step.  Otherwise a target that has just recovered
+   would get all queued requests at once, and be slow again.  */
 static void
-open_one (const csp_health_t *health, target_health_t *one, int64_t now_ms)
+restore_share (const csp_health_t *health, target_health_t *state,
+               int64_t now_ms)
 {
-  one->slow_since_ms = 0;
-  if (one->open >= 1 || now_ms - one->stepped_ms < health->policy.step_ms)
+  state->slow_since_ms = 0;
+  if (state->open >= 1
+      || now_ms - state->stepped_at_ms < health->policy.step_ms)
     return;
-  one->open = fmin (1, fmax (one->open * 2, least_open));
-  one->stepped_ms = now_ms;
+  state->open = fmin (1, fmax (state->open * 2, min_share));
+  state->stepped_at_ms = now_ms;
 }
 
 void
 csp_weigh_health (csp_health_t *health, int64_t now_ms)
 {
   const csp_health_policy_t *policy = &health->policy;
-  target_health_t *one;
+  target_health_t *state;
   uint32_t i;
 
   health->own_median_ms = find_median (health);
@@ -227,13 +233,14 @@
     health->median_ms = health->fleet_median_ms;
   for (i = 0; i < health->count; i++)
     {
-      one = &health->targets[i];
-      if (!one->used || one->seen < known_after || health->median_ms == 0)
+      state = &health->targets[i];
+      if (!state->in_use || state->gaps_seen < min_gaps
+          || health->median_ms == 0)
         continue;
-      if (one->gap_ms > policy->slow_factor * health->median_ms)
-        close_one (health, one, now_ms);
-      else if (one->gap_ms < policy->well_factor * health->median_ms)
-        open_one (health, one, now_ms);
+      if (state->gap_ms > policy->slow_factor * health->median_ms)
+        reduce_share (health, state, now_ms);
+      else if (state->gap_ms < policy->healthy_factor * health->median_ms)
+        restore_share (health, state, now_ms);
     }
 }
 
@@ -246,22 +253,22 @@
 double
 csp_health_slowness (const csp_health_t *health, uint32_t target)
 {
-  const target_health_t *one = &health->targets[target];
+  const target_health_t *state = &health->targets[target];
 
-  if (health->median_ms == 0 || one->seen < known_after)
+  if (health->median_ms == 0 || state->gaps_seen < min_gaps)
     return 1;
-  return fmax (1, one->gap_ms / health->median_ms);
+  return fmax (1, state->gap_ms / health->median_ms);
 }
 
 bool
 csp_take_probe (csp_health_t *health, uint32_t target, uint32_t streams,
                 int64_t now_ms)
 {
-  target_health_t *one = &health->targets[target];
+  target_health_t *state = &health->targets[target];
 
-  if (one->open > 0 || streams > 0
-      || now_ms - one->probed_ms < health->policy.probe_ms)
+  if (state->open > 0 || streams > 0
+      || now_ms - state->probed_at_ms < health->policy.probe_ms)
     return false;
-  one->probed_ms = now_ms;
+  state->probed_at_ms = now_ms;
   return true;
 }
--- a/source/placement/placement-prefix.c
+++ b/source/placement/placement-prefix.c
@@ -7,7 +7,7 @@
 {
   int i;
 
-  for (i = 0; i < CSP_PREFIXES; i++)
+  for (i = 0; i < CSP_PREFIXES_MAX; i++)
     if (prefixes->entries[i].hash == hash && prefixes->entries[i].tokens != 0)
       return i;
   return -1;
@@ -19,7 +19,7 @@
   int oldest = 0;
   int i;
 
-  for (i = 1; i < CSP_PREFIXES; i++)
+  for (i = 1; i < CSP_PREFIXES_MAX; i++)
     if (prefixes->entries[i].used_ms < prefixes->entries[oldest].used_ms)
       oldest = i;
   return oldest;
--- a/source/placement/placement-target.c
+++ b/source/placement/placement-target.c
@@ -12,16 +12,16 @@
 }
 
 static double
-weigh_candidate (const csp_placement_policy_t *policy,
-                 const csp_candidate_t *candidate, const csp_stream_t *stream)
+estimate_cost (const csp_placement_policy_t *policy,
+               const csp_candidate_t *candidate, const csp_stream_t *stream)
 {
   const csp_ledger_t *ledger = candidate->ledger;
-  double ahead = ledger->unstarted_tokens;
-  uint32_t cached = candidate->cached_tokens;
+  double pending_tokens = ledger->unstarted_tokens;
+  uint32_t cached_tokens = candidate->cached_tokens;
 
-  if (cached < stream->prompt_tokens)
-    ahead += stream->prompt_tokens - cached;
-  return (ahead + policy->held_weight * ledger->used_tokens + 1)
+  if (cached_tokens < stream->prompt_tokens)
+    pending_tokens += stream->prompt_tokens - cached_tokens;
+  return (pending_tokens + policy->held_weight * ledger->used_tokens + 1)
          * candidate->slowness;
 }
 
@@ -31,9 +31,9 @@
                    const csp_stream_t *stream, int64_t now_ms,
                    uint32_t *chosen)
 {
-  double least = DBL_MAX;
+  double lowest_cost = DBL_MAX;
   forecast_t forecast;
-  double weight;
+  double cost;
   uint32_t i;
 
   if (count == 0)
@@ -41,30 +41,30 @@
   csp_forecast_stream (candidates[0].ledger->lengths, stream, 0, &forecast);
   for (i = 0; i < count; i++)
     {
-      weight = weigh_candidate (policy, &candidates[i], stream);
-      if (weight >= least)
+      cost = estimate_cost (policy, &candidates[i], stream);
+      if (cost >= lowest_cost)
         continue;
       if (csp_decide_forecast (candidates[i].ledger, stream, &forecast,
                                candidates[i].open, now_ms)
           != CSP_ADMIT)
         continue;
-      least = weight;
+      lowest_cost = cost;
       *chosen = i;
     }
-  return least < DBL_MAX;
+  return lowest_cost < DBL_MAX;
 }
 
 bool
 csp_may_borrow (const csp_candidate_t *candidates, uint32_t count,
                 uint64_t kept_tokens, uint32_t cost_tokens, int64_t now_ms)
 {
-  double need = (double)kept_tokens + cost_tokens;
-  double room = 0;
+  double needed = (double)kept_tokens + cost_tokens;
+  double headroom = 0;
   uint32_t i;
 
-  for (i = 0; i < count && room < need; i++)
-    room += candidates[i].open
-            * csp_ledger_headroom_tokens (candidates[i].ledger,
-                                          CSP_PRIORITY_MAX, now_ms);
-  return room >= need;
+  for (i = 0; i < count && headroom < needed; i++)
+    headroom += candidates[i].open
+                * csp_ledger_headroom_tokens (candidates[i].ledger,
+                                              CSP_PRIORITY_MAX, now_ms);
+  return headroom >= needed;
 }
--- a/tests/placement/placement-test.c
+++ b/tests/placement/placement-test.c
@@ -58,58 +58,60 @@
 }
 
 static void
-hold (uint32_t target, uint32_t prompt_tokens, uint32_t made_tokens)
+add_stream (uint32_t target, uint32_t prompt_tokens, uint32_t made_tokens)
 {
   csp_stream_t stream = stream_of (prompt_tokens);
 
   csp_add_stream (ledgers[target], &stream, made_tokens, 1000);
 }
 
-/* What makes a target the worse choice of two.  A prompt that is still being
-   computed delays the newcomer's first token; so does a full or slow target;
-   a cached prefix saves most of it.  */
+/* What makes the first of two targets the worse choice.  A prompt that is
+   still being computed there delays the new stream's first token, and so does
+   a full or slow target; a cached prefix on the other target avoids most of
+   the work.  */
 static const struct
 {
   const char *name;
-  uint32_t prompt_ahead;
-  uint32_t held;
+  uint32_t pending_prompt;
+  uint32_t held_tokens;
   double slowness;
   double open;
   uint32_t cached_elsewhere;
-} worse_rows[] = {
-  { "prompt ahead", 6000, 0, 1, 1, 0 },
-  { "held", 0, 20000, 1, 1, 0 },
-  { "slow", 0, 0, 2, 1, 0 },
+} worse_targets[] = {
+  { "pending prompt", 6000, 0, 1, 1, 0 },
+  { "tokens in memory", 0, 20000, 1, 1, 0 },
+  { "slower", 0, 0, 2, 1, 0 },
   { "closed", 0, 0, 1, 0, 0 },
-  { "prefix", 0, 0, 1, 1, 2000 },
+  { "prefix cached elsewhere", 0, 0, 1, 1, 2000 },
 };
 
-START_TEST (the_better_of_two_gets_it)
+START_TEST (the_better_of_two_is_chosen)
 {
   csp_stream_t stream = stream_of (4000);
   uint32_t chosen = 0;
 
-  hold (1, 500, 50);
-  if (worse_rows[_i].prompt_ahead != 0)
+  add_stream (1, 500, 50);
+  if (worse_targets[_i].pending_prompt != 0)
     {
-      hold (0, worse_rows[_i].prompt_ahead, 0);
-      hold (1, worse_rows[_i].prompt_ahead, 50);
+      add_stream (0, worse_targets[_i].pending_prompt, 0);
+      add_stream (1, worse_targets[_i].pending_prompt, 50);
     }
-  if (worse_rows[_i].held != 0)
-    hold (0, worse_rows[_i].held, 50);
-  candidates[0].slowness = worse_rows[_i].slowness;
-  candidates[0].open = worse_rows[_i].open;
-  candidates[1].cached_tokens = worse_rows[_i].cached_elsewhere;
+  if (worse_targets[_i].held_tokens != 0)
+    add_stream (0, worse_targets[_i].held_tokens, 50);
+  candidates[0].slowness = worse_targets[_i].slowness;
+  candidates[0].open = worse_targets[_i].open;
+  candidates[1].cached_tokens = worse_targets[_i].cached_elsewhere;
   ck_assert (
       csp_choose_target (&policy, candidates, 2, &stream, 1000, &chosen));
-  ck_assert_msg (chosen == 1, "%s", worse_rows[_i].name);
+  ck_assert_msg (chosen == 1, "%s", worse_targets[_i].name);
 }
 END_TEST
 
-/* One prefix takes most of the load.  The target that has it is chosen only
-   until its queue of prompts costs more than computing the prefix anew;
-   else one target would be buried while the others idle.  */
-START_TEST (a_popular_prefix_does_not_bury_its_target)
+/* Most prompts have the same prefix.  The target that has it cached is chosen
+   only until its queue of prompts costs more than computing the prefix
+   elsewhere.  Otherwise that target would be overloaded while the others are
+   idle.  */
+START_TEST (a_popular_prefix_does_not_overload_its_target)
 {
   csp_stream_t stream = stream_of (3000);
   csp_prefixes_t prefixes[TARGETS] = { 0 };
@@ -124,7 +126,7 @@
         candidates[j].cached_tokens = csp_cached_tokens (&prefixes[j], PREFIX);
       ck_assert (csp_choose_target (&policy, candidates, TARGETS, &stream,
                                     1000, &chosen));
-      hold (chosen, stream.prompt_tokens, 0);
+      add_stream (chosen, stream.prompt_tokens, 0);
       csp_note_prefix (&prefixes[chosen], PREFIX, 2000, 1000 + i);
       counts[chosen]++;
     }
@@ -137,14 +139,14 @@
 }
 END_TEST
 
-START_TEST (nobody_is_chosen_when_all_are_full)
+START_TEST (no_target_is_chosen_when_all_are_full)
 {
   csp_stream_t stream = stream_of (4000);
   uint32_t chosen;
   uint32_t i;
 
   for (i = 0; i < TARGETS; i++)
-    hold (i, MEMORY - 3000, 10);
+    add_stream (i, MEMORY - 3000, 10);
   ck_assert (!csp_choose_target (&policy, candidates, TARGETS, &stream, 1000,
                                  &chosen));
   ck_assert (
@@ -152,9 +154,9 @@
 }
 END_TEST
 
-/* Twelve hosts spill on the same old news of one empty peer.  If each took
-   the best, all would fall on that one.  */
-START_TEST (spilling_hosts_spread)
+/* Twelve hosts spill load with the same outdated report of one empty peer.  If
+   each chose the best peer, all would send to that one.  */
+START_TEST (spilling_hosts_spread_over_peers)
 {
   csp_peer_offer_t offers[12] = { 0 };
   uint32_t counts[12] = { 0 };
@@ -179,7 +181,7 @@
 END_TEST
 
 static void
-note_round (csp_health_t *health, const double gaps_ms[TARGETS])
+record_gaps (csp_health_t *health, const double gaps_ms[TARGETS])
 {
   uint32_t i;
 
@@ -188,10 +190,11 @@
       csp_note_gaps (health, i, 64, gaps_ms[i]);
 }
 
-/* One engine of ten is three times as slow as its peers, and later well.  It
-   is closed by halves, probed while closed, and opened by doubling; a target
-   that is only full, at 1.6 times the median, is left alone.  */
-START_TEST (a_slow_target_is_taken_out_and_back)
+/* One engine of ten is three times as slow as its peers, and recovers later.
+   Its share is halved down to zero, it is probed, and its share is doubled
+   again.  A target that is only full, at 1.6 times the median, keeps its
+   share.  */
+START_TEST (a_slow_target_is_closed_and_restored)
 {
   csp_health_policy_t health_policy = csp_default_health_policy ();
   csp_health_t *health = csp_create_health (&health_policy, TARGETS);
@@ -203,7 +206,7 @@
   for (now_ms = 1000; now_ms < 20000; now_ms += 1000)
     {
       before = csp_health_open (health, 9);
-      note_round (health, gaps_ms);
+      record_gaps (health, gaps_ms);
       csp_weigh_health (health, now_ms);
       ck_assert_double_ge (csp_health_open (health, 9), before / 2 - 0.1);
     }
@@ -226,9 +229,9 @@
 }
 END_TEST
 
-/* Half of the targets turn slow at once.  Were all of them closed, the rest
-   would get twice their load and break down as well.  */
-START_TEST (never_all_at_once)
+/* Four of ten targets become slow at the same time.  If all of them were
+   closed, the others would be overloaded and break down as well.  */
+START_TEST (only_some_slow_targets_are_closed)
 {
   csp_health_policy_t health_policy = csp_default_health_policy ();
   csp_health_t *health = csp_create_health (&health_policy, TARGETS);
@@ -239,7 +242,7 @@
 
   for (now_ms = 1000; now_ms < 60000; now_ms += 1000)
     {
-      note_round (health, gaps_ms);
+      record_gaps (health, gaps_ms);
       csp_weigh_health (health, now_ms);
     }
   for (i = 0; i < TARGETS; i++)
@@ -249,10 +252,11 @@
 }
 END_TEST
 
-/* A host owns two engines of twelve, and one of them is slow.  Two can't tell
-   which of them is wrong; the other hosts' median can.  As long as a fifth of
-   all engines is out elsewhere, it stays in.  */
-START_TEST (few_own_targets_are_judged_by_all)
+/* A host owns two engines of twelve, and one of them is slow.  Two engines
+   don't show which of them is the outlier, but the other hosts' median does.
+   While the other hosts have reduced the share of a fifth of all engines, the
+   slow engine keeps its share.  */
+START_TEST (few_own_targets_are_compared_with_the_fleet)
 {
   csp_health_policy_t health_policy = csp_default_health_policy ();
   csp_health_t *health = csp_create_health (&health_policy, 2);
@@ -273,16 +277,16 @@
 }
 END_TEST
 
-/* An engine stops in the middle of its answers and says nothing more.  No
-   token tells of it; its silence has to.  */
-START_TEST (silence_is_noticed)
+/* An engine hangs in the middle of its answers.  It sends no tokens whose gaps
+   could be measured, so the silence itself has to count.  */
+START_TEST (a_silent_target_is_closed)
 {
   csp_health_policy_t health_policy = csp_default_health_policy ();
   csp_health_t *health = csp_create_health (&health_policy, TARGETS);
   double gaps_ms[TARGETS] = { 40, 40, 40, 40, 40, 40, 40, 40, 40, 40 };
   int64_t now_ms;
 
-  note_round (health, gaps_ms);
+  record_gaps (health, gaps_ms);
   csp_weigh_health (health, 1000);
   for (now_ms = 2000; now_ms < 16000; now_ms += 1000)
     {
@@ -303,15 +307,15 @@
   TCase *tcase = tcase_create ("placement");
 
   tcase_add_checked_fixture (tcase, set_up, tear_down);
-  tcase_add_loop_test (tcase, the_better_of_two_gets_it, 0,
-                       sizeof worse_rows / sizeof worse_rows[0]);
-  tcase_add_test (tcase, a_popular_prefix_does_not_bury_its_target);
-  tcase_add_test (tcase, nobody_is_chosen_when_all_are_full);
-  tcase_add_test (tcase, spilling_hosts_spread);
-  tcase_add_test (tcase, a_slow_target_is_taken_out_and_back);
-  tcase_add_test (tcase, never_all_at_once);
-  tcase_add_test (tcase, few_own_targets_are_judged_by_all);
-  tcase_add_test (tcase, silence_is_noticed);
+  tcase_add_loop_test (tcase, the_better_of_two_is_chosen, 0,
+                       sizeof worse_targets / sizeof worse_targets[0]);
+  tcase_add_test (tcase, a_popular_prefix_does_not_overload_its_target);
+  tcase_add_test (tcase, no_target_is_chosen_when_all_are_full);
+  tcase_add_test (tcase, spilling_hosts_spread_over_peers);
+  tcase_add_test (tcase, a_slow_target_is_closed_and_restored);
+  tcase_add_test (tcase, only_some_slow_targets_are_closed);
+  tcase_add_test (tcase, few_own_targets_are_compared_with_the_fleet);
+  tcase_add_test (tcase, a_silent_target_is_closed);
   suite_add_tcase (suite, tcase);
   return run_suite (suite);
 }
