--- a/include/cowslipspoke/placement.h
+++ b/include/cowslipspoke/placement.h
@@ -31,15 +31,15 @@
 
 csp_placement_policy_t csp_default_placement_policy (void);
 
-/* A target that may be chosen.  cached_tokens: estimated tokens of the prompt
-   that are in its cache.  open: share of its memory that may be used, by its
-   health and its slow start.  slowness: its gap between tokens relative to its
-   peers, 1 if as fast.  */
+/* A target that may be chosen.  */
 typedef struct
 {
   const csp_ledger_t *ledger;
+  /* Estimated tokens of the prompt that are in its cache.  */
   uint32_t cached_tokens;
+  /* Share of its memory that may be used, by its health and slow start.  */
   double open;
+  /* Its gap between tokens relative to its peers; 1 if as fast.  */
   double slowness;
 } csp_candidate_t;
 
--- a/tests/quarantine/quarantine-test.c
+++ b/tests/quarantine/quarantine-test.c
@@ -337,11 +337,10 @@
 } sim_t;
 
 static int64_t
-draw_between (sim_t *sim, int64_t least, int64_t most)
+draw_between (sim_t *sim, int64_t min, int64_t max)
 {
-  return least
-         + (int64_t)(csp_random_unit (&sim->random)
-                     * (double)(most - least + 1));
+  return min
+         + (int64_t)(csp_random_unit (&sim->random) * (double)(max - min + 1));
 }
 
 static bool
--- a/tests/shift/shift-test.c
+++ b/tests/shift/shift-test.c
@@ -48,8 +48,8 @@
   csp_shift_policy_t policy = csp_default_shift_policy ();
   double published[3] = { 1, 1, 1 };
   double share = 1;
-  double least = 1;
-  double most = 0;
+  double min_share = 1;
+  double max_share = 0;
   double wanted;
   int second;
 
@@ -63,13 +63,13 @@
       published[second % 3] = share;
       if (second < 60)
         continue;
-      least = fmin (least, share);
-      most = fmax (most, share);
+      min_share = fmin (min_share, share);
+      max_share = fmax (max_share, share);
     }
   if (step_bounds[_i].settles)
-    ck_assert_double_le (most - least, 0.05);
+    ck_assert_double_le (max_share - min_share, 0.05);
   else
-    ck_assert_double_ge (most - least, 0.5);
+    ck_assert_double_ge (max_share - min_share, 0.5);
 }
 END_TEST
 
