--- a/source/control/control-admission.c
+++ b/source/control/control-admission.c
@@ -7,10 +7,10 @@
 
 enum
 {
-  SOON_MS = 1000,
-  /* A usual time to a first token: what is left before a deadline has to be
-     more for a retry to make sense.  */
-  USUAL_FIRST_TOKEN_MS = 900
+  RETRY_AFTER_MS = 1000,
+  /* A typical time to first token.  A retry makes sense only if more than this
+     is left before the deadline.  */
+  TYPICAL_FIRST_TOKEN_MS = 900
 };
 
 bool
@@ -22,13 +22,13 @@
 
   control->lengths = csp_create_lengths (&policy);
   control->organisations = csp_create_intern (CSP_CONTROL_MAX_ORGANISATIONS);
-  csp_open_retry_budget (&control->retries, &retry);
+  csp_open_retry_budget (&control->retry_budget, &retry);
   control->shift_policy = csp_default_shift_policy ();
   control->started_ms = csp_now_ms (&control->context->clock);
   control->health = csp_create_health (&health, CSP_CONTROL_MAX_TARGETS);
   return control->lengths != NULL && control->organisations != NULL
          && control->health != NULL && csp_open_limits (control)
-         && csp_open_places (control);
+         && csp_open_request_table (control);
 }
 
 static void
@@ -41,7 +41,7 @@
 }
 
 static uint32_t
-find_pool (csp_control_t *control, const char *name)
+find_or_add_pool (csp_control_t *control, const char *name)
 {
   csp_queue_policy_t policy = csp_default_queue_policy ();
   csp_pool_state_t *pool;
@@ -63,7 +63,7 @@
 }
 
 static int64_t
-start_by (const csp_admission_ask_t *ask, int64_t now_ms)
+find_start_deadline (const csp_admission_ask_t *ask, int64_t now_ms)
 {
   int64_t by_ms = ask->deadline_ms;
   int64_t wait_ms = ask->terms.longest_wait_ms;
@@ -74,8 +74,8 @@
 }
 
 static uint32_t
-guess_cost (csp_control_t *control, const csp_admission_ask_t *ask,
-            uint32_t length_key)
+estimate_cost (csp_control_t *control, const csp_admission_ask_t *ask,
+               uint32_t length_key)
 {
   uint32_t answer
       = (uint32_t)csp_expect_tokens_left (control->lengths, length_key, 0);
@@ -86,25 +86,26 @@
 }
 
 static bool
-fill_place (csp_control_t *control, csp_place_t *place, csp_waiter_t *waiter,
-            int64_t now_ms)
+fill_request (csp_control_t *control, csp_tracked_request_t *request,
+              csp_waiter_t *waiter, int64_t now_ms)
 {
   const csp_admission_ask_t *ask = waiter->ask;
 
-  place->waiter = waiter;
-  place->waiter_number = waiter->number;
-  place->asked_ms = now_ms;
-  place->prompt_tokens = ask->prompt_tokens;
-  place->organisation
+  request->waiter = waiter;
+  request->waiter_number = waiter->number;
+  request->arrived_ms = now_ms;
+  request->prompt_tokens = ask->prompt_tokens;
+  request->organisation
       = csp_intern_name (control->organisations, ask->organisation);
-  place->pool = find_pool (control, ask->terms.pool);
-  place->length_key
+  request->pool = find_or_add_pool (control, ask->terms.pool);
+  request->length_key
       = csp_find_length_key (control->lengths, ask->model, ask->class_name);
-  place->cost_tokens = guess_cost (control, ask, place->length_key);
-  return place->organisation != CSP_INTERN_NONE && place->pool != UINT32_MAX;
+  request->cost_tokens = estimate_cost (control, ask, request->length_key);
+  return request->organisation != CSP_INTERN_NONE
+         && request->pool != UINT32_MAX;
 }
 
-/* Within the retry budget, or a first attempt.  */
+/* Whether this is a first attempt, or a retry within the retry budget.  */
 static bool
 may_attempt (csp_control_t *control, const csp_admission_ask_t *ask,
              int64_t now_ms)
@@ -113,29 +114,30 @@
                               .verdict = ask->last_verdict,
                               .attempts = ask->tried.count,
                               .left_ms = ask->deadline_ms - now_ms,
-                              .needs_ms = USUAL_FIRST_TOKEN_MS };
+                              .needs_ms = TYPICAL_FIRST_TOKEN_MS };
 
   if (ask->retry)
-    return csp_decide_retry (&control->retries, &facts) == CSP_RETRY_YES;
-  csp_note_first_attempt (&control->retries);
+    return csp_decide_retry (&control->retry_budget, &facts) == CSP_RETRY_YES;
+  csp_note_first_attempt (&control->retry_budget);
   return true;
 }
 
-/* Let a place wait in its pool's queue, from when it came.  */
+/* Add a request to its pool's queue, with the time at which it arrived.  */
 static bool
-push_place (csp_control_t *control, csp_place_t *place, int64_t now_ms,
-            csp_error_t *error)
+enqueue_request (csp_control_t *control, csp_tracked_request_t *request,
+                 int64_t now_ms, csp_error_t *error)
 {
-  const csp_admission_ask_t *ask = place->waiter->ask;
-  csp_pool_state_t *pool = &control->pools[place->pool];
-  csp_waiting_t waiting = { .id = place->id,
-                            .organisation = place->organisation,
-                            .cost_tokens = place->cost_tokens,
-                            .start_by_ms = start_by (ask, place->asked_ms),
-                            .arrived_ms = place->asked_ms,
-                            .priority = ask->terms.priority };
-
-  csp_set_weight (pool->queue, place->organisation, ask->terms.weight);
+  const csp_admission_ask_t *ask = request->waiter->ask;
+  csp_pool_state_t *pool = &control->pools[request->pool];
+  csp_waiting_t waiting
+      = { .id = request->id,
+          .organisation = request->organisation,
+          .cost_tokens = request->cost_tokens,
+          .start_by_ms = find_start_deadline (ask, request->arrived_ms),
+          .arrived_ms = request->arrived_ms,
+          .priority = ask->terms.priority };
+
+  csp_set_weight (pool->queue, request->organisation, ask->terms.weight);
   if (!csp_push_waiting (pool->queue, &waiting, now_ms, error))
     return false;
   pool->dirty = true;
@@ -143,37 +145,39 @@
 }
 
 void
-csp_take_waiter (csp_control_t *control, csp_waiter_t *waiter, int64_t now_ms)
+csp_enqueue_waiter (csp_control_t *control, csp_waiter_t *waiter,
+                    int64_t now_ms)
 {
-  csp_place_t *place = csp_make_place (control);
+  csp_tracked_request_t *request = csp_add_request (control);
   csp_error_t error;
 
-  csp_set_error (&error, CSP_VERDICT_NOT_RUN, CSP_REASON_OVERLOADED, SOON_MS,
+  csp_set_error (&error, CSP_VERDICT_NOT_RUN, CSP_REASON_OVERLOADED,
+                 RETRY_AFTER_MS,
                  "this host serves as many requests as it can");
-  if (place == NULL)
+  if (request == NULL)
     {
       refuse_waiter (control, waiter, &error);
       return;
     }
-  if (!fill_place (control, place, waiter, now_ms)
+  if (!fill_request (control, request, waiter, now_ms)
       || !may_attempt (control, waiter->ask, now_ms))
     goto refuse;
-  if (!csp_count_limits (control, place, now_ms, &error)
-      || !push_place (control, place, now_ms, &error))
+  if (!csp_charge_limits (control, request, now_ms, &error)
+      || !enqueue_request (control, request, now_ms, &error))
     goto refuse;
   return;
 
 refuse:
-  csp_free_place (control, place);
+  csp_remove_request (control, request);
   refuse_waiter (control, waiter, &error);
 }
 
 static csp_stream_t
-describe_stream (const csp_place_t *place)
+describe_stream (const csp_tracked_request_t *request)
 {
-  const csp_admission_ask_t *ask = place->waiter->ask;
-  csp_stream_t stream = { .id = place->id,
-                          .length_key = place->length_key,
+  const csp_admission_ask_t *ask = request->waiter->ask;
+  csp_stream_t stream = { .id = request->id,
+                          .length_key = request->length_key,
                           .prompt_tokens = ask->prompt_tokens,
                           .max_tokens = ask->max_tokens,
                           .priority = ask->terms.priority,
@@ -183,50 +187,50 @@
 }
 
 static void
-place_request (csp_control_t *control, csp_place_t *place, uint32_t index,
-               int64_t now_ms)
+grant_local (csp_control_t *control, csp_tracked_request_t *request,
+             uint32_t index, int64_t now_ms)
 {
   csp_target_state_t *target = control->targets[index];
-  csp_stream_t stream = describe_stream (place);
-  csp_grant_t *grant = place->waiter->grant;
-
-  place->target = target;
-  place->state = CSP_PLACE_LOCAL;
-  csp_end_limited_wait (place);
-  csp_cancel_spill (control, place, now_ms);
-  place->stream = UINT32_MAX;
+  csp_stream_t stream = describe_stream (request);
+  csp_grant_t *grant = request->waiter->grant;
+
+  request->target = target;
+  request->state = CSP_REQUEST_LOCAL;
+  csp_end_limited_wait (request);
+  csp_cancel_spill (control, request, now_ms);
+  request->stream = UINT32_MAX;
   if (target->listed.kind == CSP_TARGET_ENGINE)
-    place->stream = csp_add_stream (target->ledger, &stream, 0, now_ms);
+    request->stream = csp_add_stream (target->ledger, &stream, 0, now_ms);
   target->streams++;
   control->granted++;
-  if (place->waiter->ask->prefix != 0)
-    csp_note_prefix (&target->prefixes, place->waiter->ask->prefix,
-                     place->waiter->ask->prefix_tokens, now_ms);
+  if (request->waiter->ask->prefix != 0)
+    csp_note_prefix (&target->prefixes, request->waiter->ask->prefix,
+                     request->waiter->ask->prefix_tokens, now_ms);
   grant->priority = csp_engine_priority (&stream);
   grant->recall = csp_create_recall ();
-  place->recall = csp_share_recall (grant->recall);
+  request->recall = csp_ref_recall (grant->recall);
   csp_copy_text (grant->target, sizeof grant->target, target->listed.name);
   csp_fill_endpoint (control, target->listed.address, target->listed.port,
                      &grant->endpoint);
-  grant->place = place->id;
-  grant->wait_ms = now_ms - place->asked_ms;
-  csp_answer_waiter (place->waiter, 0);
-  place->waiter = NULL;
+  grant->tracking_id = request->id;
+  grant->wait_ms = now_ms - request->arrived_ms;
+  csp_answer_waiter (request->waiter, 0);
+  request->waiter = NULL;
 }
 
 static uint32_t
-choose_target (csp_control_t *control, const csp_place_t *place,
+choose_target (csp_control_t *control, const csp_tracked_request_t *request,
                uint64_t kept_tokens, int64_t now_ms)
 {
-  const csp_admission_ask_t *ask = place->waiter->ask;
-  csp_stream_t stream = describe_stream (place);
+  const csp_admission_ask_t *ask = request->waiter->ask;
+  csp_stream_t stream = describe_stream (request);
 
   if (ask->kind == CSP_POOL_SERVICES)
     return csp_choose_service (control, ask, now_ms);
-  if (csp_goes_elsewhere (control, ask, now_ms)
+  if (csp_is_for_other_data_centre (control, ask, now_ms)
       || (kept_tokens > 0
-          && !csp_may_borrow_here (control, ask->terms.pool, kept_tokens,
-                                   place->cost_tokens, now_ms))
+          && !csp_may_borrow_in_pool (control, ask->terms.pool, kept_tokens,
+                                      request->cost_tokens, now_ms))
       || (ask->lend_below > 0
           && !csp_may_lend (control, ask->terms.pool, ask->lend_below,
                             now_ms)))
@@ -235,59 +239,62 @@
                             ask->prefix, now_ms);
 }
 
-/* Whether waiting can help: some target of the data centre could take the
-   request later, or a hand-off to another is under way.  Without this a
-   request that nobody can serve is held until its deadline, and its
-   organisation's others behind it.  */
+/* Whether waiting can help: a target of the data centre could take the request
+   later, or a hand-off is in progress.  Otherwise a request that no target can
+   serve would be held until its deadline, and block its organisation's other
+   requests.  */
 static bool
-is_worth_waiting (csp_control_t *control, const csp_place_t *place,
+is_worth_waiting (csp_control_t *control, const csp_tracked_request_t *request,
                   int64_t now_ms)
 {
-  const csp_admission_ask_t *ask = place->waiter->ask;
+  const csp_admission_ask_t *ask = request->waiter->ask;
   csp_target_kind_t kind
       = ask->kind == CSP_POOL_ENGINES ? CSP_TARGET_ENGINE : CSP_TARGET_SERVICE;
   uint32_t i;
 
-  if (place->spill != NULL || csp_goes_elsewhere (control, ask, now_ms))
+  if (request->spill != NULL
+      || csp_is_for_other_data_centre (control, ask, now_ms))
     return true;
-  /* A host that leaves grants nothing more on its own targets; without a peer
-     that takes them over it would wait for itself until the drain limit.  */
+  /* A leaving host grants nothing more on its own targets.  Without a peer
+     that takes them over, the request would wait until the drain limit.  */
   if (atomic_load (&control->leaving) && ask->kind == CSP_POOL_ENGINES
-      && !csp_has_live_peer (control, now_ms))
+      && !csp_has_live_local_peer (control, now_ms))
     return false;
-  for (i = 0; i < control->target_room; i++)
-    if (csp_could_use (control, ask->terms.pool, kind, &ask->tried, i))
+  for (i = 0; i < control->target_capacity; i++)
+    if (csp_is_eligible_target (control, ask->terms.pool, kind, &ask->tried,
+                                i))
       return true;
   return false;
 }
 
-/* A request that no target has room for: look for a slot elsewhere, and give
-   it up when there is none to wait for.  */
+/* No target has capacity for the request: ask other owners for a slot, and
+   refuse the request if waiting can't help.  */
 static void
-pass_over (csp_control_t *control, csp_pool_state_t *pool, csp_place_t *place,
-           int64_t now_ms)
+skip_or_refuse (csp_control_t *control, csp_pool_state_t *pool,
+                csp_tracked_request_t *request, int64_t now_ms)
 {
   csp_error_t error;
 
-  if (place->waiter->ask->kind == CSP_POOL_ENGINES)
-    csp_start_spill (control, place, now_ms);
-  if (is_worth_waiting (control, place, now_ms))
+  if (request->waiter->ask->kind == CSP_POOL_ENGINES)
+    csp_start_spill (control, request, now_ms);
+  if (is_worth_waiting (control, request, now_ms))
     {
       csp_skip_waiting (pool->queue);
       return;
     }
-  csp_drop_waiting (pool->queue, place->organisation, place->id);
-  csp_set_error (&error, CSP_VERDICT_NOT_RUN, CSP_REASON_NO_TARGET, SOON_MS,
-                 "no target of pool %s can take it", pool->name);
-  refuse_waiter (control, place->waiter, &error);
-  csp_free_place (control, place);
+  csp_drop_waiting (pool->queue, request->organisation, request->id);
+  csp_set_error (&error, CSP_VERDICT_NOT_RUN, CSP_REASON_NO_TARGET,
+                 RETRY_AFTER_MS, "no target of pool %s can take it",
+                 pool->name);
+  refuse_waiter (control, request->waiter, &error);
+  csp_remove_request (control, request);
 }
 
 static void
 pump_pool (csp_control_t *control, csp_pool_state_t *pool, int64_t now_ms)
 {
   csp_waiting_t waiting;
-  csp_place_t *place;
+  csp_tracked_request_t *request;
   uint64_t kept;
   uint32_t index;
   bool borrowing;
@@ -296,32 +303,32 @@
   csp_begin_pump (pool->queue, now_ms);
   while (csp_next_waiting (pool->queue, &waiting, &borrowing))
     {
-      place = csp_find_place (control, waiting.id);
+      request = csp_find_request (control, waiting.id);
       kept = borrowing ? csp_queue_kept_tokens (pool->queue) : 0;
-      index = choose_target (control, place, kept, now_ms);
+      index = choose_target (control, request, kept, now_ms);
       if (index == UINT32_MAX)
         {
-          pass_over (control, pool, place, now_ms);
+          skip_or_refuse (control, pool, request, now_ms);
           continue;
         }
       csp_take_waiting (pool->queue, now_ms);
-      place_request (control, place, index, now_ms);
+      grant_local (control, request, index, now_ms);
     }
 }
 
 static void
-expire_pool (csp_control_t *control, csp_pool_state_t *pool, int64_t now_ms)
+refuse_expired (csp_control_t *control, csp_pool_state_t *pool, int64_t now_ms)
 {
   csp_waiting_t waiting;
   csp_error_t error;
-  csp_place_t *place;
+  csp_tracked_request_t *request;
 
   while (csp_expire_waiting (pool->queue, now_ms, &waiting, &error))
     {
-      place = csp_find_place (control, waiting.id);
-      csp_cancel_spill (control, place, now_ms);
-      refuse_waiter (control, place->waiter, &error);
-      csp_free_place (control, place);
+      request = csp_find_request (control, waiting.id);
+      csp_cancel_spill (control, request, now_ms);
+      refuse_waiter (control, request->waiter, &error);
+      csp_remove_request (control, request);
     }
 }
 
@@ -336,55 +343,57 @@
       pool = &control->pools[i];
       if (!pool->dirty && (!all || csp_queue_length (pool->queue) == 0))
         continue;
-      csp_follow_pool_capacity (control, pool, now_ms);
+      csp_update_queue_capacity (control, pool, now_ms);
       pump_pool (control, pool, now_ms);
-      expire_pool (control, pool, now_ms);
+      refuse_expired (control, pool, now_ms);
     }
 }
 
 void
-csp_give_up_waiting (csp_control_t *control, csp_place_t *place,
-                     const csp_error_t *error, int64_t now_ms)
+csp_reject_waiting (csp_control_t *control, csp_tracked_request_t *request,
+                    const csp_error_t *error, int64_t now_ms)
 {
-  csp_drop_waiting (control->pools[place->pool].queue, place->organisation,
-                    place->id);
-  csp_cancel_spill (control, place, now_ms);
-  refuse_waiter (control, place->waiter, error);
-  csp_free_place (control, place);
+  csp_drop_waiting (control->pools[request->pool].queue, request->organisation,
+                    request->id);
+  csp_cancel_spill (control, request, now_ms);
+  refuse_waiter (control, request->waiter, error);
+  csp_remove_request (control, request);
 }
 
 void
-csp_move_waiting (csp_control_t *control, csp_place_t *place, int64_t now_ms)
+csp_requeue_waiting (csp_control_t *control, csp_tracked_request_t *request,
+                     int64_t now_ms)
 {
-  uint32_t pool = find_pool (control, place->waiter->ask->terms.pool);
+  uint32_t pool = find_or_add_pool (control, request->waiter->ask->terms.pool);
   csp_error_t error;
 
-  csp_set_error (&error, CSP_VERDICT_NOT_RUN, CSP_REASON_OVERLOADED, SOON_MS,
-                 "this host serves as many pools as it can");
-  csp_drop_waiting (control->pools[place->pool].queue, place->organisation,
-                    place->id);
-  csp_cancel_spill (control, place, now_ms);
+  csp_set_error (&error, CSP_VERDICT_NOT_RUN, CSP_REASON_OVERLOADED,
+                 RETRY_AFTER_MS, "this host serves as many pools as it can");
+  csp_drop_waiting (control->pools[request->pool].queue, request->organisation,
+                    request->id);
+  csp_cancel_spill (control, request, now_ms);
   if (pool != UINT32_MAX)
     {
-      place->pool = pool;
-      if (push_place (control, place, now_ms, &error))
+      request->pool = pool;
+      if (enqueue_request (control, request, now_ms, &error))
         return;
     }
-  refuse_waiter (control, place->waiter, &error);
-  csp_free_place (control, place);
+  refuse_waiter (control, request->waiter, &error);
+  csp_remove_request (control, request);
 }
 
 void
 csp_abandon_waiter (csp_control_t *control, uint64_t number, int64_t now_ms)
 {
-  csp_place_t *place = csp_find_waiter_place (control, number);
+  csp_tracked_request_t *request
+      = csp_find_request_of_waiter (control, number);
   csp_error_t error;
 
-  if (place == NULL)
+  if (request == NULL)
     return;
   csp_set_error (&error, CSP_VERDICT_NOT_RUN, CSP_REASON_NONE, 0,
                  "the caller hung up");
-  csp_give_up_waiting (control, place, &error, now_ms);
+  csp_reject_waiting (control, request, &error, now_ms);
 }
 
 void
@@ -397,5 +406,5 @@
   csp_destroy_health (control->health);
   csp_destroy_intern (control->organisations);
   csp_close_limits (control);
-  free (control->places);
+  free (control->requests);
 }
--- a/source/control/control-config.c
+++ b/source/control/control-config.c
@@ -5,16 +5,17 @@
 
 enum
 {
-  /* Short, since at-most-once needs a list that is confirmed every few
-     seconds; 330 hosts then read 165 times a second at most.  */
+  /* The long poll is short because at-most-once calls need a list that is
+     confirmed every few seconds; 330 hosts send at most 165 reads a second. */
   HOSTS_WAIT_MS = 2000,
-  HOSTS_GRACE_MS = 2000,
-  /* Lists that are asked of peers while the platform is away.  */
-  HOSTS_PULL_GAP_MS = 1000,
+  HOSTS_TIMEOUT_MARGIN_MS = 2000,
+  /* Between pulls of the list from peers while the platform is unreachable. */
+  HOSTS_PULL_INTERVAL_MS = 1000,
   PATH_BYTES = 128
 };
 
-/* Build and check a revision: the declaration in a view.  */
+/* Parse and check a revision and return it as a view; NULL with the first
+   fault if it is invalid.  */
 static void *
 build_view (void *state, int64_t revision, const csp_config_value_t *values,
             size_t count, char fault[CSP_FAULT_BYTES])
@@ -97,7 +98,7 @@
   csp_destroy_ownership (control->ownership);
   csp_destroy_membership (control->membership);
   csp_destroy_configuration (control->configuration);
-  free (control->host_watch.text);
+  free (control->host_watch.list_text);
 }
 
 static void
@@ -136,7 +137,7 @@
 }
 
 void
-csp_follow_config (csp_control_t *control, csp_config_result_t result)
+csp_apply_config_result (csp_control_t *control, csp_config_result_t result)
 {
   log_config_result (control, result);
   if (result == CSP_CONFIG_TAKEN)
@@ -145,19 +146,19 @@
 }
 
 static void
-note_service (csp_control_t *control, bool away)
+note_platform_state (csp_control_t *control, bool away)
 {
-  if (away == control->service_away)
+  if (away == control->platform_unreachable)
     return;
-  control->service_away = away;
+  control->platform_unreachable = away;
   CSP_LOG (control->context->log,
            away ? CSP_EVENT_PLATFORM_AWAY : CSP_EVENT_PLATFORM_BACK, NULL,
            csp_text ("what", "configuration"));
 }
 
 void
-csp_take_config_read (csp_control_t *control,
-                      const csp_control_command_t *command, int64_t now_ms)
+csp_handle_config_read (csp_control_t *control,
+                        const csp_control_command_t *command, int64_t now_ms)
 {
   csp_config_delta_t *delta = NULL;
   csp_error_t error;
@@ -166,20 +167,21 @@
       || !csp_parse_config_answer (command->body, command->body_bytes,
                                    command->after, &delta, &error))
     {
-      note_service (control, true);
+      note_platform_state (control, true);
       csp_handle_read_failed (control->spread, command->id, now_ms);
       return;
     }
-  note_service (control, false);
-  csp_follow_config (
+  note_platform_state (control, false);
+  csp_apply_config_result (
       control, csp_handle_read (control->spread, command->id, delta, now_ms));
   csp_destroy_config_delta (delta);
 }
 
-/* Keep a newer list, and its text for hosts that can't read the platform.  */
+/* Apply a newer list, and keep its text for hosts that can't reach the
+   platform.  */
 static void
-take_host_list (csp_control_t *control, const csp_host_list_t *list,
-                const char *text, int64_t now_ms)
+apply_host_list (csp_control_t *control, const csp_host_list_t *list,
+                 const char *text, int64_t now_ms)
 {
   csp_host_watch_t *watch = &control->host_watch;
   char *copy;
@@ -191,12 +193,12 @@
   copy = strdup (text);
   if (copy != NULL)
     {
-      free (watch->text);
-      watch->text = copy;
+      free (watch->list_text);
+      watch->list_text = copy;
     }
   csp_apply_target_list (control->ownership, list, now_ms);
   csp_sync_targets (control, now_ms);
-  csp_note_order_list (control, list);
+  csp_count_listed_engines (control, list);
   CSP_LOG (control->context->log, CSP_EVENT_HOST_LIST_TAKEN, NULL,
            csp_number ("version", list->version),
            csp_number ("hosts", (int64_t)list->host_count),
@@ -215,33 +217,34 @@
                csp_text ("fault", error.detail));
       return false;
     }
-  take_host_list (control, list, text, now_ms);
+  apply_host_list (control, list, text, now_ms);
   csp_destroy_host_list (list);
   return true;
 }
 
 void
-csp_take_hosts_read (csp_control_t *control,
-                     const csp_control_command_t *command, int64_t now_ms)
+csp_handle_hosts_read (csp_control_t *control,
+                       const csp_control_command_t *command, int64_t now_ms)
 {
-  bool good = command->body != NULL
-              && read_host_list (control, command->body, now_ms);
+  bool read_ok = command->body != NULL
+                 && read_host_list (control, command->body, now_ms);
 
-  csp_note_list_read (&control->host_watch.reads, good, now_ms);
+  csp_note_list_read (&control->host_watch.read_schedule, read_ok, now_ms);
 }
 
 void
-csp_take_peer_hosts (csp_control_t *control, const csp_peer_message_t *answer,
-                     int64_t now_ms)
+csp_handle_peer_hosts (csp_control_t *control,
+                       const csp_peer_message_t *answer, int64_t now_ms)
 {
   if (answer->kind == CSP_PEER_HOSTS_ANSWER
       && answer->u.hosts_answer.list[0] != '\0')
     read_host_list (control, answer->u.hosts_answer.list, now_ms);
 }
 
-/* While the platform is away, a peer whose heartbeat names a newer list is
-   asked for it.  Without this a host that is replaced during an outage knows
-   the configuration, which it pulls, and no target to send anything to.  */
+/* While the platform is unreachable, request the list from a peer whose
+   heartbeat names a newer version.  Otherwise a host that is replaced during
+   an outage would have the configuration, which it pulls from peers, but no
+   targets.  */
 static void
 pull_hosts (csp_control_t *control, int64_t now_ms)
 {
@@ -252,7 +255,7 @@
   csp_host_view_t view;
   size_t i;
 
-  if (!watch->reads.away || now_ms < watch->next_pull_ms)
+  if (!watch->read_schedule.away || now_ms < watch->next_pull_ms)
     return;
   message.u.hosts_ask.after = watch->version;
   for (i = 0; i < count; i++)
@@ -262,35 +265,35 @@
           || view.list_version <= watch->version
           || !csp_locate_peer (control, view.name, now_ms, &peer))
         continue;
-      watch->next_pull_ms = now_ms + HOSTS_PULL_GAP_MS;
-      csp_send_peer (control, &peer, &message, 0, HOSTS_GRACE_MS);
+      watch->next_pull_ms = now_ms + HOSTS_PULL_INTERVAL_MS;
+      csp_send_peer (control, &peer, &message, 0, HOSTS_TIMEOUT_MARGIN_MS);
       return;
     }
 }
 
-/* What a read's answer needs on its way back to the control thread.  */
+/* The state of a read's callback, which posts the command.  */
 typedef struct
 {
   csp_control_t *control;
   csp_control_command_t *command;
-} read_note_t;
+} read_callback_t;
 
 static void
-post_answer (void *state, const char *body, size_t size_bytes)
+post_read_result (void *state, const char *body, size_t size_bytes)
 {
-  read_note_t *note = state;
+  read_callback_t *callback = state;
 
   if (body != NULL)
     {
-      note->command->body = malloc (size_bytes + 1);
-      if (note->command->body != NULL)
+      callback->command->body = malloc (size_bytes + 1);
+      if (callback->command->body != NULL)
         {
-          memcpy (note->command->body, body, size_bytes + 1);
-          note->command->body_bytes = size_bytes;
+          memcpy (callback->command->body, body, size_bytes + 1);
+          callback->command->body_bytes = size_bytes;
         }
     }
-  csp_post_command (note->control, note->command);
-  free (note);
+  csp_post_command (callback->control, callback->command);
+  free (callback);
 }
 
 bool
@@ -298,18 +301,18 @@
                 const char *path, uint32_t timeout_ms,
                 csp_control_command_t *command)
 {
-  read_note_t *note = malloc (sizeof *note);
+  read_callback_t *callback = malloc (sizeof *callback);
 
-  if (note == NULL || command == NULL)
+  if (callback == NULL || command == NULL)
     {
-      free (note);
+      free (callback);
       csp_free_command (command);
       return false;
     }
-  note->control = control;
-  note->command = command;
-  csp_fetch (control->fetcher, endpoint, path, NULL, timeout_ms, post_answer,
-             note);
+  callback->control = control;
+  callback->command = command;
+  csp_fetch (control->fetcher, endpoint, path, NULL, timeout_ms,
+             post_read_result, callback);
   return true;
 }
 
@@ -356,9 +359,9 @@
   snprintf (path, sizeof path, "/v1/hosts?after=%lld&wait_ms=%u",
             (long long)watch->version, HOSTS_WAIT_MS);
   sent = csp_start_read (control, &control->platform, path,
-                         HOSTS_WAIT_MS + HOSTS_GRACE_MS,
+                         HOSTS_WAIT_MS + HOSTS_TIMEOUT_MARGIN_MS,
                          csp_new_command (CSP_COMMAND_HOSTS_READ));
-  csp_note_list_asked (&watch->reads, sent, now_ms);
+  csp_note_list_asked (&watch->read_schedule, sent, now_ms);
 }
 
 void
@@ -383,7 +386,7 @@
         break;
       }
   pull_hosts (control, now_ms);
-  if (csp_list_read_is_due (&control->host_watch.reads, now_ms))
+  if (csp_list_read_is_due (&control->host_watch.read_schedule, now_ms))
     read_hosts (control, now_ms);
   atomic_store (&control->ready,
                 control->view != NULL && control->host_watch.version > 0);
--- a/source/control/control-holdings.c
+++ b/source/control/control-holdings.c
@@ -4,20 +4,21 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* What this host holds at other owners, told to each of them every few
-   seconds.  A release that was lost is mended by it, and a new owner learns
-   from it what runs on its target.  */
+/* Sends each other owner a list of the slots that this host holds there, every
+   few seconds.  It makes up for lost releases, and informs a new owner of
+   the streams on its target.  */
 
 enum
 {
-  HOLDINGS_MS = 3000,
+  HOLDINGS_INTERVAL_MS = 3000,
   ANSWER_TIMEOUT_MS = 2000
 };
 
-/* Whether a peer owns a target by now.  Slots are listed to the owner that
-   granted them and to the present one, which learns of them only so.  */
+/* Whether a peer is the current owner of a target.  A slot is listed to the
+   owner that granted it and to the current one, which has no other source.  */
 static bool
-owns_now (const csp_control_t *control, const char *target, const char *peer)
+is_current_owner (const csp_control_t *control, const char *target,
+                  const char *peer)
 {
   csp_target_view_t view;
   uint32_t index;
@@ -27,14 +28,14 @@
          && strcmp (view.owner, peer) == 0;
 }
 
-/* Tell one owner all that this host holds there.  */
+/* Send one owner the list of all slots that this host holds there.  */
 static void
 send_holdings (csp_control_t *control, const csp_peer_address_t *peer)
 {
   csp_peer_message_t message = { .kind = CSP_PEER_HOLDINGS };
-  csp_held_slot_t *slots = calloc (control->places_used + 1, sizeof *slots);
-  const csp_place_t *place;
-  size_t holder;
+  csp_held_slot_t *slots = calloc (control->request_count + 1, sizeof *slots);
+  const csp_tracked_request_t *request;
+  size_t granting_peer;
   uint32_t i;
 
   if (slots == NULL)
@@ -45,14 +46,16 @@
                  control->context->settings.host);
   message.u.holdings.sender.incarnation = control->incarnation;
   message.u.holdings.slots = slots;
-  for (i = 0; i < control->place_room; i++)
+  for (i = 0; i < control->request_capacity; i++)
     {
-      place = &control->places[i];
-      if (place->id == 0 || place->spill == NULL
-          || !csp_held_by_handoff (place->spill->handoff, &holder,
+      request = &control->requests[i];
+      if (request->id == 0 || request->spill == NULL
+          || !csp_held_by_handoff (request->spill->handoff, &granting_peer,
                                    &slots[message.u.holdings.count])
-          || (strcmp (place->spill->peers[holder].name, peer->name) != 0
-              && !owns_now (control, place->spill->target, peer->name)))
+          || (strcmp (request->spill->peers[granting_peer].name, peer->name)
+                  != 0
+              && !is_current_owner (control, request->spill->target,
+                                    peer->name)))
         continue;
       message.u.holdings.count++;
     }
@@ -60,7 +63,7 @@
   free (slots);
 }
 
-/* Owners that this host holds something at, or has asked lately.  */
+/* Sends to every live peer, also an empty list.  */
 static void
 send_all_holdings (csp_control_t *control, int64_t now_ms)
 {
@@ -84,6 +87,6 @@
 {
   if (now_ms < control->next_holdings_ms)
     return;
-  control->next_holdings_ms = now_ms + HOLDINGS_MS;
+  control->next_holdings_ms = now_ms + HOLDINGS_INTERVAL_MS;
   send_all_holdings (control, now_ms);
 }
--- a/source/control/control-once.c
+++ b/source/control/control-once.c
@@ -4,9 +4,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Carries the messages of at-most-once rounds.  The decisions are those of
-   csp_once_t, this host's memory of keys, and csp_once_round_t, one request
-   with a key; docs/AT-MOST-ONCE.md says why.  */
+/* Sends and receives the messages of at-most-once rounds.  csp_once_t, which
+   records keys on this host, and csp_once_round_t, one request with a key,
+   decide.  See docs/AT-MOST-ONCE.md.  */
 
 enum
 {
@@ -14,13 +14,14 @@
   CLAIM_TIMEOUT_MS = 2000
 };
 
-/* A round on its way; it outlives its request until all hosts are told.  */
+/* A round in progress.  It outlives its request until all hosts have
+   acknowledged the outcome.  */
 struct csp_once_entry
 {
   csp_once_entry_t *next;
   uint64_t id;
   csp_once_round_t *round;
-  csp_waiter_t *waiter; /* while the claim is undecided */
+  csp_waiter_t *waiter; /* NULL once the claim is decided */
 };
 
 bool
@@ -59,10 +60,12 @@
   return NULL;
 }
 
-/* All hosts that could have taken an earlier attempt, the silent ones among
-   them.  The list is as old as the platform's last answer.  */
+/* List the hosts that could have taken an earlier attempt, including silent
+   ones that are still listed.  The list is as old as the platform's last
+   answer.  */
 static size_t
-list_hosts (csp_control_t *control, int64_t now_ms, csp_once_peer_t *hosts)
+list_claim_hosts (csp_control_t *control, int64_t now_ms,
+                  csp_once_peer_t *hosts)
 {
   size_t known = csp_count_hosts (control->membership);
   csp_host_view_t view;
@@ -88,10 +91,11 @@
                         const csp_once_event_t *event, int64_t now_ms,
                         csp_once_action_t *action);
 
-/* Ask one host to record the claim; this one is asked without a message.  */
+/* Ask one host to record the claim; this host itself records it without a
+   message.  */
 static void
-ask_host (csp_control_t *control, csp_once_entry_t *entry, const char *host,
-          const csp_claim_ask_t *ask, int64_t now_ms)
+send_claim (csp_control_t *control, csp_once_entry_t *entry, const char *host,
+            const csp_claim_ask_t *ask, int64_t now_ms)
 {
   csp_peer_message_t message = { .kind = CSP_PEER_CLAIM_ASK };
   csp_once_event_t event = { .kind = CSP_ONCE_ANSWER, .host = host };
@@ -114,8 +118,8 @@
 }
 
 static void
-tell_host (csp_control_t *control, csp_once_entry_t *entry, const char *host,
-           const csp_outcome_tell_t *tell, int64_t now_ms)
+send_outcome (csp_control_t *control, csp_once_entry_t *entry,
+              const char *host, const csp_outcome_tell_t *tell, int64_t now_ms)
 {
   csp_peer_message_t message = { .kind = CSP_PEER_OUTCOME_TELL };
   csp_once_event_t event = { .kind = CSP_ONCE_TOLD, .host = host };
@@ -134,10 +138,10 @@
     csp_send_peer (control, &peer, &message, entry->id, CLAIM_TIMEOUT_MS);
 }
 
-/* The list of names belongs to the round and changes with its steps, and a
-   step for this host itself comes in the middle of the list.  */
+/* Works on a copy of the host names: they belong to the round and change with
+   each step, and this host's own answer is a step within the loop.  */
 static void
-for_each_host (csp_control_t *control, csp_once_entry_t *entry,
+send_to_hosts (csp_control_t *control, csp_once_entry_t *entry,
                const csp_once_action_t *action, bool tell, int64_t now_ms)
 {
   csp_once_action_t copy = *action;
@@ -151,9 +155,9 @@
     csp_copy_text (names[i], sizeof names[i], copy.hosts[i]);
   for (i = 0; i < copy.host_count; i++)
     if (tell)
-      tell_host (control, entry, names[i], &copy.tell, now_ms);
+      send_outcome (control, entry, names[i], &copy.tell, now_ms);
     else
-      ask_host (control, entry, names[i], &copy.ask, now_ms);
+      send_claim (control, entry, names[i], &copy.ask, now_ms);
   free (names);
 }
 
@@ -165,20 +169,20 @@
   if (waiter == NULL)
     return;
   entry->waiter = NULL;
-  waiter->once_id = entry->id;
+  waiter->claim_id = entry->id;
   if (error != NULL)
     *waiter->error = *error;
   csp_answer_waiter (waiter, error == NULL ? 0 : -1);
 }
 
 static void
-carry_out (csp_control_t *control, csp_once_entry_t *entry,
-           const csp_once_action_t *action, int64_t now_ms)
+execute_action (csp_control_t *control, csp_once_entry_t *entry,
+                const csp_once_action_t *action, int64_t now_ms)
 {
   switch (action->kind)
     {
     case CSP_ONCE_ASK:
-      for_each_host (control, entry, action, false, now_ms);
+      send_to_hosts (control, entry, action, false, now_ms);
       break;
     case CSP_ONCE_RUN:
       answer_claim (entry, NULL);
@@ -189,10 +193,10 @@
                csp_text ("verdict", csp_verdict_name (action->error.verdict)),
                csp_text ("detail", action->error.detail));
       answer_claim (entry, &action->error);
-      for_each_host (control, entry, action, true, now_ms);
+      send_to_hosts (control, entry, action, true, now_ms);
       break;
     case CSP_ONCE_TELL:
-      for_each_host (control, entry, action, true, now_ms);
+      send_to_hosts (control, entry, action, true, now_ms);
       break;
     case CSP_ONCE_SEND:
     case CSP_ONCE_WAIT:
@@ -207,18 +211,18 @@
 {
   memset (action, 0, sizeof *action);
   csp_step_once_round (entry->round, event, now_ms, action);
-  carry_out (control, entry, action, now_ms);
+  execute_action (control, entry, action, now_ms);
 }
 
-/* When the list of hosts was last known to be up to date: the sending of the
-   last answered read of the platform, or of a heartbeat that a host of the
-   data centre answered.  Heartbeats count, since a host that some peer of its
-   data centre doesn't know is no witness; so keyed calls are decided while
-   the platform is away.  */
+/* When the list of hosts was last known to be up to date: the time at which
+   the last answered read of the platform, or the last answered heartbeat to a
+   host of the data centre, was sent.  Heartbeats count because a host that a
+   peer of its data centre doesn't know is no witness.  So keyed calls can be
+   decided while the platform is unreachable.  */
 static int64_t
 find_confirmed_ms (csp_control_t *control, int64_t now_ms)
 {
-  int64_t confirmed_ms = control->host_watch.reads.confirmed_ms;
+  int64_t confirmed_ms = control->host_watch.read_schedule.confirmed_ms;
   size_t known = csp_count_hosts (control->membership);
   csp_host_view_t view;
   size_t i;
@@ -226,7 +230,7 @@
   for (i = 0; i < known; i++)
     {
       csp_view_host (control->membership, i, now_ms, &view);
-      if (csp_is_neighbour (control, &view) && view.confirmed_age_ms >= 0
+      if (csp_is_live_local_peer (control, &view) && view.confirmed_age_ms >= 0
           && now_ms - view.confirmed_age_ms > confirmed_ms)
         confirmed_ms = now_ms - view.confirmed_age_ms;
     }
@@ -243,7 +247,7 @@
 
   if (hosts == NULL || entry == NULL)
     goto fail;
-  view.count = list_hosts (control, now_ms, hosts);
+  view.count = list_claim_hosts (control, now_ms, hosts);
   view.confirmed_ms = find_confirmed_ms (control, now_ms);
   view.complete = control->host_watch.version > 0;
   entry->round
@@ -252,7 +256,7 @@
   if (entry->round == NULL)
     goto fail;
   free (hosts);
-  entry->id = ++control->next_once;
+  entry->id = ++control->next_round_id;
   return entry;
 
 fail:
@@ -262,8 +266,7 @@
 }
 
 void
-csp_take_once_ask (csp_control_t *control, csp_waiter_t *waiter,
-                   int64_t now_ms)
+csp_start_claim (csp_control_t *control, csp_waiter_t *waiter, int64_t now_ms)
 {
   csp_once_entry_t *entry = create_entry (control, waiter->once_ask, now_ms);
   csp_once_action_t action = { 0 };
@@ -281,7 +284,7 @@
   atomic_fetch_add (&control->open_claims, 1);
   csp_start_once_round (entry->round, now_ms,
                         csp_wall_ms (&control->context->clock), &action);
-  carry_out (control, entry, &action, now_ms);
+  execute_action (control, entry, &action, now_ms);
 }
 
 bool
@@ -311,9 +314,9 @@
 }
 
 void
-csp_take_claim_answer (csp_control_t *control,
-                       const csp_control_command_t *command,
-                       const csp_peer_message_t *answer, int64_t now_ms)
+csp_handle_claim_answer (csp_control_t *control,
+                         const csp_control_command_t *command,
+                         const csp_peer_message_t *answer, int64_t now_ms)
 {
   csp_once_entry_t *entry = find_round (control, command->id);
   csp_once_event_t event = { .kind = CSP_ONCE_ANSWER, .host = command->name };
@@ -326,8 +329,10 @@
 }
 
 void
-csp_take_told (csp_control_t *control, const csp_control_command_t *command,
-               const csp_peer_message_t *answer, int64_t now_ms)
+csp_handle_outcome_acknowledged (csp_control_t *control,
+                                 const csp_control_command_t *command,
+                                 const csp_peer_message_t *answer,
+                                 int64_t now_ms)
 {
   csp_once_entry_t *entry = find_round (control, command->id);
   csp_once_event_t event = { .kind = CSP_ONCE_TOLD, .host = command->name };
--- a/source/control/control-orders-status.c
+++ b/source/control/control-orders-status.c
@@ -2,7 +2,7 @@
 
 #include <json-c/json.h>
 
-/* Wanted and reported state of an engine, for operators.  */
+/* Renders the wanted and reported state of an engine, for operators.  */
 
 static json_object *
 render_wanted_list (const csp_versioned_t *list, size_t count)
@@ -76,9 +76,9 @@
   csp_order_status_t status;
   json_object *object;
 
-  if (target->reported == NULL || control->view == NULL)
+  if (target->last_report == NULL || control->view == NULL)
     return;
-  csp_fill_wanted (control, target, &facts);
+  csp_fill_config_facts (control, target, &facts);
   csp_describe_order (target->orders, &status);
   object = json_object_new_object ();
   json_object_object_add (
@@ -89,7 +89,7 @@
   if (facts.wanted != NULL)
     json_object_object_add (object, "wanted", render_wanted (facts.wanted));
   json_object_object_add (object, "reported",
-                          render_reported (target->reported));
+                          render_reported (target->last_report));
   render_counts (&status, object);
   json_object_object_add (row, "orders", object);
 }
--- a/source/control/control-orders.c
+++ b/source/control/control-orders.c
@@ -5,12 +5,12 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Orders to owned engines: facts for the decision at each load report, and
-   the order that comes out, sent through the fetcher.  */
+/* Orders to owned engines: collects the facts for the decision at each load
+   report, and sends the resulting order by HTTP.  */
 
 enum
 {
-  SHARES_MS = 1000,
+  SHARE_UPDATE_MS = 1000,
   ORDER_TIMEOUT_MS = 5000,
   STATUS_OK = 200,
   STATUS_ACCEPTED = 202,
@@ -20,7 +20,7 @@
 };
 
 static csp_order_pool_t *
-find_order_pool (csp_control_t *control, const char *name)
+find_or_add_order_pool (csp_control_t *control, const char *name)
 {
   csp_order_pool_t *pool;
   uint32_t i;
@@ -36,7 +36,7 @@
 }
 
 void
-csp_note_order_list (csp_control_t *control, const csp_host_list_t *list)
+csp_count_listed_engines (csp_control_t *control, const csp_host_list_t *list)
 {
   csp_order_pool_t *pool;
   size_t i;
@@ -47,14 +47,14 @@
     {
       if (list->targets[i].kind != CSP_TARGET_ENGINE)
         continue;
-      pool = find_order_pool (control, list->targets[i].pool);
+      pool = find_or_add_order_pool (control, list->targets[i].pool);
       if (pool != NULL)
         pool->listed++;
     }
 }
 
 static void
-count_owned (csp_control_t *control)
+count_owned_engines (csp_control_t *control)
 {
   csp_order_pool_t *pool;
   csp_target_view_t view;
@@ -62,14 +62,15 @@
 
   for (i = 0; i < control->order_pool_count; i++)
     control->order_pools[i].owned = 0;
-  for (i = 0; i < control->target_room; i++)
+  for (i = 0; i < control->target_capacity; i++)
     {
       if (control->targets[i] == NULL
           || control->targets[i]->listed.kind != CSP_TARGET_ENGINE
           || !csp_view_target (control->ownership, i, &view)
           || view.state == CSP_OWN_OTHER)
         continue;
-      pool = find_order_pool (control, control->targets[i]->listed.pool);
+      pool
+          = find_or_add_order_pool (control, control->targets[i]->listed.pool);
       if (pool != NULL)
         pool->owned++;
     }
@@ -83,10 +84,10 @@
   csp_order_pool_t *pool;
   uint32_t i;
 
-  if (declaration == NULL || now_ms < control->next_shares_ms)
+  if (declaration == NULL || now_ms < control->next_order_share_ms)
     return;
-  control->next_shares_ms = now_ms + SHARES_MS;
-  count_owned (control);
+  control->next_order_share_ms = now_ms + SHARE_UPDATE_MS;
+  count_owned_engines (control);
   for (i = 0; i < control->order_pool_count; i++)
     {
       pool = &control->order_pools[i];
@@ -111,8 +112,8 @@
   return member;
 }
 
-/* The loaded things of a report with their versions.  The texts belong to the
-   report.  */
+/* Read the loaded models or adapters of a report with their versions.  The
+   strings belong to the report.  */
 static csp_versioned_t *
 read_versioned (json_object *report, const char *list, const char *versions,
                 size_t *count)
@@ -148,26 +149,28 @@
   return member == NULL ? NULL : json_object_get_string (member);
 }
 
-/* When the oldest request came that runs on the target, or waits for its
-   pool: any of them may need what is to be unloaded.  */
+/* When the oldest request arrived that runs on the target or waits for its
+   pool: such a request may need the model that is to be unloaded.  */
 static int64_t
-find_oldest_ms (const csp_control_t *control, const csp_target_state_t *target)
+find_oldest_arrival_ms (const csp_control_t *control,
+                        const csp_target_state_t *target)
 {
   int64_t oldest_ms = INT64_MAX;
-  const csp_place_t *place;
+  const csp_tracked_request_t *request;
   uint32_t i;
 
-  for (i = 0; i < control->place_room; i++)
+  for (i = 0; i < control->request_capacity; i++)
     {
-      place = &control->places[i];
-      if (place->id == 0 || place->asked_ms >= oldest_ms)
+      request = &control->requests[i];
+      if (request->id == 0 || request->arrived_ms >= oldest_ms)
         continue;
-      if (place->target == target
-          || (place->state == CSP_PLACE_WAITING
-              && place->pool < control->pool_count
-              && strcmp (control->pools[place->pool].name, target->listed.pool)
+      if (request->target == target
+          || (request->state == CSP_REQUEST_WAITING
+              && request->pool < control->pool_count
+              && strcmp (control->pools[request->pool].name,
+                         target->listed.pool)
                      == 0))
-        oldest_ms = place->asked_ms;
+        oldest_ms = request->arrived_ms;
     }
   return oldest_ms;
 }
@@ -176,31 +179,33 @@
 {
   csp_control_t *control;
   csp_control_command_t *command;
-  int64_t latest_ms;
-} order_note_t;
+  int64_t send_by_ms;
+} order_callback_t;
 
-/* The process may have been paused since the decision: by now another host
-   may own the engine, at a newer revision.  */
+/* Whether an order may still be sent.  While the process was paused after the
+   decision, another host may have become the engine's owner, at a newer
+   revision.  */
 static bool
-may_send (void *state)
+is_order_current (void *state)
 {
-  const order_note_t *note = state;
+  const order_callback_t *callback = state;
 
-  return csp_now_ms (&note->control->context->clock) <= note->latest_ms;
+  return csp_now_ms (&callback->control->context->clock)
+         <= callback->send_by_ms;
 }
 
 static void
-post_status (void *state, long status)
+post_order_status (void *state, long status)
 {
-  order_note_t *note = state;
+  order_callback_t *callback = state;
 
-  note->command->after = status;
-  csp_post_command (note->control, note->command);
-  free (note);
+  callback->command->after = status;
+  csp_post_command (callback->control, callback->command);
+  free (callback);
 }
 
 static char *
-write_order (const csp_order_t *order)
+format_order (const csp_order_t *order)
 {
   json_object *object = json_object_new_object ();
   char *text;
@@ -236,16 +241,16 @@
             int64_t now_ms)
 {
   csp_target_state_t *target = control->targets[index];
-  csp_control_command_t *command = csp_new_command (CSP_COMMAND_ORDER_ANSWER);
-  order_note_t *note = malloc (sizeof *note);
-  char *body = write_order (order);
+  csp_control_command_t *command = csp_new_command (CSP_COMMAND_ORDER_STATUS);
+  order_callback_t *callback = malloc (sizeof *callback);
+  char *body = format_order (order);
   csp_endpoint_t endpoint;
   int64_t lease_ms = csp_grant_until_ms (control->ownership);
 
-  if (command == NULL || note == NULL || body == NULL)
+  if (command == NULL || callback == NULL || body == NULL)
     {
       csp_free_command (command);
-      free (note);
+      free (callback);
       csp_handle_order_answer (target->orders, CSP_ORDER_ANSWER_NOT_SENT,
                                now_ms);
       goto done;
@@ -254,22 +259,22 @@
                      &endpoint);
   command->target = index;
   csp_copy_text (command->name, sizeof command->name, target->listed.name);
-  note->control = control;
-  note->command = command;
-  note->latest_ms = now_ms + CSP_ORDER_FRESH_MS;
-  if (note->latest_ms > lease_ms)
-    note->latest_ms = lease_ms;
+  callback->control = control;
+  callback->command = command;
+  callback->send_by_ms = now_ms + CSP_ORDER_FRESH_MS;
+  if (callback->send_by_ms > lease_ms)
+    callback->send_by_ms = lease_ms;
   log_order (control, CSP_EVENT_ORDER_SENT, target, order);
   csp_post (control->fetcher, &endpoint, "/v1/orders", body, ORDER_TIMEOUT_MS,
-            may_send, post_status, note);
+            is_order_current, post_order_status, callback);
 
 done:
   free (body);
 }
 
 static void
-log_seen (csp_control_t *control, const csp_target_state_t *target,
-          const csp_order_action_t *action, int64_t fence)
+log_order_events (csp_control_t *control, const csp_target_state_t *target,
+                  const csp_order_action_t *action, int64_t fence)
 {
   if (action->events & CSP_ORDER_SAW_RESTART)
     CSP_LOG (control->context->log, CSP_EVENT_ENGINE_RESTARTED, NULL,
@@ -288,10 +293,11 @@
     log_order (control, CSP_EVENT_ORDER_UNDONE, target, &action->subject);
 }
 
-/* The configuration's part of the facts.  */
+/* Fill in the facts that come from the configuration.  */
 void
-csp_fill_wanted (csp_control_t *control, const csp_target_state_t *target,
-                 csp_order_facts_t *facts)
+csp_fill_config_facts (csp_control_t *control,
+                       const csp_target_state_t *target,
+                       csp_order_facts_t *facts)
 {
   const csp_pool_t *pool = csp_find_pool (csp_view_declaration (control->view),
                                           target->listed.pool);
@@ -308,10 +314,10 @@
   facts->longest_order_ms = pool->longest_order_ms;
 }
 
-/* The ownership's part, and the traffic's.  */
+/* Fill in the facts that come from the ownership and from the traffic.  */
 static void
-fill_grant (csp_control_t *control, uint32_t index, int64_t now_ms,
-            csp_order_facts_t *facts)
+fill_ownership_facts (csp_control_t *control, uint32_t index, int64_t now_ms,
+                      csp_order_facts_t *facts)
 {
   const csp_target_state_t *target = control->targets[index];
   csp_target_view_t view;
@@ -322,25 +328,27 @@
   facts->leaving = view.state == CSP_OWN_LEAVING
                    || target->listed.state == CSP_MEMBER_LEAVING;
   facts->checks_fence = target->listed.checks_fence;
-  facts->oldest_stream_ms = find_oldest_ms (control, target);
+  facts->oldest_stream_ms = find_oldest_arrival_ms (control, target);
   facts->foreign_streams
       = view.peer_tokens > 0 || view.foreign_tokens > 0
-        || csp_slot_tokens (control, target->listed.name, now_ms) > 0;
+        || csp_count_slot_tokens (control, target->listed.name, now_ms) > 0;
 }
 
 static void
-keep_report (csp_target_state_t *target, json_object *document)
+store_report (csp_target_state_t *target, json_object *document)
 {
-  json_object_put (target->reported);
-  target->reported = json_object_get (document);
+  json_object_put (target->last_report);
+  target->last_report = json_object_get (document);
 }
 
 void
-csp_take_order_report (csp_control_t *control, uint32_t index,
-                       json_object *document, int64_t asked_ms, int64_t now_ms)
+csp_handle_order_report (csp_control_t *control, uint32_t index,
+                         json_object *document, int64_t asked_ms,
+                         int64_t now_ms)
 {
   csp_target_state_t *target = control->targets[index];
-  csp_order_pool_t *pool = find_order_pool (control, target->listed.pool);
+  csp_order_pool_t *pool
+      = find_or_add_order_pool (control, target->listed.pool);
   json_object *number = get_member (document, "report", json_type_int);
   json_object *fence = get_member (document, "fence", json_type_int);
   const char *order = get_text (document, "order");
@@ -355,7 +363,7 @@
   csp_versioned_t *models;
   csp_versioned_t *adapters;
 
-  keep_report (target, document);
+  store_report (target, document);
   if (control->view == NULL || pool == NULL || pool->pace.interval_ms == 0)
     return;
   models = read_versioned (document, "models", "model_versions",
@@ -364,12 +372,12 @@
                              &report.adapter_count);
   report.models = models;
   report.adapters = adapters;
-  csp_fill_wanted (control, target, &facts);
-  fill_grant (control, index, now_ms, &facts);
+  csp_fill_config_facts (control, target, &facts);
+  fill_ownership_facts (control, index, now_ms, &facts);
   if (models != NULL && adapters != NULL)
     {
       csp_decide_order (target->orders, &facts, &pool->pace, now_ms, &action);
-      log_seen (control, target, &action, report.fence);
+      log_order_events (control, target, &action, report.fence);
       if (action.kind == CSP_ORDER_ACT_SEND)
         send_order (control, index, &action.is.send, now_ms);
     }
@@ -378,7 +386,7 @@
 }
 
 static csp_order_answer_t
-read_status (int64_t status)
+classify_order_status (int64_t status)
 {
   switch (status)
     {
@@ -399,10 +407,10 @@
 }
 
 void
-csp_take_order_answer (csp_control_t *control,
-                       const csp_control_command_t *command, int64_t now_ms)
+csp_handle_order_status (csp_control_t *control,
+                         const csp_control_command_t *command, int64_t now_ms)
 {
-  csp_order_answer_t answer = read_status (command->after);
+  csp_order_answer_t answer = classify_order_status (command->after);
   csp_target_state_t *target = control->targets[command->target];
 
   if (target == NULL || strcmp (target->listed.name, command->name) != 0)
@@ -418,8 +426,8 @@
 }
 
 void
-csp_drop_orders (csp_target_state_t *target)
+csp_free_orders (csp_target_state_t *target)
 {
   csp_destroy_order_engine (target->orders);
-  json_object_put (target->reported);
+  json_object_put (target->last_report);
 }
--- a/source/control/control-peer.c
+++ b/source/control/control-peer.c
@@ -4,26 +4,26 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Links to peers: what they ask is answered on the control thread, and what
-   they answer comes back to it as a command.  */
+/* Communication with peers.  The control thread answers their asks, and
+   receives their answers as commands.  */
 
 enum
 {
-  FOLLOW_MS = 1000,
+  HOST_SYNC_MS = 1000,
   US_PER_MS = 1000,
-  /* Longer than an engine goes on with a cut stream (30 s).  */
-  FORGET_HOLDER_MS = 35000
+  /* Longer than an engine continues a stream that was cut off (30 s).  */
+  FORGET_HOLDER_AFTER_MS = 35000
 };
 
-/* What an answer needs on its way back.  */
+/* The state of an answer's callback, which posts the command.  */
 typedef struct
 {
   csp_control_t *control;
   csp_control_command_t *command;
-} peer_note_t;
+} peer_callback_t;
 
 static bool
-keep_body (csp_control_command_t *command, const uint8_t *data,
+copy_body (csp_control_command_t *command, const uint8_t *data,
            size_t size_bytes)
 {
   command->body = malloc (size_bytes + 1);
@@ -34,7 +34,7 @@
   return true;
 }
 
-/* On a thread of the links.  */
+/* Called on a thread of the peer connections.  */
 static void
 post_peer_ask (void *state, csp_peer_call_t *call, const uint8_t *data,
                size_t size_bytes)
@@ -42,7 +42,7 @@
   csp_control_t *control = state;
   csp_control_command_t *command = csp_new_command (CSP_COMMAND_PEER_ASK);
 
-  if (command == NULL || !keep_body (command, data, size_bytes))
+  if (command == NULL || !copy_body (command, data, size_bytes))
     {
       csp_free_command (command);
       csp_answer_peer (call, NULL, 0);
@@ -52,16 +52,16 @@
   csp_post_command (control, command);
 }
 
-/* On a thread of the links.  */
+/* Called on a thread of the peer connections.  */
 static void
 post_peer_answer (void *state, const uint8_t *data, size_t size_bytes)
 {
-  peer_note_t *note = state;
+  peer_callback_t *callback = state;
 
   if (data != NULL)
-    keep_body (note->command, data, size_bytes);
-  csp_post_command (note->control, note->command);
-  free (note);
+    copy_body (callback->command, data, size_bytes);
+  csp_post_command (callback->control, callback->command);
+  free (callback);
 }
 
 bool
@@ -86,25 +86,25 @@
                uint32_t timeout_ms)
 {
   csp_control_command_t *command = csp_new_command (CSP_COMMAND_PEER_ANSWER);
-  peer_note_t *note = malloc (sizeof *note);
+  peer_callback_t *callback = malloc (sizeof *callback);
   uint8_t *data = NULL;
   size_t size_bytes = 0;
 
-  if (command != NULL && note != NULL)
+  if (command != NULL && callback != NULL)
     data = csp_encode_peer_message (message, control->deployment, &size_bytes);
   if (data == NULL)
     {
       csp_free_command (command);
-      free (note);
+      free (callback);
       return false;
     }
   command->id = id;
-  command->asked = message->kind;
+  command->ask_kind = message->kind;
   csp_copy_text (command->name, sizeof command->name, peer->name);
-  note->control = control;
-  note->command = command;
+  callback->control = control;
+  callback->command = command;
   csp_ask_peer (control->peers, peer->address, peer->port, data, size_bytes,
-                timeout_ms, post_peer_answer, note);
+                timeout_ms, post_peer_answer, callback);
   free (data);
   return true;
 }
@@ -125,7 +125,8 @@
 }
 
 bool
-csp_is_neighbour (const csp_control_t *control, const csp_host_view_t *view)
+csp_is_live_local_peer (const csp_control_t *control,
+                        const csp_host_view_t *view)
 {
   return !view->self && view->liveness == CSP_PEER_ALIVE
          && strcmp (view->data_centre, control->context->settings.data_centre)
@@ -148,7 +149,7 @@
                                action->ask.sequence, now_ms);
 }
 
-/* The log's event for each kind of the membership's.  */
+/* The log event for each kind of membership event.  */
 static const csp_event_t member_events[] = {
   [CSP_MEMBER_EVENT_ALIVE] = CSP_EVENT_PEER_ALIVE,
   [CSP_MEMBER_EVENT_CUT] = CSP_EVENT_PEER_SILENT,
@@ -172,7 +173,7 @@
 };
 
 static void
-follow_member_events (csp_control_t *control, int64_t now_ms)
+handle_member_events (csp_control_t *control, int64_t now_ms)
 {
   csp_member_event_t event;
 
@@ -181,7 +182,7 @@
       if (event.kind == CSP_MEMBER_EVENT_SILENT)
         csp_orphan_holder (control->slots, event.peer, now_ms);
       if (event.kind == CSP_MEMBER_EVENT_WOKE_LATE)
-        csp_note_list_woke (&control->host_watch.reads, now_ms);
+        csp_note_list_woke (&control->host_watch.read_schedule, now_ms);
       CSP_LOG (control->context->log, member_events[event.kind], NULL,
                csp_text ("peer", event.peer),
                csp_text ("state", member_states[event.kind]),
@@ -201,7 +202,7 @@
 }
 
 static void
-show_gauges (csp_control_t *control, const csp_local_state_t *local)
+set_gauges (csp_control_t *control, const csp_local_state_t *local)
 {
   csp_metrics_t *metrics = control->context->metrics;
 
@@ -216,7 +217,7 @@
 }
 
 static void
-describe_self (csp_control_t *control, int64_t now_ms)
+publish_local_state (csp_control_t *control, int64_t now_ms)
 {
   csp_config_status_t config;
   csp_spread_status_t spread;
@@ -237,15 +238,15 @@
   local.median_gap_us
       = (uint32_t)(csp_health_median_ms (control->health) * US_PER_MS);
   local.targets_out = csp_health_out (control->health);
-  show_gauges (control, &local);
+  set_gauges (control, &local);
   csp_set_local_state (control->membership, &local);
 }
 
-/* What the slots and keys have to know of each host.  Telling it once, at the
-   event, isn't enough: a commit that lay in a socket while its sender fell
-   silent would hold a slot for ever.  */
+/* Pass the liveness of each host to the slot table and the key records.  Doing
+   so only at the membership event isn't enough: a commit that is read from a
+   socket after its sender became silent would hold a slot for ever.  */
 static void
-follow_hosts (csp_control_t *control, int64_t now_ms)
+sync_hosts (csp_control_t *control, int64_t now_ms)
 {
   size_t count = csp_count_hosts (control->membership);
   csp_host_view_t view;
@@ -261,9 +262,9 @@
       if (view.liveness == CSP_PEER_SILENT)
         csp_orphan_holder (control->slots, view.name, now_ms);
       if (view.liveness == CSP_PEER_SILENT && !view.listed
-          && view.confirmed_age_ms > FORGET_HOLDER_MS)
+          && view.confirmed_age_ms > FORGET_HOLDER_AFTER_MS)
         csp_forget_holder (control->slots, view.name);
-      if (csp_is_neighbour (control, &view) && !view.knows_us)
+      if (csp_is_live_local_peer (control, &view) && !view.knows_us)
         csp_delay_witness (control->once, now_ms);
     }
   control->live_peers = live;
@@ -275,16 +276,16 @@
   csp_heartbeat_actions_t actions;
   size_t i;
 
-  if (now_ms >= control->next_follow_ms)
+  if (now_ms >= control->next_host_sync_ms)
     {
-      control->next_follow_ms = now_ms + FOLLOW_MS;
-      follow_hosts (control, now_ms);
+      control->next_host_sync_ms = now_ms + HOST_SYNC_MS;
+      sync_hosts (control, now_ms);
     }
-  describe_self (control, now_ms);
+  publish_local_state (control, now_ms);
   csp_tick_membership (control->membership, now_ms, &actions);
   for (i = 0; i < actions.count; i++)
     send_heartbeat (control, &actions.items[i], now_ms);
-  follow_member_events (control, now_ms);
+  handle_member_events (control, now_ms);
 }
 
 static void
@@ -328,9 +329,9 @@
 }
 
 static void
-answer_ask (csp_control_t *control, const csp_peer_message_t *ask,
-            int64_t now_ms, csp_config_status_t *status,
-            csp_peer_message_t *answer)
+dispatch_peer_ask (csp_control_t *control, const csp_peer_message_t *ask,
+                   int64_t now_ms, csp_config_status_t *status,
+                   csp_peer_message_t *answer)
 {
   switch (ask->kind)
     {
@@ -355,14 +356,14 @@
       break;
     case CSP_PEER_RELEASE:
       answer->kind = CSP_PEER_ACKNOWLEDGE;
-      csp_take_slot_release (control, &ask->u.release, now_ms);
+      csp_handle_slot_release (control, &ask->u.release, now_ms);
       break;
     case CSP_PEER_HOSTS_ASK:
       answer->kind = CSP_PEER_HOSTS_ANSWER;
       answer->u.hosts_answer.list
-          = control->host_watch.text != NULL
+          = control->host_watch.list_text != NULL
                     && control->host_watch.version > ask->u.hosts_ask.after
-                ? control->host_watch.text
+                ? control->host_watch.list_text
                 : "";
       break;
     case CSP_PEER_CLAIM_ASK:
@@ -386,8 +387,8 @@
 }
 
 void
-csp_take_peer_ask (csp_control_t *control, csp_control_command_t *command,
-                   int64_t now_ms)
+csp_handle_peer_ask (csp_control_t *control, csp_control_command_t *command,
+                     int64_t now_ms)
 {
   csp_peer_message_t ask;
   csp_peer_message_t answer = { .kind = CSP_PEER_NONE };
@@ -397,7 +398,7 @@
 
   if (csp_decode_peer_message ((const uint8_t *)command->body,
                                command->body_bytes, control->deployment, &ask))
-    answer_ask (control, &ask, now_ms, &status, &answer);
+    dispatch_peer_ask (control, &ask, now_ms, &status, &answer);
   else
     CSP_LOG (control->context->log, CSP_EVENT_PEER_MESSAGE_BAD, NULL,
              csp_number ("bytes", (int64_t)command->body_bytes));
@@ -410,9 +411,9 @@
 }
 
 static void
-take_heartbeat_answer (csp_control_t *control,
-                       const csp_control_command_t *command,
-                       const csp_peer_message_t *answer, int64_t now_ms)
+handle_heartbeat_answer (csp_control_t *control,
+                         const csp_control_command_t *command,
+                         const csp_peer_message_t *answer, int64_t now_ms)
 {
   if (answer->kind == CSP_PEER_HEARTBEAT)
     csp_handle_heartbeat_reply (control->membership, command->name,
@@ -423,9 +424,9 @@
 }
 
 static void
-take_carry_answer (csp_control_t *control,
-                   const csp_control_command_t *command,
-                   const csp_peer_message_t *answer, int64_t now_ms)
+handle_carry_answer (csp_control_t *control,
+                     const csp_control_command_t *command,
+                     const csp_peer_message_t *answer, int64_t now_ms)
 {
   if (answer->kind == CSP_PEER_CARRY_ANSWER)
     csp_handle_carry (control->ownership, command->name, command->id,
@@ -437,22 +438,23 @@
 }
 
 static void
-take_pull_answer (csp_control_t *control, const csp_control_command_t *command,
-                  const csp_peer_message_t *answer, int64_t now_ms)
+handle_pull_answer (csp_control_t *control,
+                    const csp_control_command_t *command,
+                    const csp_peer_message_t *answer, int64_t now_ms)
 {
   if (answer->kind == CSP_PEER_PULL_ANSWER)
-    csp_follow_config (control,
-                       csp_handle_pull (control->spread, command->id,
-                                        &answer->u.pull_answer.delta,
-                                        answer->u.pull_answer.refused_revision,
-                                        answer->u.pull_answer.fault, now_ms));
+    csp_apply_config_result (
+        control, csp_handle_pull (control->spread, command->id,
+                                  &answer->u.pull_answer.delta,
+                                  answer->u.pull_answer.refused_revision,
+                                  answer->u.pull_answer.fault, now_ms));
   else
     csp_handle_pull_failed (control->spread, command->id, now_ms);
 }
 
 void
-csp_take_peer_answer (csp_control_t *control,
-                      const csp_control_command_t *command, int64_t now_ms)
+csp_handle_peer_answer (csp_control_t *control,
+                        const csp_control_command_t *command, int64_t now_ms)
 {
   csp_peer_message_t answer = { .kind = CSP_PEER_NONE };
 
@@ -462,33 +464,35 @@
                                    &answer))
     CSP_LOG (control->context->log, CSP_EVENT_PEER_MESSAGE_BAD, NULL,
              csp_text ("peer", command->name));
-  switch (command->asked)
+  switch (command->ask_kind)
     {
     case CSP_PEER_HEARTBEAT:
-      take_heartbeat_answer (control, command, &answer, now_ms);
+      handle_heartbeat_answer (control, command, &answer, now_ms);
       break;
     case CSP_PEER_CARRY_ASK:
-      take_carry_answer (control, command, &answer, now_ms);
+      handle_carry_answer (control, command, &answer, now_ms);
       break;
     case CSP_PEER_PULL_ASK:
-      take_pull_answer (control, command, &answer, now_ms);
+      handle_pull_answer (control, command, &answer, now_ms);
       break;
     case CSP_PEER_HOSTS_ASK:
-      csp_take_peer_hosts (control, &answer, now_ms);
+      csp_handle_peer_hosts (control, &answer, now_ms);
       break;
     case CSP_PEER_CLAIM_ASK:
-      csp_take_claim_answer (control, command, &answer, now_ms);
+      csp_handle_claim_answer (control, command, &answer, now_ms);
       break;
     case CSP_PEER_OUTCOME_TELL:
-      csp_take_told (control, command, &answer, now_ms);
+      csp_handle_outcome_acknowledged (control, command, &answer, now_ms);
       break;
     case CSP_PEER_RESERVE_ASK:
       if (answer.kind == CSP_PEER_RESERVE_ANSWER)
-        csp_take_reserved (control, command, &answer.u.reserve_answer, now_ms);
+        csp_handle_reserve_answer (control, command, &answer.u.reserve_answer,
+                                   now_ms);
       break;
     case CSP_PEER_COMMIT_ASK:
       if (answer.kind == CSP_PEER_COMMIT_ANSWER)
-        csp_take_committed (control, command, &answer.u.commit_answer, now_ms);
+        csp_handle_commit_answer (control, command, &answer.u.commit_answer,
+                                  now_ms);
       break;
     default:
       break;
--- a/source/control/control-place.c
+++ b/source/control/control-place.c
@@ -3,85 +3,86 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* The table of requests that wait or hold a place.  */
+/* The table of requests that wait for admission or hold a grant.  */
 
 enum
 {
-  FIRST_PLACES = 256,
-  MAX_PLACES = 65536
+  INITIAL_REQUESTS = 256,
+  MAX_REQUESTS = 65536
 };
 
 bool
-csp_open_places (csp_control_t *control)
+csp_open_request_table (csp_control_t *control)
 {
-  control->places = calloc (FIRST_PLACES, sizeof *control->places);
-  control->place_room = FIRST_PLACES;
-  return control->places != NULL;
+  control->requests = calloc (INITIAL_REQUESTS, sizeof *control->requests);
+  control->request_capacity = INITIAL_REQUESTS;
+  return control->requests != NULL;
 }
 
-/* Places are numbered by their index below and a count above, so that a late
-   command for a place that was given away finds nothing.  */
-csp_place_t *
-csp_find_place (csp_control_t *control, uint64_t id)
+/* An id holds the index in its low part and a counter in its high part, so
+   that a late command for a row that was reused finds no request.  */
+csp_tracked_request_t *
+csp_find_request (csp_control_t *control, uint64_t id)
 {
-  csp_place_t *place = &control->places[id % MAX_PLACES];
+  csp_tracked_request_t *request = &control->requests[id % MAX_REQUESTS];
 
-  if (id % MAX_PLACES >= control->place_room || place->id != id)
+  if (id % MAX_REQUESTS >= control->request_capacity || request->id != id)
     return NULL;
-  return place;
+  return request;
 }
 
 static bool
-grow_places (csp_control_t *control)
+grow_table (csp_control_t *control)
 {
-  uint32_t room = control->place_room * 2;
-  csp_place_t *places;
+  uint32_t capacity = control->request_capacity * 2;
+  csp_tracked_request_t *places;
 
-  if (room > MAX_PLACES)
+  if (capacity > MAX_REQUESTS)
     return false;
-  places = realloc (control->places, room * sizeof *places);
+  places = realloc (control->requests, capacity * sizeof *places);
   if (places == NULL)
     return false;
-  memset (places + control->place_room, 0,
-          control->place_room * sizeof *places);
-  control->places = places;
-  control->place_room = room;
+  memset (places + control->request_capacity, 0,
+          control->request_capacity * sizeof *places);
+  control->requests = places;
+  control->request_capacity = capacity;
   return true;
 }
 
-csp_place_t *
-csp_make_place (csp_control_t *control)
+csp_tracked_request_t *
+csp_add_request (csp_control_t *control)
 {
   uint32_t i;
 
-  if (control->places_used == control->place_room && !grow_places (control))
+  if (control->request_count == control->request_capacity
+      && !grow_table (control))
     return NULL;
-  for (i = 0; control->places[i].id != 0; i++)
+  for (i = 0; control->requests[i].id != 0; i++)
     ;
-  control->places_used++;
-  control->next_place++;
-  memset (&control->places[i], 0, sizeof control->places[i]);
-  control->places[i].id = control->next_place * MAX_PLACES + i;
-  return &control->places[i];
+  control->request_count++;
+  control->next_request++;
+  memset (&control->requests[i], 0, sizeof control->requests[i]);
+  control->requests[i].id = control->next_request * MAX_REQUESTS + i;
+  return &control->requests[i];
 }
 
 void
-csp_free_place (csp_control_t *control, csp_place_t *place)
+csp_remove_request (csp_control_t *control, csp_tracked_request_t *request)
 {
-  /* Of a request that was not let in; one that ran has settled before.  */
-  csp_settle_limits (place, 0);
-  place->id = 0;
-  control->places_used--;
+  /* For a request that was not admitted; one that ran is already settled.  */
+  csp_settle_limits (request, 0);
+  request->id = 0;
+  control->request_count--;
 }
 
-csp_place_t *
-csp_find_waiter_place (csp_control_t *control, uint64_t number)
+csp_tracked_request_t *
+csp_find_request_of_waiter (csp_control_t *control, uint64_t number)
 {
   uint32_t i;
 
-  for (i = 0; i < control->place_room; i++)
-    if (control->places[i].id != 0 && control->places[i].waiter != NULL
-        && control->places[i].waiter_number == number)
-      return &control->places[i];
+  for (i = 0; i < control->request_capacity; i++)
+    if (control->requests[i].id != 0 && control->requests[i].waiter != NULL
+        && control->requests[i].waiter_number == number)
+      return &control->requests[i];
   return NULL;
 }
--- a/source/control/control-spill.c
+++ b/source/control/control-spill.c
@@ -5,128 +5,130 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* The sender's side of hand-offs: requests for which this host has no room
-   ask other owners.  The decisions are csp_handoff_t's and
-   csp_choose_peers'; this file carries their messages.  */
+/* Hand-offs on the sender: for a request that this host has no capacity for,
+   it asks other owners for a slot.  csp_handoff_t and csp_choose_peers decide;
+   this file sends and receives the messages.  */
 
 enum
 {
-  SPILL_PAUSE_MS = 250,
-  RELEASE_TIMEOUT_MS = 2000
+  SPILL_RETRY_MS = 250,
+  MESSAGE_TIMEOUT_MS = 2000
 };
 
 static void
-send_reserve (csp_control_t *control, csp_place_t *place,
+send_reserve (csp_control_t *control, csp_tracked_request_t *request,
               const csp_handoff_action_t *action)
 {
   csp_peer_message_t message = { .kind = CSP_PEER_RESERVE_ASK };
   csp_peer_reserve_t *reserve = &message.u.reserve_ask;
 
   reserve->ask = action->u.reserve;
-  reserve->prompt_tokens = place->prompt_tokens;
-  if (place->waiter != NULL)
+  reserve->prompt_tokens = request->prompt_tokens;
+  if (request->waiter != NULL)
     {
       csp_copy_text (reserve->class_name, sizeof reserve->class_name,
-                     place->waiter->ask->class_name);
-      reserve->max_tokens = place->waiter->ask->max_tokens;
+                     request->waiter->ask->class_name);
+      reserve->max_tokens = request->waiter->ask->max_tokens;
       reserve->lend_below_millis
-          = (uint32_t)ceil (place->waiter->ask->lend_below * 1000);
-      reserve->tried_count = place->waiter->ask->tried.count;
-      memcpy (reserve->tried, place->waiter->ask->tried.names,
+          = (uint32_t)ceil (request->waiter->ask->lend_below * 1000);
+      reserve->tried_count = request->waiter->ask->tried.count;
+      memcpy (reserve->tried, request->waiter->ask->tried.names,
               sizeof reserve->tried);
     }
-  csp_send_peer (control, &place->spill->peers[action->peer], &message,
-                 place->id, RELEASE_TIMEOUT_MS);
+  csp_send_peer (control, &request->spill->peers[action->peer], &message,
+                 request->id, MESSAGE_TIMEOUT_MS);
 }
 
 static void
-send_commit (csp_control_t *control, const csp_place_t *place,
+send_commit (csp_control_t *control, const csp_tracked_request_t *request,
              const csp_handoff_action_t *action)
 {
   csp_peer_message_t message = { .kind = CSP_PEER_COMMIT_ASK };
 
   message.u.commit_ask = action->u.commit;
-  csp_send_peer (control, &place->spill->peers[action->peer], &message,
-                 place->id, RELEASE_TIMEOUT_MS);
+  csp_send_peer (control, &request->spill->peers[action->peer], &message,
+                 request->id, MESSAGE_TIMEOUT_MS);
 }
 
 static void
 send_release (csp_control_t *control, const csp_peer_address_t *peer,
-              const csp_release_t *release, const csp_place_t *place)
+              const csp_release_t *release,
+              const csp_tracked_request_t *request)
 {
   csp_peer_message_t message = { .kind = CSP_PEER_RELEASE };
 
   message.u.release.release = *release;
-  if (place != NULL)
+  if (request != NULL)
     {
-      message.u.release.tokens = place->made_tokens;
-      message.u.release.failed = place->link_failed;
+      message.u.release.tokens = request->generated_tokens;
+      message.u.release.failed = request->link_failed;
       csp_copy_text (message.u.release.target, sizeof message.u.release.target,
-                     place->spill->target);
+                     request->spill->target);
     }
-  csp_send_peer (control, peer, &message, 0, RELEASE_TIMEOUT_MS);
+  csp_send_peer (control, peer, &message, 0, MESSAGE_TIMEOUT_MS);
 }
 
 static void
-drop_spill (csp_place_t *place)
+free_spill (csp_tracked_request_t *request)
 {
-  csp_destroy_handoff (place->spill->handoff);
-  free (place->spill);
-  place->spill = NULL;
+  csp_destroy_handoff (request->spill->handoff);
+  free (request->spill);
+  request->spill = NULL;
 }
 
-/* The slot is held: the request leaves the queue and its thread opens the
-   target.  */
+/* The slot is held: remove the request from the queue, and let its thread
+   connect to the target.  */
 static void
-grant_remote (csp_control_t *control, csp_place_t *place, int64_t now_ms)
+grant_remote (csp_control_t *control, csp_tracked_request_t *request,
+              int64_t now_ms)
 {
-  csp_grant_t *grant = place->waiter->grant;
-  csp_spill_t *spill = place->spill;
+  csp_grant_t *grant = request->waiter->grant;
+  csp_spill_t *spill = request->spill;
 
-  csp_charge_waiting (control->pools[place->pool].queue, place->organisation,
-                      place->id, now_ms);
-  place->state = CSP_PLACE_REMOTE;
-  csp_end_limited_wait (place);
+  csp_charge_waiting (control->pools[request->pool].queue,
+                      request->organisation, request->id, now_ms);
+  request->state = CSP_REQUEST_REMOTE;
+  csp_end_limited_wait (request);
   control->granted++;
   control->spilled++;
   csp_copy_text (grant->target, sizeof grant->target, spill->target);
   csp_copy_text (grant->owner, sizeof grant->owner,
-                 spill->peers[spill->holder].name);
+                 spill->peers[spill->granting_peer].name);
   grant->endpoint = spill->endpoint;
-  grant->place = place->id;
-  grant->priority = place->waiter->ask->terms.priority;
-  grant->wait_ms = now_ms - place->asked_ms;
-  csp_answer_waiter (place->waiter, 0);
-  place->waiter = NULL;
+  grant->tracking_id = request->id;
+  grant->priority = request->waiter->ask->terms.priority;
+  grant->wait_ms = now_ms - request->arrived_ms;
+  csp_answer_waiter (request->waiter, 0);
+  request->waiter = NULL;
 }
 
 static void
-carry_out (csp_control_t *control, csp_place_t *place,
-           const csp_handoff_action_t *action, int64_t now_ms)
+execute_action (csp_control_t *control, csp_tracked_request_t *request,
+                const csp_handoff_action_t *action, int64_t now_ms)
 {
   if (action->has_release)
-    send_release (control, &place->spill->peers[action->release_peer],
-                  &action->release, place);
+    send_release (control, &request->spill->peers[action->release_peer],
+                  &action->release, request);
   switch (action->kind)
     {
     case CSP_HANDOFF_SEND_RESERVE:
-      send_reserve (control, place, action);
+      send_reserve (control, request, action);
       break;
     case CSP_HANDOFF_SEND_COMMIT:
-      place->spill->holder = action->peer;
-      send_commit (control, place, action);
+      request->spill->granting_peer = action->peer;
+      send_commit (control, request, action);
       break;
     case CSP_HANDOFF_OPEN_TARGET:
-      if (place->waiter != NULL)
-        grant_remote (control, place, now_ms);
+      if (request->waiter != NULL)
+        grant_remote (control, request, now_ms);
       break;
     case CSP_HANDOFF_GIVE_UP:
-      drop_spill (place);
-      place->next_spill_ms = now_ms + SPILL_PAUSE_MS;
-      control->pools[place->pool].dirty = true;
+      free_spill (request);
+      request->next_spill_ms = now_ms + SPILL_RETRY_MS;
+      control->pools[request->pool].dirty = true;
       break;
     case CSP_HANDOFF_DONE:
-      drop_spill (place);
+      free_spill (request);
       break;
     case CSP_HANDOFF_SEND_REQUEST:
     case CSP_HANDOFF_WAIT:
@@ -135,25 +137,25 @@
 }
 
 static void
-step_spill (csp_control_t *control, csp_place_t *place,
+step_spill (csp_control_t *control, csp_tracked_request_t *request,
             const csp_handoff_event_t *event, int64_t now_ms,
             csp_handoff_action_t *action)
 {
   memset (action, 0, sizeof *action);
-  csp_step_handoff (place->spill->handoff, event, control->holdings_number,
+  csp_step_handoff (request->spill->handoff, event, control->holdings_number,
                     now_ms, action);
-  carry_out (control, place, action, now_ms);
+  execute_action (control, request, action, now_ms);
 }
 
 static csp_reserve_ask_t
-describe_ask (csp_control_t *control, const csp_place_t *place)
+describe_ask (csp_control_t *control, const csp_tracked_request_t *request)
 {
-  const csp_admission_ask_t *wanted = place->waiter->ask;
-  csp_reserve_ask_t ask = { .ask_id = control->next_ask,
-                            .expected_tokens = place->cost_tokens,
+  const csp_admission_ask_t *wanted = request->waiter->ask;
+  csp_reserve_ask_t ask = { .ask_id = control->next_ask_id,
+                            .expected_tokens = request->cost_tokens,
                             .priority = wanted->terms.priority };
 
-  control->next_ask += CSP_HANDOFF_MAX_PEERS;
+  control->next_ask_id += CSP_HANDOFF_MAX_PEERS;
   csp_copy_text (ask.sender.name, sizeof ask.sender.name,
                  control->context->settings.host);
   ask.sender.incarnation = control->incarnation;
@@ -163,51 +165,52 @@
 }
 
 void
-csp_start_spill (csp_control_t *control, csp_place_t *place, int64_t now_ms)
+csp_start_spill (csp_control_t *control, csp_tracked_request_t *request,
+                 int64_t now_ms)
 {
   csp_handoff_settings_t settings = csp_default_handoff_settings ();
   csp_handoff_action_t action = { 0 };
   csp_reserve_ask_t ask;
   size_t count;
 
-  if (place->spill != NULL || now_ms < place->next_spill_ms)
+  if (request->spill != NULL || now_ms < request->next_spill_ms)
     return;
-  place->next_spill_ms = now_ms + SPILL_PAUSE_MS;
-  place->spill = calloc (1, sizeof *place->spill);
-  if (place->spill == NULL)
+  request->next_spill_ms = now_ms + SPILL_RETRY_MS;
+  request->spill = calloc (1, sizeof *request->spill);
+  if (request->spill == NULL)
     return;
-  count = csp_find_spill_peers (control, place, now_ms);
-  ask = describe_ask (control, place);
+  count = csp_choose_spill_peers (control, request, now_ms);
+  ask = describe_ask (control, request);
   if (count > 0)
-    place->spill->handoff = csp_create_handoff (
-        &settings, &ask, count, place->waiter->ask->deadline_ms);
-  if (place->spill->handoff == NULL)
+    request->spill->handoff = csp_create_handoff (
+        &settings, &ask, count, request->waiter->ask->deadline_ms);
+  if (request->spill->handoff == NULL)
     {
-      drop_spill (place);
+      free_spill (request);
       return;
     }
-  place->spill->peer_count = count;
-  csp_start_handoff (place->spill->handoff, now_ms, &action);
-  carry_out (control, place, &action, now_ms);
+  request->spill->peer_count = count;
+  csp_start_handoff (request->spill->handoff, now_ms, &action);
+  execute_action (control, request, &action, now_ms);
 }
 
-/* Which of the peers an answer comes from.  */
+/* The index of the peer that sent an answer.  */
 static size_t
-find_peer_index (const csp_place_t *place, const char *name)
+find_peer_index (const csp_tracked_request_t *request, const char *name)
 {
   size_t i;
 
-  for (i = 0; i < place->spill->peer_count; i++)
-    if (strcmp (place->spill->peers[i].name, name) == 0)
+  for (i = 0; i < request->spill->peer_count; i++)
+    if (strcmp (request->spill->peers[i].name, name) == 0)
       break;
   return i;
 }
 
-/* A slot that comes when nobody waits for it any more is given back at once;
-   otherwise it would be lost for its lease.  */
+/* Release at once a slot that was granted after its request had ended.
+   Otherwise it would stay unused until its lease ends.  */
 static void
-return_slot (csp_control_t *control, const char *peer_name,
-             const csp_reserve_answer_t *answer, int64_t now_ms)
+release_unused_slot (csp_control_t *control, const char *peer_name,
+                     const csp_reserve_answer_t *answer, int64_t now_ms)
 {
   csp_peer_address_t peer;
   csp_release_t release = { .ask_id = answer->ask_id, .nonce = answer->nonce };
@@ -221,80 +224,82 @@
 }
 
 void
-csp_take_reserved (csp_control_t *control,
-                   const csp_control_command_t *command,
-                   const csp_peer_reserved_t *reserved, int64_t now_ms)
+csp_handle_reserve_answer (csp_control_t *control,
+                           const csp_control_command_t *command,
+                           const csp_peer_reserved_t *reserved, int64_t now_ms)
 {
-  csp_place_t *place = csp_find_place (control, command->id);
+  csp_tracked_request_t *request = csp_find_request (control, command->id);
   csp_handoff_event_t event = { .kind = CSP_HANDOFF_RESERVE_ANSWER };
   csp_handoff_action_t action;
 
-  if (place == NULL || place->spill == NULL)
+  if (request == NULL || request->spill == NULL)
     {
-      return_slot (control, command->name, &reserved->answer, now_ms);
+      release_unused_slot (control, command->name, &reserved->answer, now_ms);
       return;
     }
-  event.peer = find_peer_index (place, command->name);
+  event.peer = find_peer_index (request, command->name);
   event.u.reserve = reserved->answer;
   memset (&action, 0, sizeof action);
-  csp_step_handoff (place->spill->handoff, &event, control->holdings_number,
+  csp_step_handoff (request->spill->handoff, &event, control->holdings_number,
                     now_ms, &action);
   if (action.kind == CSP_HANDOFF_SEND_COMMIT)
     {
-      csp_copy_text (place->spill->target, sizeof place->spill->target,
+      csp_copy_text (request->spill->target, sizeof request->spill->target,
                      reserved->answer.target);
       csp_fill_endpoint (control, reserved->address, reserved->port,
-                         &place->spill->endpoint);
+                         &request->spill->endpoint);
     }
-  carry_out (control, place, &action, now_ms);
+  execute_action (control, request, &action, now_ms);
 }
 
 void
-csp_take_committed (csp_control_t *control,
-                    const csp_control_command_t *command,
-                    const csp_commit_answer_t *answer, int64_t now_ms)
+csp_handle_commit_answer (csp_control_t *control,
+                          const csp_control_command_t *command,
+                          const csp_commit_answer_t *answer, int64_t now_ms)
 {
-  csp_place_t *place = csp_find_place (control, command->id);
+  csp_tracked_request_t *request = csp_find_request (control, command->id);
   csp_handoff_event_t event = { .kind = CSP_HANDOFF_COMMIT_ANSWER };
   csp_handoff_action_t action;
 
-  if (place == NULL || place->spill == NULL)
+  if (request == NULL || request->spill == NULL)
     return;
-  event.peer = find_peer_index (place, command->name);
+  event.peer = find_peer_index (request, command->name);
   event.u.commit = *answer;
-  step_spill (control, place, &event, now_ms, &action);
+  step_spill (control, request, &event, now_ms, &action);
 }
 
 void
-csp_cancel_spill (csp_control_t *control, csp_place_t *place, int64_t now_ms)
+csp_cancel_spill (csp_control_t *control, csp_tracked_request_t *request,
+                  int64_t now_ms)
 {
   csp_handoff_event_t event = { .kind = CSP_HANDOFF_HUNG_UP };
   csp_handoff_action_t action;
 
-  if (place->spill == NULL)
+  if (request->spill == NULL)
     return;
-  step_spill (control, place, &event, now_ms, &action);
-  if (place->spill != NULL)
-    drop_spill (place);
+  step_spill (control, request, &event, now_ms, &action);
+  if (request->spill != NULL)
+    free_spill (request);
 }
 
 bool
-csp_confirm_spill (csp_control_t *control, csp_place_t *place, int64_t now_ms)
+csp_confirm_spill (csp_control_t *control, csp_tracked_request_t *request,
+                   int64_t now_ms)
 {
   csp_handoff_event_t event = { .kind = CSP_HANDOFF_BEFORE_SEND };
   csp_handoff_action_t action;
 
-  if (place->spill == NULL)
+  if (request->spill == NULL)
     return false;
-  step_spill (control, place, &event, now_ms, &action);
+  step_spill (control, request, &event, now_ms, &action);
   if (action.kind == CSP_HANDOFF_SEND_REQUEST)
     return true;
-  csp_cancel_spill (control, place, now_ms);
+  csp_cancel_spill (control, request, now_ms);
   return false;
 }
 
 static csp_handoff_event_kind_t
-event_of_outcome (const csp_place_outcome_t *outcome)
+classify_outcome (const csp_place_outcome_t *outcome)
 {
   switch (outcome->end)
     {
@@ -306,25 +311,25 @@
     case CSP_LINK_REJECTED:
       return CSP_HANDOFF_TARGET_REFUSED;
     default:
-      /* When the target confirmed that it stopped, its memory is free.  */
+      /* A target that confirmed the stop has freed the stream's memory.  */
       return outcome->stopped ? CSP_HANDOFF_FINISHED
                               : CSP_HANDOFF_TARGET_FAILED;
     }
 }
 
 void
-csp_finish_spill (csp_control_t *control, csp_place_t *place,
+csp_finish_spill (csp_control_t *control, csp_tracked_request_t *request,
                   const csp_place_outcome_t *outcome, int64_t now_ms)
 {
-  csp_handoff_event_t event = { .kind = event_of_outcome (outcome) };
+  csp_handoff_event_t event = { .kind = classify_outcome (outcome) };
   csp_handoff_action_t action;
 
-  if (place->spill == NULL)
+  if (request->spill == NULL)
     return;
-  place->made_tokens = outcome->tokens;
-  place->link_failed = csp_link_failed (outcome->end);
-  step_spill (control, place, &event, now_ms, &action);
-  csp_cancel_spill (control, place, now_ms);
+  request->generated_tokens = outcome->tokens;
+  request->link_failed = csp_link_failed (outcome->end);
+  step_spill (control, request, &event, now_ms, &action);
+  csp_cancel_spill (control, request, now_ms);
 }
 
 void
@@ -332,15 +337,15 @@
 {
   csp_handoff_event_t event = { .kind = CSP_HANDOFF_TICK };
   csp_handoff_action_t action;
-  csp_place_t *place;
+  csp_tracked_request_t *request;
   uint32_t i;
 
-  for (i = 0; i < control->place_room; i++)
+  for (i = 0; i < control->request_capacity; i++)
     {
-      place = &control->places[i];
-      if (place->id != 0 && place->spill != NULL
-          && now_ms >= csp_next_handoff_tick (place->spill->handoff))
-        step_spill (control, place, &event, now_ms, &action);
+      request = &control->requests[i];
+      if (request->id != 0 && request->spill != NULL
+          && now_ms >= csp_next_handoff_tick (request->spill->handoff))
+        step_spill (control, request, &event, now_ms, &action);
     }
   csp_tick_holdings (control, now_ms);
 }
--- a/source/control/control-status.c
+++ b/source/control/control-status.c
@@ -3,7 +3,7 @@
 #include <json-c/json.h>
 #include <string.h>
 
-static const char *const own_names[]
+static const char *const ownership_state_names[]
     = { "other", "closed", "opening", "open", "leaving" };
 
 static void
@@ -50,7 +50,7 @@
   json_object *row;
   uint32_t i;
 
-  for (i = 0; i < control->target_room; i++)
+  for (i = 0; i < control->target_capacity; i++)
     {
       target = control->targets[i];
       if (target == NULL || !csp_view_target (control->ownership, i, &view))
@@ -59,7 +59,7 @@
       add_text (row, "name", target->listed.name);
       add_text (row, "pool", target->listed.pool);
       add_text (row, "owner", view.owner);
-      add_text (row, "state", own_names[view.state]);
+      add_text (row, "state", ownership_state_names[view.state]);
       add_number (row, "streams", target->streams);
       add_number (row, "used_tokens", csp_ledger_used_tokens (target->ledger));
       add_number (row, "memory_tokens",
--- a/source/control/control-targets.c
+++ b/source/control/control-targets.c
@@ -21,32 +21,32 @@
 {
   csp_target_state_t **targets;
 
-  if (count <= control->target_room)
+  if (count <= control->target_capacity)
     return true;
   if (count > CSP_CONTROL_MAX_TARGETS)
     return false;
   targets = realloc (control->targets, count * sizeof *targets);
   if (targets == NULL)
     return false;
-  memset (targets + control->target_room, 0,
-          (count - control->target_room) * sizeof *targets);
+  memset (targets + control->target_capacity, 0,
+          (count - control->target_capacity) * sizeof *targets);
   control->targets = targets;
-  control->target_room = (uint32_t)count;
+  control->target_capacity = (uint32_t)count;
   return true;
 }
 
 void
-csp_drop_target (csp_target_state_t *target)
+csp_free_unused_target (csp_target_state_t *target)
 {
   if (target->index != UINT32_MAX || target->streams > 0)
     return;
   csp_destroy_ledger (target->ledger);
-  csp_drop_orders (target);
+  csp_free_orders (target);
   free (target);
 }
 
 static void
-unlist_target (csp_control_t *control, uint32_t index)
+remove_target (csp_control_t *control, uint32_t index)
 {
   csp_target_state_t *target = control->targets[index];
 
@@ -55,12 +55,12 @@
   control->targets[index] = NULL;
   csp_reset_health (control->health, index, false);
   target->index = UINT32_MAX;
-  csp_drop_target (target);
+  csp_free_unused_target (target);
 }
 
 static void
-list_target (csp_control_t *control, uint32_t index,
-             const csp_listed_target_t *listed, int64_t now_ms)
+add_target (csp_control_t *control, uint32_t index,
+            const csp_listed_target_t *listed, int64_t now_ms)
 {
   csp_admission_policy_t policy = csp_default_admission_policy ();
   csp_target_state_t *target = calloc (1, sizeof *target);
@@ -72,14 +72,14 @@
   if (target->ledger == NULL || target->orders == NULL)
     {
       csp_destroy_ledger (target->ledger);
-      csp_drop_orders (target);
+      csp_free_orders (target);
       free (target);
       return;
     }
   target->index = index;
   target->listed = *listed;
   control->targets[index] = target;
-  csp_open_target_shift (control, target, now_ms);
+  csp_init_target_shift (control, target, now_ms);
   csp_reset_health (control->health, index, true);
 }
 
@@ -91,23 +91,24 @@
 
   if (!csp_view_target (control->ownership, index, &view))
     {
-      unlist_target (control, index);
+      remove_target (control, index);
       return;
     }
   if (target != NULL && strcmp (target->listed.name, view.target.name) != 0)
-    unlist_target (control, index);
+    remove_target (control, index);
   if (control->targets[index] == NULL)
-    list_target (control, index, &view.target, now_ms);
+    add_target (control, index, &view.target, now_ms);
   target = control->targets[index];
   if (target == NULL)
     return;
   target->listed = view.target;
-  /* One that is gone from the list while streams are open is leaving too. */
+  /* A target removed from the list while it has open streams leaves too.  */
   if (view.state == CSP_OWN_LEAVING)
     target->listed.state = CSP_MEMBER_LEAVING;
-  if (target->listed.state == CSP_MEMBER_LEAVING && target->left_ms == 0)
+  if (target->listed.state == CSP_MEMBER_LEAVING
+      && target->leaving_since_ms == 0)
     {
-      target->left_ms = now_ms;
+      target->leaving_since_ms = now_ms;
       CSP_LOG (control->context->log, CSP_EVENT_TARGET_LEAVING, NULL,
                csp_text ("target", view.target.name),
                csp_number ("open_streams", target->streams));
@@ -122,7 +123,7 @@
 
   if (!grow_targets (control, count))
     return;
-  for (i = 0; i < control->target_room; i++)
+  for (i = 0; i < control->target_capacity; i++)
     sync_target (control, i, now_ms);
 }
 
@@ -137,7 +138,7 @@
 }
 
 static bool
-says_leaving (json_object *report)
+reports_leaving (json_object *report)
 {
   json_object *member = NULL;
 
@@ -146,8 +147,8 @@
 }
 
 static void
-take_report (csp_control_t *control, uint32_t index, json_object *document,
-             int64_t now_ms)
+apply_load_report (csp_control_t *control, uint32_t index,
+                   json_object *document, int64_t now_ms)
 {
   csp_load_report_t report
       = { .report = (uint64_t)get_number (document, "report"),
@@ -156,7 +157,7 @@
           .running = (uint32_t)get_number (document, "running"),
           .waiting = (uint32_t)get_number (document, "waiting"),
           .preemptions = (uint64_t)get_number (document, "preemptions"),
-          .leaving = says_leaving (document) };
+          .leaving = reports_leaving (document) };
 
   csp_take_report (control->targets[index]->ledger, &report, now_ms);
   csp_handle_load_report (control->ownership, index, report.used_tokens,
@@ -164,13 +165,13 @@
 }
 
 void
-csp_take_load_read (csp_control_t *control,
-                    const csp_control_command_t *command, int64_t now_ms)
+csp_handle_load_read (csp_control_t *control,
+                      const csp_control_command_t *command, int64_t now_ms)
 {
   csp_target_state_t *target = control->targets[command->target];
   json_object *document;
 
-  /* The number may have been given to another target in the meantime.  */
+  /* The index may have been reused for another target in the meantime.  */
   if (target == NULL || strcmp (target->listed.name, command->name) != 0)
     return;
   target->report_pending = false;
@@ -179,9 +180,9 @@
   document = json_tokener_parse (command->body);
   if (json_object_is_type (document, json_type_object))
     {
-      take_report (control, command->target, document, now_ms);
-      csp_take_order_report (control, command->target, document,
-                             command->after, now_ms);
+      apply_load_report (control, command->target, document, now_ms);
+      csp_handle_order_report (control, command->target, document,
+                               command->after, now_ms);
     }
   json_object_put (document);
 }
@@ -200,13 +201,14 @@
   command->target = index;
   command->after = now_ms;
   csp_copy_text (command->name, sizeof command->name, target->listed.name);
-  target->next_report_ms = now_ms + CSP_CONTROL_REPORT_MS;
+  target->next_report_ms = now_ms + CSP_CONTROL_REPORT_INTERVAL_MS;
   target->report_pending = csp_start_read (
       control, &endpoint, "/v1/load", CSP_CONTROL_REPORT_TIMEOUT_MS, command);
 }
 
 static void
-ask_carry (csp_control_t *control, const csp_carry_ask_t *ask, int64_t now_ms)
+send_carry_ask (csp_control_t *control, const csp_carry_ask_t *ask,
+                int64_t now_ms)
 {
   csp_peer_message_t message = { .kind = CSP_PEER_CARRY_ASK };
   char *names[CSP_MAX_CARRY_TARGETS];
@@ -215,7 +217,7 @@
 
   for (i = 0; i < ask->count; i++)
     {
-      if (ask->targets[i] >= control->target_room
+      if (ask->targets[i] >= control->target_capacity
           || control->targets[ask->targets[i]] == NULL)
         break;
       names[i] = control->targets[ask->targets[i]]->listed.name;
@@ -233,7 +235,7 @@
   int64_t headroom_tokens = 0;
   uint32_t i;
 
-  for (i = 0; i < control->target_room; i++)
+  for (i = 0; i < control->target_capacity; i++)
     if (control->targets[i] != NULL
         && control->targets[i]->listed.kind == CSP_TARGET_ENGINE
         && csp_find_opening (control->ownership, i, now_ms) > 0)
@@ -248,13 +250,13 @@
   csp_carry_asks_t asks;
   csp_target_view_t view;
   csp_target_state_t *target;
-  size_t asked;
+  size_t ask_index;
   uint32_t i;
 
   csp_tick_ownership (control->ownership, control->membership, now_ms, &asks);
-  for (asked = 0; asked < asks.count; asked++)
-    ask_carry (control, &asks.items[asked], now_ms);
-  for (i = 0; i < control->target_room; i++)
+  for (ask_index = 0; ask_index < asks.count; ask_index++)
+    send_carry_ask (control, &asks.items[ask_index], now_ms);
+  for (i = 0; i < control->target_capacity; i++)
     {
       target = control->targets[i];
       if (target == NULL || target->listed.kind != CSP_TARGET_ENGINE
@@ -274,7 +276,7 @@
 {
   uint32_t i;
 
-  for (i = 0; i < control->target_room; i++)
-    unlist_target (control, i);
+  for (i = 0; i < control->target_capacity; i++)
+    remove_target (control, i);
   free (control->targets);
 }
--- a/source/control/control.c
+++ b/source/control/control.c
@@ -36,8 +36,8 @@
 csp_post_command (csp_control_t *control, csp_control_command_t *command)
 {
   pthread_mutex_lock (&control->inbox_lock);
-  *control->last = command;
-  control->last = &command->next;
+  *control->inbox_last = command;
+  control->inbox_last = &command->next;
   pthread_cond_signal (&control->inbox_wake);
   pthread_mutex_unlock (&control->inbox_lock);
 }
@@ -54,9 +54,9 @@
     }
 }
 
-/* Take all commands at once, waiting for the first until the next tick.  */
+/* Remove all commands from the inbox; waits up to a tick for the first one. */
 static csp_control_command_t *
-take_commands (csp_control_t *control, bool *stopping)
+drain_inbox (csp_control_t *control, bool *stopping)
 {
   struct timespec until;
   csp_control_command_t *commands;
@@ -64,36 +64,37 @@
 
   set_wake_time (&until);
   pthread_mutex_lock (&control->inbox_lock);
-  while (control->first == NULL && !control->stopping && waited == 0)
+  while (control->inbox_first == NULL && !control->stopping && waited == 0)
     waited = pthread_cond_timedwait (&control->inbox_wake,
                                      &control->inbox_lock, &until);
-  commands = control->first;
-  control->first = NULL;
-  control->last = &control->first;
+  commands = control->inbox_first;
+  control->inbox_first = NULL;
+  control->inbox_last = &control->inbox_first;
   *stopping = control->stopping;
   pthread_mutex_unlock (&control->inbox_lock);
   return commands;
 }
 
 static void
-describe_to_waiter (csp_control_t *control, csp_control_command_t *command,
-                    int64_t now_ms)
+answer_describe (csp_control_t *control, csp_control_command_t *command,
+                 int64_t now_ms)
 {
-  command->waiter->text = csp_render_status (control, now_ms);
+  command->waiter->status_json = csp_render_status (control, now_ms);
   csp_answer_waiter (command->waiter, 0);
 }
 
 static void
-confirm_to_waiter (csp_control_t *control, csp_waiter_t *waiter,
-                   int64_t now_ms)
+answer_confirm (csp_control_t *control, csp_waiter_t *waiter, int64_t now_ms)
 {
-  bool holds = csp_confirm_place (control, waiter->grant->place, now_ms);
+  bool is_valid
+      = csp_confirm_request (control, waiter->grant->tracking_id, now_ms);
 
-  /* The claim comes last: once it says yes, it counts as sent.  */
-  if (holds && waiter->once_id != 0)
-    holds = csp_confirm_once (control, waiter->once_id, now_ms);
+  /* The claim is checked last: a call with a confirmed claim counts as
+     sent.  */
+  if (is_valid && waiter->claim_id != 0)
+    is_valid = csp_confirm_once (control, waiter->claim_id, now_ms);
 
-  csp_answer_waiter (waiter, holds ? 0 : -1);
+  csp_answer_waiter (waiter, is_valid ? 0 : -1);
 }
 
 static void
@@ -103,46 +104,46 @@
   switch (command->kind)
     {
     case CSP_COMMAND_ADMIT:
-      csp_take_waiter (control, command->waiter, now_ms);
+      csp_enqueue_waiter (control, command->waiter, now_ms);
       break;
     case CSP_COMMAND_CONFIRM:
-      confirm_to_waiter (control, command->waiter, now_ms);
+      answer_confirm (control, command->waiter, now_ms);
       break;
     case CSP_COMMAND_ABANDON:
       csp_abandon_waiter (control, command->id, now_ms);
       break;
     case CSP_COMMAND_CLAIM:
-      csp_take_once_ask (control, command->waiter, now_ms);
+      csp_start_claim (control, command->waiter, now_ms);
       break;
     case CSP_COMMAND_END_CLAIM:
       csp_end_once (control, command->id, command->once_outcome, now_ms);
       break;
     case CSP_COMMAND_PROGRESS:
-      csp_take_progress (control, command, now_ms);
+      csp_handle_progress (control, command, now_ms);
       break;
     case CSP_COMMAND_RELEASE:
-      csp_take_release (control, command, now_ms);
+      csp_handle_release (control, command, now_ms);
       break;
     case CSP_COMMAND_CONFIG_READ:
-      csp_take_config_read (control, command, now_ms);
+      csp_handle_config_read (control, command, now_ms);
       break;
     case CSP_COMMAND_HOSTS_READ:
-      csp_take_hosts_read (control, command, now_ms);
+      csp_handle_hosts_read (control, command, now_ms);
       break;
     case CSP_COMMAND_LOAD_READ:
-      csp_take_load_read (control, command, now_ms);
+      csp_handle_load_read (control, command, now_ms);
       break;
-    case CSP_COMMAND_ORDER_ANSWER:
-      csp_take_order_answer (control, command, now_ms);
+    case CSP_COMMAND_ORDER_STATUS:
+      csp_handle_order_status (control, command, now_ms);
       break;
     case CSP_COMMAND_PEER_ASK:
-      csp_take_peer_ask (control, command, now_ms);
+      csp_handle_peer_ask (control, command, now_ms);
       break;
     case CSP_COMMAND_PEER_ANSWER:
-      csp_take_peer_answer (control, command, now_ms);
+      csp_handle_peer_answer (control, command, now_ms);
       break;
     case CSP_COMMAND_DESCRIBE:
-      describe_to_waiter (control, command, now_ms);
+      answer_describe (control, command, now_ms);
       break;
     }
 }
@@ -171,7 +172,7 @@
   rcu_register_thread ();
   while (!stopping)
     {
-      run_commands (control, take_commands (control, &stopping));
+      run_commands (control, drain_inbox (control, &stopping));
       now_ms = csp_now_ms (&control->context->clock);
       if (now_ms >= next_tick_ms)
         {
@@ -179,10 +180,10 @@
           csp_tick_config (control, now_ms);
           csp_tick_targets (control, now_ms);
           csp_tick_orders (control, now_ms);
-          csp_follow_ownership (control, now_ms);
+          csp_sync_ownership (control, now_ms);
           csp_tick_spills (control, now_ms);
           csp_tick_once (control, now_ms);
-          csp_tick_choices (control, now_ms);
+          csp_tick_target_health (control, now_ms);
           csp_tick_preemption (control, now_ms);
           csp_tick_rules (control, now_ms);
           csp_tick_admission (control, true, now_ms);
@@ -199,7 +200,7 @@
 {
   pthread_condattr_t attributes;
 
-  control->last = &control->first;
+  control->inbox_last = &control->inbox_first;
   pthread_mutex_init (&control->inbox_lock, NULL);
   pthread_condattr_init (&attributes);
   pthread_condattr_setclock (&attributes, CLOCK_MONOTONIC);
@@ -233,9 +234,9 @@
       || !csp_open_once (control, csp_now_ms (&context->clock))
       || !csp_open_config (control, csp_now_ms (&context->clock)))
     goto fail;
-  control->thread_runs
+  control->thread_started
       = pthread_create (&control->thread, NULL, run_control, control) == 0;
-  if (!control->thread_runs)
+  if (!control->thread_started)
     goto fail;
   return control;
 
@@ -247,7 +248,7 @@
 static void
 stop_thread (csp_control_t *control)
 {
-  if (!control->thread_runs)
+  if (!control->thread_started)
     return;
   pthread_mutex_lock (&control->inbox_lock);
   control->stopping = true;
@@ -266,9 +267,9 @@
   stop_thread (control);
   csp_destroy_fetcher (control->fetcher);
   csp_destroy_peers (control->peers);
-  while ((command = control->first) != NULL)
+  while ((command = control->inbox_first) != NULL)
     {
-      control->first = command->next;
+      control->inbox_first = command->next;
       csp_free_command (command);
     }
   csp_close_once (control);
--- a/source/control/recall.c
+++ b/source/control/recall.c
@@ -19,7 +19,7 @@
 }
 
 csp_recall_t *
-csp_share_recall (csp_recall_t *recall)
+csp_ref_recall (csp_recall_t *recall)
 {
   if (recall != NULL)
     atomic_fetch_add (&recall->references, 1);
@@ -27,7 +27,7 @@
 }
 
 void
-csp_drop_recall (csp_recall_t *recall)
+csp_unref_recall (csp_recall_t *recall)
 {
   if (recall != NULL && atomic_fetch_sub (&recall->references, 1) == 1)
     free (recall);
--- a/source/control/view.c
+++ b/source/control/view.c
@@ -5,10 +5,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Where a pool's value last changed.  */
+/* The revision in which a pool's value last changed.  */
 typedef struct
 {
-  const char *name; /* the declaration's */
+  const char *name; /* owned by the declaration */
   int64_t revision;
 } pool_revision_t;
 
@@ -18,7 +18,7 @@
   csp_declaration_t *declaration;
   pool_revision_t *pools;
   size_t pool_count;
-  const char **models; /* that routes name */
+  const char **models; /* named by routes, in their order */
   size_t model_count;
 };
 
@@ -126,9 +126,9 @@
   return view == NULL ? NULL : view->declaration;
 }
 
-/* Readers hold the RCU lock only while they count themselves in; a stream of
-   minutes holds a count and no lock, so that a change of configuration never
-   waits for the longest answer.  */
+/* Readers hold the RCU read lock only while they take a reference.  A stream
+   that runs for minutes holds a reference and no lock, so that a change of the
+   configuration never waits for the longest answer.  */
 void
 csp_publish_view (csp_control_t *control, csp_view_t *view)
 {
--- a/source/control/waiter.c
+++ b/source/control/waiter.c
@@ -5,7 +5,7 @@
 
 enum
 {
-  GONE_POLL_MS = 200,
+  HANG_UP_POLL_MS = 200,
   NS_PER_MS = 1000000,
   NS_PER_S = 1000000000
 };
@@ -20,11 +20,12 @@
   pthread_mutex_unlock (&waiter->lock);
 }
 
-/* Wait for a while, then look whether the caller is still there.  One that
-   hung up would otherwise keep its turn in the queue, and an engine would
-   work for nobody.  Called and returns with the lock held.  */
+/* Wait for the decision for a limited time, then check whether the caller has
+   hung up.  Its request would otherwise stay queued, and an engine would work
+   on an answer without a reader.  The caller holds waiter->lock.  */
 static void
-await_decision (csp_control_t *control, csp_waiter_t *waiter, bool *abandoned)
+wait_for_decision (csp_control_t *control, csp_waiter_t *waiter,
+                   bool *abandoned)
 {
   csp_control_command_t *command;
   struct timespec until;
@@ -35,7 +36,7 @@
       return;
     }
   clock_gettime (CLOCK_REALTIME, &until);
-  until.tv_nsec += (long)GONE_POLL_MS * NS_PER_MS;
+  until.tv_nsec += (long)HANG_UP_POLL_MS * NS_PER_MS;
   until.tv_sec += until.tv_nsec / NS_PER_S;
   until.tv_nsec %= NS_PER_S;
   if (pthread_cond_timedwait (&waiter->decided, &waiter->lock, &until) == 0
@@ -50,8 +51,8 @@
 }
 
 static int
-await_answer (csp_control_t *control, csp_waiter_t *waiter,
-              csp_control_command_kind_t kind)
+post_and_wait (csp_control_t *control, csp_waiter_t *waiter,
+               csp_control_command_kind_t kind)
 {
   csp_control_command_t *command = csp_new_command (kind);
   bool abandoned = false;
@@ -61,11 +62,11 @@
   pthread_mutex_init (&waiter->lock, NULL);
   pthread_cond_init (&waiter->decided, NULL);
   command->waiter = waiter;
-  waiter->number = atomic_fetch_add (&control->next_waiter, 1);
+  waiter->number = atomic_fetch_add (&control->next_waiter_number, 1);
   csp_post_command (control, command);
   pthread_mutex_lock (&waiter->lock);
   while (!waiter->is_decided)
-    await_decision (control, waiter, &abandoned);
+    wait_for_decision (control, waiter, &abandoned);
   pthread_mutex_unlock (&waiter->lock);
   pthread_cond_destroy (&waiter->decided);
   pthread_mutex_destroy (&waiter->lock);
@@ -76,22 +77,23 @@
 csp_ask_admission (csp_control_t *control, const csp_admission_ask_t *ask,
                    csp_grant_t *grant, csp_error_t *error)
 {
-  csp_waiter_t waiter = { .held = *ask, .grant = grant, .error = error };
+  csp_waiter_t waiter
+      = { .current_ask = *ask, .grant = grant, .error = error };
 
   csp_set_error (error, CSP_VERDICT_NOT_RUN, CSP_REASON_INTERNAL, 0,
                  "out of memory");
   memset (grant, 0, sizeof *grant);
-  waiter.ask = &waiter.held;
-  return await_answer (control, &waiter, CSP_COMMAND_ADMIT);
+  waiter.ask = &waiter.current_ask;
+  return post_and_wait (control, &waiter, CSP_COMMAND_ADMIT);
 }
 
 bool
 csp_confirm_grant (csp_control_t *control, const csp_grant_t *grant,
                    uint64_t claim)
 {
-  csp_waiter_t waiter = { .grant = (csp_grant_t *)grant, .once_id = claim };
+  csp_waiter_t waiter = { .grant = (csp_grant_t *)grant, .claim_id = claim };
 
-  return await_answer (control, &waiter, CSP_COMMAND_CONFIRM) == 0;
+  return post_and_wait (control, &waiter, CSP_COMMAND_CONFIRM) == 0;
 }
 
 int
@@ -103,8 +105,8 @@
 
   csp_set_error (error, CSP_VERDICT_MAY_HAVE_RUN, CSP_REASON_INTERNAL, 0,
                  "out of memory");
-  result = await_answer (control, &waiter, CSP_COMMAND_CLAIM);
-  *claim = waiter.once_id;
+  result = post_and_wait (control, &waiter, CSP_COMMAND_CLAIM);
+  *claim = waiter.claim_id;
   return result;
 }
 
@@ -114,7 +116,8 @@
 {
   csp_control_command_t *command = csp_new_command (CSP_COMMAND_END_CLAIM);
 
-  /* Without memory the claim stays open, which nobody takes for not run.  */
+  /* Without memory the claim stays open; no host takes an open claim as not
+     run.  */
   if (command == NULL)
     return;
   command->id = claim;
@@ -127,8 +130,8 @@
 {
   csp_waiter_t waiter = { 0 };
 
-  await_answer (control, &waiter, CSP_COMMAND_DESCRIBE);
-  return waiter.text;
+  post_and_wait (control, &waiter, CSP_COMMAND_DESCRIBE);
+  return waiter.status_json;
 }
 
 void
@@ -139,7 +142,7 @@
 
   if (command == NULL)
     return;
-  command->place = grant->place;
+  command->tracking_id = grant->tracking_id;
   command->tokens = tokens;
   command->blocked_ms = blocked_ms;
   csp_post_command (control, command);
@@ -151,11 +154,12 @@
 {
   csp_control_command_t *command = csp_new_command (CSP_COMMAND_RELEASE);
 
-  /* Without memory the place would be lost for good; better to stop.  */
+  /* Without the command the grant would never be released, so stop the
+     process.  */
   if (command == NULL)
     abort ();
-  command->place = grant->place;
+  command->tracking_id = grant->tracking_id;
   command->outcome = *outcome;
   csp_post_command (control, command);
-  csp_drop_recall (grant->recall);
+  csp_unref_recall (grant->recall);
 }
