--- a/include/cowslipspoke/gateway.h
+++ b/include/cowslipspoke/gateway.h
@@ -12,42 +12,44 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* The forwarding side of a host: callers' HTTP requests go unchanged to
-   targets and the answers come back unchanged.  One traffic thread runs it on
-   an event loop; the control thread tells it what the platform says by
-   updates.  */
+/* The forwarding side of a host: it forwards callers' HTTP requests unchanged
+   to targets and returns the answers unchanged.  One traffic thread runs it on
+   an event loop; the control thread passes on what the platform reports
+   through updates.  */
 
 enum
 {
   CSP_GATEWAY_SEEDS_MAX = 8
 };
 
-/* What a host's forwarder is given at its start.  */
+/* Settings of a host's forwarder, fixed at its start.  */
 typedef struct
 {
   char host[64];
   char data_centre[64];
-  struct sockaddr_in front;   /* callers */
-  struct sockaddr_in ready;   /* the balancer's question */
-  struct sockaddr_in metrics; /* port 0: none */
-  struct sockaddr_in peers;   /* datagrams of other hosts; port 0: none */
+  struct sockaddr_in front;   /* listens for callers */
+  struct sockaddr_in ready;   /* listens for the balancer's readiness checks */
+  struct sockaddr_in metrics; /* port 0: no listener */
+  /* Receives datagrams of other hosts; port 0: none.  */
+  struct sockaddr_in peers;
   size_t seed_count;
   struct sockaddr_in seeds[CSP_GATEWAY_SEEDS_MAX];
-  /* What its processor and link can carry, in thousandths of a core; 0: not
-     known.  */
+  /* What the host's processor and link can carry, in thousandths of a core; 0:
+     unknown.  */
   uint32_t capacity;
-  /* How long a stop may take in all, before the process is killed.  */
+  /* Longest duration of a stop; afterwards the process is killed.  */
   uint32_t stop_limit_ms;
-  /* Extra arrivals at a service: this share of its requests; what this host
-     may save up of that, and has when it starts; and what all hosts together
-     may send beyond it, in any window.  */
+  /* Retry budget of a service: the share of its requests that may be sent as
+     extra attempts; the most that this host may save up of that share, and
+     what it has at its start; and how many more all hosts together may send in
+     any window.  */
   double retry_share;
   double retry_saved_max;
   double retry_start;
   uint32_t retry_extra;
   uint32_t retry_window_ms;
-  /* A cold target may get its service's rate times the first and the second
-     more requests in a second, of all hosts together.  */
+  /* In a second all hosts together may send a cold target its service's rate
+     times cold_overage, plus cold_tolerance requests.  */
   double cold_overage;
   double cold_tolerance;
 } csp_gateway_settings_t;
@@ -57,59 +59,59 @@
   CSP_UPDATE_ROUTES,
   CSP_UPDATE_TARGET,
   CSP_UPDATE_TARGET_REMOVED,
-  CSP_UPDATE_CORDON,          /* a data centre gets nothing new, or does */
-  CSP_UPDATE_LISTED,          /* the whole list of targets has been told */
-  CSP_UPDATE_PLATFORM_HEARD,  /* it can be read, with or without news */
-  CSP_UPDATE_PLATFORM_LAPSES, /* its own rows may be missing for a while */
-  CSP_UPDATE_SIGHTED, /* this host reads the platform and is answered, or not
-                       */
+  CSP_UPDATE_CORDON, /* a data centre is cordoned or its cordon lifted */
+  CSP_UPDATE_LISTED, /* all targets of the platform's list have been sent */
+  CSP_UPDATE_PLATFORM_HEARD,  /* also when nothing changed */
+  CSP_UPDATE_PLATFORM_LAPSES, /* its rows may be missing for a while */
+  CSP_UPDATE_SIGHTED,         /* whether this host itself gets answers */
   CSP_UPDATE_PLATFORM_AWAY,
   CSP_UPDATE_PLATFORM_BACK,
   CSP_UPDATE_STOP
 } csp_update_kind_t;
 
-/* What the control thread tells the traffic thread.  */
+/* An update from the control thread to the traffic thread.  */
 typedef struct
 {
   csp_update_kind_t kind;
   union
   {
-    csp_routes_t *routes; /* the forwarder's from now on */
+    csp_routes_t *routes; /* ownership passes to the forwarder */
     csp_fleet_row_t target;
     char target_id[CSP_TARGET_ID_BYTES];
     struct
     {
       char data_centre[CSP_CORDON_NAME_BYTES];
-      bool on; /* else it is lifted */
+      bool on; /* false: the cordon is lifted */
     } cordon;
-    uint32_t age_ms; /* since the platform itself was heard */
+    uint32_t age_ms; /* since the platform itself was read */
     bool sighted;
   } value;
 } csp_update_t;
 
 typedef struct csp_gateway csp_gateway_t;
 
-/* Open the listeners.  NULL with a message where that fails.  dialect and log
-   must outlive it.  */
+/* Open the listeners.  On failure return NULL and write a message.  dialect
+ * and log must outlive the gateway.  */
 csp_gateway_t *csp_create_gateway (const csp_gateway_settings_t *settings,
                                    const csp_dialect_t *dialect,
                                    const csp_clock_t *clock, csp_log_t *log,
                                    char *message, size_t message_bytes);
 void csp_destroy_gateway (csp_gateway_t *gateway);
 
-/* Serve until a stop is done: no caller is left, or the limit has come.  */
+/* Serve until a stop is complete: no caller is left, or the time limit is
+   reached.  */
 void csp_run_gateway (csp_gateway_t *gateway);
 
-/* Tell the traffic thread, from any thread.  False when memory fails; a
-   version of routes is then released.  */
+/* Queue an update for the traffic thread; may be called from any thread.
+   False when memory fails; routes in the update are then released.  */
 bool csp_update_gateway (csp_gateway_t *gateway, const csp_update_t *update);
 
-/* Live hosts, for the control thread.  Returns how many were written.  */
+/* List live hosts; for the control thread.  Returns how many were written.  */
 size_t csp_list_gateway_peers (csp_gateway_t *gateway,
                                csp_peer_address_t *addresses, size_t room);
 
-/* Which hosts may read the platform for this one, best first.  For the control
-   thread.  */
+/* The hosts that may read the platform for this one, best first; for the
+   control thread.  */
 void csp_rank_gateway_readers (csp_gateway_t *gateway,
                                csp_reader_ranks_t *ranks);
 
--- a/source/gateway/gateway-answer.c
+++ b/source/gateway/gateway-answer.c
@@ -43,11 +43,11 @@
 csp_begin_answer (csp_exchange_t *exchange, int64_t length_bytes)
 {
   csp_caller_t *caller = exchange->caller;
-  const csp_http_head_t *request = csp_caller_head (caller);
+  const csp_http_head_t *request = csp_caller_request_head (caller);
   csp_buffer_t *head = &exchange->head;
   bool bodiless = exchange->status == STATUS_NO_CONTENT
                   || exchange->status == STATUS_NOT_MODIFIED;
-  bool closes = !csp_caller_keeps (caller);
+  bool closes = !csp_caller_keeps_alive (caller);
 
   exchange->answer_begun = true;
   exchange->chunked = length_bytes < 0 && request->minor_version > 0;
@@ -64,7 +64,8 @@
 static bool
 is_head_request (const csp_exchange_t *exchange)
 {
-  return strcmp (csp_caller_head (exchange->caller)->method, "HEAD") == 0;
+  return strcmp (csp_caller_request_head (exchange->caller)->method, "HEAD")
+         == 0;
 }
 
 /* Send what is held as a whole answer.  One to HEAD tells the length that the
@@ -75,10 +76,11 @@
   csp_buffer_t *head = &exchange->head;
   int64_t length_bytes = is_head_request (exchange)
                              ? exchange->stated_bytes
-                             : (int64_t)exchange->kept.size_bytes;
+                             : (int64_t)exchange->buffered.size_bytes;
 
   csp_begin_answer (exchange, length_bytes);
-  csp_append_buffer (head, exchange->kept.data, exchange->kept.size_bytes);
+  csp_append_buffer (head, exchange->buffered.data,
+                     exchange->buffered.size_bytes);
   csp_write_caller (exchange->caller, head->data, head->size_bytes);
   csp_finish_exchange (exchange);
 }
@@ -115,13 +117,13 @@
 
   if (spent)
     return CSP_RETRY_ATTEMPTS;
-  return csp_decide_retry (csp_find_budget (gateway, exchange->service->name),
-                           &facts);
+  return csp_decide_retry (
+      csp_find_retry_budget (gateway, exchange->service->name), &facts);
 }
 
 void
-csp_try_again (csp_exchange_t *exchange, csp_reason_t reason,
-               const char *detail, bool may_wait)
+csp_retry_or_fail (csp_exchange_t *exchange, csp_reason_t reason,
+                   const char *detail, bool may_wait)
 {
   csp_gateway_t *gateway = exchange->gateway;
   csp_retry_t decision = decide_retry (exchange);
@@ -163,13 +165,13 @@
   exchange->verdict = CSP_VERDICT_NOT_RUN;
   if (exchange->move.state == CSP_MOVE_RESUMING)
     {
-      if (!csp_rescue_stream (exchange))
+      if (!csp_try_resume_stream (exchange))
         csp_fail_exchange (exchange, CSP_REASON_STREAM_CUT,
                            "the copy was not there");
       return;
     }
-  csp_try_again (exchange, CSP_REASON_TARGET_REFUSED, "the target refused it",
-                 true);
+  csp_retry_or_fail (exchange, CSP_REASON_TARGET_REFUSED,
+                     "the target refused it", true);
 }
 
 /* The request may have run and there is no answer to pass on.  */
@@ -182,11 +184,11 @@
   exchange->may_have_run = true;
   if (exchange->events > 0)
     {
-      if (!csp_rescue_stream (exchange))
+      if (!csp_try_resume_stream (exchange))
         csp_fail_exchange (exchange, CSP_REASON_STREAM_CUT, detail);
       return;
     }
-  csp_try_again (exchange, CSP_REASON_TARGET_FAILED, detail, true);
+  csp_retry_or_fail (exchange, CSP_REASON_TARGET_FAILED, detail, true);
 }
 
 /* Whether the head answers this very request.  A late second answer to the
@@ -220,10 +222,10 @@
   exchange->until_close = head->framing == CSP_BODY_UNTIL_CLOSE;
   if (exchange->events == 0)
     keep_head (exchange, head);
-  exchange->mode = exchange->route->kind == CSP_ROUTE_STREAM
-                       ? CSP_ANSWER_STREAM
-                       : CSP_ANSWER_HELD;
-  csp_clear_buffer (&exchange->kept);
+  exchange->answer_mode = exchange->route->kind == CSP_ROUTE_STREAM
+                              ? CSP_ANSWER_STREAM
+                              : CSP_ANSWER_BUFFERED;
+  csp_clear_buffer (&exchange->buffered);
 }
 
 static void
@@ -235,7 +237,7 @@
                  || head->status == STATUS_MISDIRECTED;
 
   csp_note_target_answered (exchange->gateway, exchange->target);
-  csp_take_target_state (exchange->gateway, exchange->target, head);
+  csp_handle_target_state (exchange->gateway, exchange->target, head);
   if (!answers_this (exchange, head))
     {
       take_failure (exchange, "the answer is to another request");
@@ -266,7 +268,7 @@
   exchange->may_have_run = true;
   exchange->status = head->status;
   keep_head (exchange, head);
-  exchange->mode = CSP_ANSWER_HELD;
+  exchange->answer_mode = CSP_ANSWER_BUFFERED;
 }
 
 /* An answer that is too long to be held is passed on as it comes.  */
@@ -290,19 +292,20 @@
 static void
 hold_piece (csp_exchange_t *exchange, const char *piece, size_t piece_bytes)
 {
-  if (!csp_append_buffer (&exchange->kept, piece, piece_bytes))
+  if (!csp_append_buffer (&exchange->buffered, piece, piece_bytes))
     {
       csp_fail_exchange (exchange, CSP_REASON_INTERNAL, "out of memory");
       return;
     }
-  if (exchange->kept.size_bytes <= CSP_ANSWER_KEPT_BYTES)
+  if (exchange->buffered.size_bytes <= CSP_ANSWER_BUFFER_MAX_BYTES)
     return;
-  exchange->mode = CSP_ANSWER_PASSED;
+  exchange->answer_mode = CSP_ANSWER_FORWARDED;
   csp_begin_answer (exchange, -1);
   csp_write_caller (exchange->caller, exchange->head.data,
                     exchange->head.size_bytes);
-  pass_piece (exchange, exchange->kept.data, exchange->kept.size_bytes);
-  csp_clear_buffer (&exchange->kept);
+  pass_piece (exchange, exchange->buffered.data,
+              exchange->buffered.size_bytes);
+  csp_clear_buffer (&exchange->buffered);
 }
 
 static void
@@ -310,18 +313,18 @@
 {
   csp_exchange_t *exchange = state;
 
-  switch (exchange->mode)
+  switch (exchange->answer_mode)
     {
     case CSP_ANSWER_NONE:
       break;
-    case CSP_ANSWER_HELD:
+    case CSP_ANSWER_BUFFERED:
       hold_piece (exchange, piece, piece_bytes);
       break;
-    case CSP_ANSWER_PASSED:
+    case CSP_ANSWER_FORWARDED:
       pass_piece (exchange, piece, piece_bytes);
       break;
     case CSP_ANSWER_STREAM:
-      csp_take_stream (exchange, piece, piece_bytes);
+      csp_handle_stream_bytes (exchange, piece, piece_bytes);
       break;
     }
 }
@@ -336,7 +339,7 @@
   if (is_success (exchange->status))
     csp_note_request_served (exchange);
   exchange->link = NULL;
-  csp_give_link_back (exchange->gateway, exchange->target, link);
+  csp_release_link (exchange->gateway, exchange->target, link);
 }
 
 static void
@@ -346,7 +349,7 @@
      stopped; and an event that isn't whole shows that it broke off.  */
   if (exchange->until_close
       && (exchange->move.state == CSP_MOVE_STOPPING
-          || exchange->kept.size_bytes > 0))
+          || exchange->buffered.size_bytes > 0))
     {
       take_failure (exchange, "the stream broke off");
       return;
@@ -361,7 +364,8 @@
     {
       csp_buffer_t rest = { 0 };
 
-      csp_append_chunk (&rest, exchange->kept.data, exchange->kept.size_bytes);
+      csp_append_chunk (&rest, exchange->buffered.data,
+                        exchange->buffered.size_bytes);
       csp_append_buffer (&rest, csp_last_chunk, strlen (csp_last_chunk));
       csp_write_caller (exchange->caller, rest.data, rest.size_bytes);
       csp_clear_buffer (&rest);
@@ -376,16 +380,16 @@
 
   csp_note_outcome (exchange->target, exchange->status >= STATUS_SERVER_ERROR,
                     csp_gateway_now_ms (exchange->gateway));
-  switch (exchange->mode)
+  switch (exchange->answer_mode)
     {
     case CSP_ANSWER_NONE:
       take_failure (exchange, "the answer has no head");
       break;
-    case CSP_ANSWER_HELD:
+    case CSP_ANSWER_BUFFERED:
       finish_attempt (exchange);
       send_held (exchange);
       break;
-    case CSP_ANSWER_PASSED:
+    case CSP_ANSWER_FORWARDED:
       finish_attempt (exchange);
       if (exchange->chunked)
         csp_write_caller (exchange->caller, csp_last_chunk,
@@ -424,7 +428,7 @@
       csp_number ("sent_ms",
                   csp_gateway_now_ms (gateway) - exchange->sent_at_ms),
       csp_number ("target_requests", (int64_t)exchange->target->own.requests));
-  csp_note_target_ended (exchange);
+  csp_note_connection_lost (exchange);
 }
 
 static void
@@ -436,7 +440,7 @@
   note_attempt_lost (exchange, why);
   if (why == CSP_LINK_UNREACHABLE || why == CSP_LINK_RESET)
     csp_note_target_failed (gateway, exchange->target);
-  if (exchange->mode == CSP_ANSWER_PASSED)
+  if (exchange->answer_mode == CSP_ANSWER_FORWARDED)
     {
       csp_note_outcome (exchange->target, true, csp_gateway_now_ms (gateway));
       csp_fail_exchange (exchange, CSP_REASON_STREAM_CUT,
@@ -452,14 +456,14 @@
   exchange->verdict = CSP_VERDICT_NOT_RUN;
   if (exchange->events > 0)
     {
-      if (!csp_rescue_stream (exchange))
+      if (!csp_try_resume_stream (exchange))
         csp_fail_exchange (exchange, CSP_REASON_STREAM_CUT,
                            failure_details[why]);
       return;
     }
   /* No byte has left, so this was no attempt, and costs no retry.  */
   exchange->attempts--;
-  exchange->unreached++;
+  exchange->connect_failures++;
   csp_send_attempt (exchange);
 }
 
@@ -480,7 +484,7 @@
                                                .drained = on_drained };
 
 void
-csp_caller_drained (csp_exchange_t *exchange)
+csp_resume_target_reads (csp_exchange_t *exchange)
 {
   if (exchange->link != NULL
       && csp_caller_backlog (exchange->caller) <= CSP_BACKLOG_BYTES)
--- a/source/gateway/gateway-attempt.c
+++ b/source/gateway/gateway-attempt.c
@@ -51,7 +51,7 @@
   target->own.tokens -= exchange->tokens;
   target->users--;
   if (target->is_engine)
-    csp_tell_load (exchange->gateway);
+    csp_schedule_load_report (exchange->gateway);
 }
 
 /* Whether a caller's field goes on to the target.  */
@@ -110,7 +110,7 @@
 write_head (csp_exchange_t *exchange, const csp_fleet_target_t *target,
             const char *copy, csp_buffer_t *out)
 {
-  const csp_http_head_t *head = csp_caller_head (exchange->caller);
+  const csp_http_head_t *head = csp_caller_request_head (exchange->caller);
   size_t i;
 
   csp_print_buffer (out, "%s %s HTTP/1.1\r\n", head->method, head->target);
@@ -135,11 +135,13 @@
 body_goes_in_chunks (const csp_exchange_t *exchange)
 {
   return exchange->body_streams
-         && csp_caller_head (exchange->caller)->framing == CSP_BODY_CHUNKED;
+         && csp_caller_request_head (exchange->caller)->framing
+                == CSP_BODY_CHUNKED;
 }
 
 void
-csp_pass_body (csp_exchange_t *exchange, const char *piece, size_t piece_bytes)
+csp_forward_body (csp_exchange_t *exchange, const char *piece,
+                  size_t piece_bytes)
 {
   csp_buffer_t chunk = { 0 };
 
@@ -158,7 +160,7 @@
 }
 
 void
-csp_pass_body_end (csp_exchange_t *exchange)
+csp_forward_body_end (csp_exchange_t *exchange)
 {
   if (exchange->link == NULL)
     return;
@@ -171,8 +173,8 @@
 csp_send_to_target (csp_exchange_t *exchange, csp_fleet_target_t *target,
                     const char *copy)
 {
-  csp_link_t *link = csp_take_link (exchange->gateway, target);
-  const csp_http_head_t *head = csp_caller_head (exchange->caller);
+  csp_link_t *link = csp_acquire_link (exchange->gateway, target);
+  const csp_http_head_t *head = csp_caller_request_head (exchange->caller);
   csp_buffer_t out = { 0 };
 
   if (link == NULL)
@@ -187,9 +189,9 @@
   target->own.reading_tokens += exchange->reading_tokens;
   target->is_engine = exchange->service->is_engine;
   if (target->is_engine)
-    csp_tell_load (exchange->gateway);
-  exchange->mode = CSP_ANSWER_NONE;
-  exchange->run_since_ms = 0;
+    csp_schedule_load_report (exchange->gateway);
+  exchange->answer_mode = CSP_ANSWER_NONE;
+  exchange->run_started_ms = 0;
   exchange->last_data_ms = csp_gateway_now_ms (exchange->gateway);
   exchange->sent_at_ms = exchange->last_data_ms;
   csp_start_link_request (link, &csp_attempt_events, exchange,
@@ -200,7 +202,8 @@
   csp_write_link (link, out.data, out.size_bytes);
   csp_clear_buffer (&out);
   if (body_goes_in_chunks (exchange))
-    csp_pass_body (exchange, exchange->body.data, exchange->body.size_bytes);
+    csp_forward_body (exchange, exchange->body.data,
+                      exchange->body.size_bytes);
   if (exchange->body_whole)
     csp_finish_link_request (link);
   return true;
@@ -216,7 +219,7 @@
 }
 
 void
-csp_send_first (csp_exchange_t *exchange, csp_fleet_target_t *target)
+csp_start_attempt (csp_exchange_t *exchange, csp_fleet_target_t *target)
 {
   exchange->attempts++;
   exchange->waited_ms
@@ -230,7 +233,7 @@
 }
 
 void
-csp_place_alone (csp_exchange_t *exchange)
+csp_place_locally (csp_exchange_t *exchange)
 {
   csp_gateway_t *gateway = exchange->gateway;
   csp_fleet_need_t need
@@ -240,19 +243,19 @@
           .memory_tokens = exchange->service->memory_tokens,
           .tokens = exchange->tokens,
           .repeatable = exchange->route->kind == CSP_ROUTE_IDEMPOTENT,
-          .not_this = exchange->failed_at,
+          .not_this = exchange->failed_target,
           .own = true };
   csp_fleet_target_t *target = csp_choose_fleet_target (
       gateway->fleet, &need, &gateway->random, csp_gateway_now_ms (gateway));
 
-  if (target == NULL || exchange->unreached > UNREACHED_TRIES_MAX)
+  if (target == NULL || exchange->connect_failures > UNREACHED_TRIES_MAX)
     {
       exchange->retry_after_ms = csp_isolated_retry_ms (gateway);
       csp_fail_exchange (exchange, CSP_REASON_NO_TARGET,
                          "no target can take it");
     }
   else
-    csp_send_first (exchange, target);
+    csp_start_attempt (exchange, target);
 }
 
 void
@@ -260,15 +263,15 @@
 {
   /* One that waited for a lease has left its target already.  */
   if (exchange->target != NULL)
-    exchange->failed_at = exchange->target;
+    exchange->failed_target = exchange->target;
   csp_drop_attempt (exchange);
   csp_drop_backup (exchange);
   if (exchange->service == NULL)
     {
       exchange->service = draw_service (exchange);
       if (exchange->service != NULL)
-        csp_note_first_attempt (
-            csp_find_budget (exchange->gateway, exchange->service->name));
+        csp_note_first_attempt (csp_find_retry_budget (
+            exchange->gateway, exchange->service->name));
     }
   if (exchange->service == NULL)
     csp_fail_exchange (exchange, CSP_REASON_NO_TARGET,
@@ -280,9 +283,9 @@
     csp_refuse_cordoned (exchange);
   else if (csp_is_service_backed_off (exchange))
     csp_refuse_backed_off (exchange);
-  else if (exchange->service->is_engine && exchange->unreached == 0
-           && exchange->gateway->alone_since_ms == 0)
+  else if (exchange->service->is_engine && exchange->connect_failures == 0
+           && exchange->gateway->isolated_since_ms == 0)
     csp_ask_for_place (exchange);
   else
-    csp_place_alone (exchange);
+    csp_place_locally (exchange);
 }
--- a/source/gateway/gateway-backup.c
+++ b/source/gateway/gateway-backup.c
@@ -39,8 +39,8 @@
 }
 
 csp_fleet_target_t *
-csp_choose_elsewhere (csp_exchange_t *exchange,
-                      const csp_fleet_target_t *target, double share_max)
+csp_choose_other_target (csp_exchange_t *exchange,
+                         const csp_fleet_target_t *target, double share_max)
 {
   csp_gateway_t *gateway = exchange->gateway;
   csp_fleet_need_t need = { .service = exchange->service->name,
@@ -54,8 +54,8 @@
                             .own = true };
 
   if (csp_gateway_now_ms (gateway) < exchange->move.refused_until_ms)
-    need.nor_this
-        = csp_find_hashed_target (gateway->fleet, exchange->move.refused_at);
+    need.nor_this = csp_find_hashed_target (gateway->fleet,
+                                            exchange->move.refusing_target);
   return csp_choose_fleet_target (gateway->fleet, &need, &gateway->random,
                                   csp_gateway_now_ms (gateway));
 }
@@ -65,7 +65,7 @@
 backup_pays (const csp_exchange_t *exchange)
 {
   double told_share
-      = csp_told_pool_share (exchange->gateway, exchange->service->name);
+      = csp_reported_pool_share (exchange->gateway, exchange->service->name);
   const csp_route_service_t *service = exchange->service;
   double share
       = csp_find_pool_share (exchange->gateway->fleet, service->name,
@@ -87,7 +87,7 @@
   if (exchange->route->kind != CSP_ROUTE_STREAM
       || !exchange->service->takes_backups || !backup_pays (exchange))
     return;
-  backup = csp_choose_elsewhere (exchange, target, backup_share_max);
+  backup = csp_choose_other_target (exchange, target, backup_share_max);
   if (backup == NULL)
     return;
   backup->own.backup_tokens += exchange->tokens;
@@ -98,14 +98,14 @@
 
 /* Whether there may be a copy to go on from.  */
 bool
-csp_backup_stands (const csp_exchange_t *exchange)
+csp_has_usable_backup (const csp_exchange_t *exchange)
 {
   int64_t now_ms = csp_gateway_now_ms (exchange->gateway);
 
   return exchange->backup != NULL && csp_takes_new_work (exchange->backup)
          && !csp_is_paced (exchange->backup, now_ms)
          && !csp_is_backed_off (exchange->backup, now_ms)
-         && exchange->run_since_ms != 0;
+         && exchange->run_started_ms != 0;
 }
 
 /* Whether the copy is surely whole, so that a sound run may be given up for
@@ -119,7 +119,7 @@
   int64_t settles_ms
       = BACKUP_SETTLES_MS + (int64_t)(BACKUP_COPY_TIMES * copy_ms);
 
-  return csp_backup_stands (exchange)
-         && csp_gateway_now_ms (exchange->gateway) - exchange->run_since_ms
+  return csp_has_usable_backup (exchange)
+         && csp_gateway_now_ms (exchange->gateway) - exchange->run_started_ms
                 >= settles_ms;
 }
--- a/source/gateway/gateway-caller-answer.c
+++ b/source/gateway/gateway-caller-answer.c
@@ -57,7 +57,7 @@
 }
 
 const csp_http_head_t *
-csp_caller_head (const csp_caller_t *caller)
+csp_caller_request_head (const csp_caller_t *caller)
 {
   return csp_http_head (caller->reader);
 }
@@ -72,7 +72,7 @@
   if (status < 0)
     csp_close_caller (caller);
   else if (caller->exchange != NULL)
-    csp_caller_drained (caller->exchange);
+    csp_resume_target_reads (caller->exchange);
 }
 
 void
@@ -90,11 +90,11 @@
 }
 
 bool
-csp_caller_keeps (const csp_caller_t *caller)
+csp_caller_keeps_alive (const csp_caller_t *caller)
 {
   const csp_gateway_t *gateway = caller->gateway;
 
-  return caller->keeps && caller->request_whole && !gateway->stopping
+  return caller->keep_alive && caller->request_whole && !gateway->stopping
          && !csp_is_isolated (gateway);
 }
 
@@ -132,7 +132,7 @@
 void
 csp_finish_caller_answer (csp_caller_t *caller)
 {
-  bool keeps = csp_caller_keeps (caller);
+  bool keeps = csp_caller_keeps_alive (caller);
 
   caller->exchange = NULL;
   if (caller->closed)
@@ -149,8 +149,8 @@
   caller->paused = false;
   caller->last_read_ms = csp_gateway_now_ms (caller->gateway);
   csp_set_caller_timer (caller);
-  if (!caller->feeding)
-    csp_feed_caller (caller);
+  if (!caller->parsing)
+    csp_parse_caller_input (caller);
 }
 
 /* An answer to HTTP/1.0 ends with its connection, so only a reset shows that
@@ -162,7 +162,7 @@
   caller->exchange = NULL;
   if (caller->closed)
     return;
-  if (csp_caller_head (caller)->minor_version == 0
+  if (csp_caller_request_head (caller)->minor_version == 0
       && uv_tcp_close_reset (&caller->tcp, csp_caller_closed) == 0)
     forget_caller (caller);
   else
@@ -184,10 +184,10 @@
   if (retry_after_ms > 0)
     csp_print_buffer (&answer, "Retry-After: %.3f\r\n",
                       (double)retry_after_ms / MS_PER_S);
-  if (!csp_caller_keeps (caller))
+  if (!csp_caller_keeps_alive (caller))
     csp_print_buffer (&answer, "Connection: close\r\n");
   csp_append_buffer (&answer, "\r\n", 2);
-  if (strcmp (csp_caller_head (caller)->method, "HEAD") != 0)
+  if (strcmp (csp_caller_request_head (caller)->method, "HEAD") != 0)
     csp_append_buffer (&answer, body, (size_t)body_bytes);
   csp_write_caller (caller, answer.data, answer.size_bytes);
   csp_clear_buffer (&answer);
--- a/source/gateway/gateway-caller-imp.h
+++ b/source/gateway/gateway-caller-imp.h
@@ -3,8 +3,8 @@
 
 #include "gateway/gateway-imp.h"
 
-/* The two halves of a caller's connection: gateway-caller.c reads requests,
-   gateway-caller-answer.c writes answers and closes.  */
+/* Both halves of a caller's connection: gateway-caller.c reads requests,
+   gateway-caller-answer.c writes answers and closes the connection.  */
 
 struct csp_caller
 {
@@ -17,31 +17,31 @@
   csp_http_reader_t *reader;
   csp_buffer_t pending;
   csp_exchange_t *exchange;
-  int64_t began_ms; /* first byte of the request that is being read */
+  int64_t began_ms; /* when the first byte of the current request came */
   int64_t last_read_ms;
   bool request_whole;
   bool in_body;
-  bool feeding;
-  bool paused; /* by the exchange, while its target is slow */
+  bool parsing;
+  bool paused; /* by the exchange, while its target reads slowly */
   bool reading;
-  bool keeps;
-  bool lingering; /* the last answer is out, unread bytes are dropped */
+  bool keep_alive;
+  bool lingering; /* the last answer is written; unread bytes are dropped */
   bool closed;
 };
 
-/* Reading: what the operator allows callers, for the next request.  */
+/* Reading: the operator's limits for the caller's next request.  */
 csp_http_limits_t csp_reader_limits (const csp_gateway_t *gateway);
 
-/* Read on in what came behind the last request.  */
-void csp_feed_caller (csp_caller_t *caller);
+/* Parse the bytes that came behind the last request.  */
+void csp_parse_caller_input (csp_caller_t *caller);
 
-/* Count the caller's patience, or ours, anew.  */
+/* Restart the timer for the next read timeout.  */
 void csp_set_caller_timer (csp_caller_t *caller);
 
-/* Answering: the caller's handles close, and what is under way for it ends. */
+/* Answering: close the caller's handles and abandon its exchange.  */
 void csp_close_caller (csp_caller_t *caller);
 
-/* A handle of it has closed.  */
+/* Close callback of the caller's handles.  */
 void csp_caller_closed (uv_handle_t *handle);
 
 /* Close the write side and let the caller read to the end.  */
--- a/source/gateway/gateway-caller.c
+++ b/source/gateway/gateway-caller.c
@@ -48,12 +48,12 @@
 {
   csp_exchange_t *exchange = caller->exchange;
 
-  if (exchange != NULL && csp_exchange_answers (exchange))
+  if (exchange != NULL && csp_exchange_answer_begun (exchange))
     {
       csp_close_caller (caller);
       return;
     }
-  caller->keeps = false;
+  caller->keep_alive = false;
   caller->exchange = NULL;
   if (exchange != NULL)
     csp_abandon_exchange (exchange);
@@ -84,10 +84,10 @@
 static void
 begin_request (csp_caller_t *caller)
 {
-  const csp_http_head_t *head = csp_caller_head (caller);
+  const csp_http_head_t *head = csp_caller_request_head (caller);
   const char *expect = csp_find_http_field (head, "Expect");
 
-  caller->keeps = head->keep_alive;
+  caller->keep_alive = head->keep_alive;
   caller->in_body = head->framing != CSP_BODY_NONE;
   caller->request_whole = !caller->in_body;
   if (caller->in_body && expect != NULL && head->minor_version > 0)
@@ -99,9 +99,9 @@
 /* Read on in the pending bytes until the request under way is whole.  The
    exchange may end within, which makes ready for the next request.  */
 void
-csp_feed_caller (csp_caller_t *caller)
+csp_parse_caller_input (csp_caller_t *caller)
 {
-  caller->feeding = true;
+  caller->parsing = true;
   while (!caller->closed && !caller->lingering && !caller->paused)
     {
       const char *piece = NULL;
@@ -119,7 +119,7 @@
       if (step == CSP_HTTP_HEAD)
         begin_request (caller);
       else if (step == CSP_HTTP_BODY && caller->exchange != NULL)
-        csp_take_request_body (caller->exchange, piece, piece_bytes);
+        csp_handle_request_body (caller->exchange, piece, piece_bytes);
       else if (step == CSP_HTTP_END)
         {
           caller->request_whole = true;
@@ -133,7 +133,7 @@
       if (step == CSP_HTTP_MORE)
         break;
     }
-  caller->feeding = false;
+  caller->parsing = false;
   if (!caller->closed && !caller->lingering)
     {
       if (caller->pending.size_bytes == 0)
@@ -163,7 +163,7 @@
       csp_close_caller (caller);
       return;
     }
-  csp_feed_caller (caller);
+  csp_parse_caller_input (caller);
 }
 
 void
--- a/source/gateway/gateway-cordon.c
+++ b/source/gateway/gateway-cordon.c
@@ -70,14 +70,14 @@
         continue;
       targets += target->state != CSP_FLEET_GONE;
       if (target->cordoned)
-        csp_forget_destination (gateway, target);
+        csp_drop_copies_at (gateway, target);
     }
   return targets;
 }
 
 void
-csp_take_cordon (csp_gateway_t *gateway, const char *data_centre,
-                 bool cordoned)
+csp_apply_cordon (csp_gateway_t *gateway, const char *data_centre,
+                  bool cordoned)
 {
   int64_t now_ms = csp_gateway_now_ms (gateway);
   csp_cordon_result_t result
@@ -87,16 +87,17 @@
   if (result == CSP_CORDON_AS_BEFORE)
     return;
   targets = leave_data_centre (gateway, data_centre);
-  CSP_LOG (
-      gateway->log, cordoned ? CSP_EVENT_CORDONED : CSP_EVENT_CORDON_LIFTED,
-      NULL, csp_text ("data_centre", data_centre),
-      csp_number ("targets", (int64_t)targets),
-      csp_number ("age_ms",
-                  gateway->heard_ms == 0 ? -1 : now_ms - gateway->heard_ms),
-      csp_text ("fault", result == CSP_CORDON_NO_MEMORY ? "out of memory"
-                         : result == CSP_CORDON_NO_NAME ? "no name"
-                                                        : NULL));
+  CSP_LOG (gateway->log,
+           cordoned ? CSP_EVENT_CORDONED : CSP_EVENT_CORDON_LIFTED, NULL,
+           csp_text ("data_centre", data_centre),
+           csp_number ("targets", (int64_t)targets),
+           csp_number ("age_ms", gateway->platform_read_ms == 0
+                                     ? -1
+                                     : now_ms - gateway->platform_read_ms),
+           csp_text ("fault", result == CSP_CORDON_NO_MEMORY ? "out of memory"
+                              : result == CSP_CORDON_NO_NAME ? "no name"
+                                                             : NULL));
   if (cordoned)
     refuse_waiting (gateway);
-  csp_pump_places (gateway);
+  csp_place_waiting_asks (gateway);
 }
--- a/source/gateway/gateway-dispatch.c
+++ b/source/gateway/gateway-dispatch.c
@@ -66,9 +66,9 @@
   if (!exchange->asks_to_move)
     return ask;
   ask.moves_from = exchange->target->hash;
-  ask.left_ms = (uint32_t)csp_expected_left_ms (exchange);
+  ask.left_ms = (uint32_t)csp_expected_remaining_ms (exchange);
   if (csp_gateway_now_ms (gateway) < exchange->move.refused_until_ms)
-    ask.refused_at = exchange->move.refused_at;
+    ask.refused_at = exchange->move.refusing_target;
   return ask;
 }
 
@@ -85,12 +85,12 @@
   csp_hello_t hello = { .ask_count = 1 };
   csp_ask_t ask = ask_of (exchange);
 
-  if (is_self (gateway, exchange->asked))
+  if (is_self (gateway, exchange->asked_host))
     {
       csp_push_ask (gateway->dispatch, &ask, exchange->service->name,
                     exchange->service->memory_tokens,
                     csp_gateway_now_ms (gateway));
-      csp_take_own_answers (gateway);
+      csp_handle_local_answers (gateway);
       return;
     }
   hello.asks[0].id = ask.id;
@@ -106,7 +106,7 @@
   hello.asks[0].left_ms = ask.left_ms;
   hello.asks[0].backoff_count = ask.backoff_count;
   memcpy (hello.asks[0].backoffs, ask.backoffs, sizeof ask.backoffs);
-  csp_send_hello (gateway, &hello, &exchange->asked, 1);
+  csp_send_hello (gateway, &hello, &exchange->asked_host, 1);
 }
 
 /* Ask the host that decides, as of now, as if for the first time.  */
@@ -116,8 +116,8 @@
   csp_gateway_t *gateway = exchange->gateway;
 
   exchange->ask_id = ++gateway->next_ask_id;
-  exchange->asked = gateway->decider;
-  exchange->heard_ms = csp_gateway_now_ms (gateway);
+  exchange->asked_host = gateway->decider;
+  exchange->last_answer_ms = csp_gateway_now_ms (gateway);
   exchange->asking = true;
   exchange->ask_answered = false;
   uv_timer_start (&exchange->move.timer, on_ask_timer, ASK_AGAIN_MS, 0);
@@ -127,7 +127,7 @@
 static void
 begin_ask (csp_exchange_t *exchange)
 {
-  exchange->unheard = 0;
+  exchange->silent_deciders = 0;
   start_asking (exchange);
 }
 
@@ -151,11 +151,11 @@
   exchange->asking = false;
   if (!exchange->asks_to_move)
     {
-      csp_place_alone (exchange);
+      csp_place_locally (exchange);
       return;
     }
-  exchange->move.alone = true;
-  csp_pump_moves (exchange->gateway);
+  exchange->move.decided_locally = true;
+  csp_start_due_moves (exchange->gateway);
 }
 
 /* What was asked for isn't needed any more.  */
@@ -165,13 +165,13 @@
   csp_gateway_t *gateway = exchange->gateway;
   csp_hello_t hello = { .cancel_count = 1, .cancels = { exchange->ask_id } };
 
-  if (is_self (gateway, exchange->asked))
+  if (is_self (gateway, exchange->asked_host))
     {
       csp_cancel_ask (gateway->dispatch, gateway->self, exchange->ask_id);
-      csp_pump_places (gateway);
+      csp_place_waiting_asks (gateway);
     }
   else
-    csp_send_hello (gateway, &hello, &exchange->asked, 1);
+    csp_send_hello (gateway, &hello, &exchange->asked_host, 1);
 }
 
 /* The host that was asked says nothing.  Its place is taken for a while by the
@@ -183,11 +183,11 @@
 {
   csp_gateway_t *gateway = exchange->gateway;
 
-  csp_avoid_decider (gateway->roster, exchange->asked,
+  csp_avoid_decider (gateway->roster, exchange->asked_host,
                      csp_gateway_now_ms (gateway));
   csp_choose_deciders (gateway);
-  if (++exchange->unheard >= UNHEARD_MAX
-      || csp_is_same_peer (gateway->decider, exchange->asked))
+  if (++exchange->silent_deciders >= UNHEARD_MAX
+      || csp_is_same_peer (gateway->decider, exchange->asked_host))
     {
       go_on_alone (exchange);
       return;
@@ -201,9 +201,9 @@
 {
   csp_exchange_t *exchange = timer->data;
   const csp_gateway_t *gateway = exchange->gateway;
-  int64_t silent_ms = csp_gateway_now_ms (gateway) - exchange->heard_ms;
+  int64_t silent_ms = csp_gateway_now_ms (gateway) - exchange->last_answer_ms;
 
-  if (exchange->over || !exchange->asking)
+  if (exchange->ended || !exchange->asking)
     return;
   if (silent_ms >= ASK_SILENT_MS + (exchange->ask_answered ? ASK_KEEP_MS : 0))
     {
@@ -212,7 +212,7 @@
     }
   /* Another host decides by now, and the one that was asked isn't told what
      changes any more.  */
-  if (!csp_is_same_peer (gateway->decider, exchange->asked))
+  if (!csp_is_same_peer (gateway->decider, exchange->asked_host))
     {
       cancel_ask (exchange);
       start_asking (exchange);
@@ -282,9 +282,9 @@
         csp_release_move (exchange);
     }
   else if (ready)
-    csp_send_first (exchange, target);
+    csp_start_attempt (exchange, target);
   else
-    csp_place_alone (exchange);
+    csp_place_locally (exchange);
 }
 
 /* The host that decides has answered one of our asks.  */
@@ -295,7 +295,7 @@
 
   if (exchange == NULL)
     return;
-  exchange->heard_ms = csp_gateway_now_ms (gateway);
+  exchange->last_answer_ms = csp_gateway_now_ms (gateway);
   exchange->ask_answered = true;
   switch (answer->outcome)
     {
@@ -322,7 +322,7 @@
 }
 
 void
-csp_take_answer_of_dispatch (void *state, const csp_ask_answer_t *answer)
+csp_deliver_ask_answer (void *state, const csp_ask_answer_t *answer)
 {
   csp_gateway_t *gateway = state;
   csp_hello_t hello = { .answer_count = 1 };
@@ -330,7 +330,7 @@
   if (is_self (gateway, answer->host))
     {
       /* Without memory the ask comes again in a moment.  */
-      csp_append_buffer (&gateway->own_answers, answer, sizeof *answer);
+      csp_append_buffer (&gateway->local_answers, answer, sizeof *answer);
       return;
     }
   hello.answers[0] = *answer;
@@ -341,31 +341,31 @@
    has returned: what they begin may ask again, and the dispatch can't be
    entered from within.  */
 void
-csp_take_own_answers (csp_gateway_t *gateway)
+csp_handle_local_answers (csp_gateway_t *gateway)
 {
   csp_ask_answer_t answer;
 
-  if (gateway->taking_answers)
+  if (gateway->handling_answers)
     return;
-  gateway->taking_answers = true;
-  while (gateway->own_answers.size_bytes >= sizeof answer)
+  gateway->handling_answers = true;
+  while (gateway->local_answers.size_bytes >= sizeof answer)
     {
-      memcpy (&answer, gateway->own_answers.data, sizeof answer);
-      csp_consume_buffer (&gateway->own_answers, sizeof answer);
+      memcpy (&answer, gateway->local_answers.data, sizeof answer);
+      csp_consume_buffer (&gateway->local_answers, sizeof answer);
       take_own_answer (gateway, &answer);
     }
-  gateway->taking_answers = false;
+  gateway->handling_answers = false;
 }
 
 void
-csp_pump_places (csp_gateway_t *gateway)
+csp_place_waiting_asks (csp_gateway_t *gateway)
 {
   csp_pump_dispatch (gateway->dispatch, csp_gateway_now_ms (gateway));
-  csp_take_own_answers (gateway);
+  csp_handle_local_answers (gateway);
 }
 
 const csp_route_service_t *
-csp_find_hashed_service (const csp_gateway_t *gateway, uint32_t hash)
+csp_find_service_by_hash (const csp_gateway_t *gateway, uint32_t hash)
 {
   const csp_route_service_t *service;
   size_t i;
@@ -380,8 +380,8 @@
 }
 
 void
-csp_take_dispatch_hello (csp_gateway_t *gateway, csp_peer_address_t from,
-                         const csp_hello_t *hello)
+csp_handle_dispatch_hello (csp_gateway_t *gateway, csp_peer_address_t from,
+                           const csp_hello_t *hello)
 {
   int64_t now_ms = csp_gateway_now_ms (gateway);
   size_t i;
@@ -396,7 +396,7 @@
     {
       const csp_hello_ask_t *row = &hello->asks[i];
       const csp_route_service_t *service
-          = csp_find_hashed_service (gateway, row->service);
+          = csp_find_service_by_hash (gateway, row->service);
       csp_ask_t ask = { .host = from,
                         .id = row->id,
                         .organisation = row->organisation,
@@ -418,5 +418,5 @@
         csp_push_ask (gateway->dispatch, &ask, service->name,
                       service->memory_tokens, now_ms);
     }
-  csp_take_own_answers (gateway);
+  csp_handle_local_answers (gateway);
 }
--- a/source/gateway/gateway-exchange.c
+++ b/source/gateway/gateway-exchange.c
@@ -36,7 +36,7 @@
     return;
   csp_clear_buffer (&exchange->body);
   csp_clear_buffer (&exchange->head);
-  csp_clear_buffer (&exchange->kept);
+  csp_clear_buffer (&exchange->buffered);
   csp_clear_buffer (&exchange->move.answer);
   free (exchange);
 }
@@ -45,9 +45,9 @@
 static void
 close_exchange (csp_exchange_t *exchange)
 {
-  if (exchange->over)
+  if (exchange->ended)
     return;
-  exchange->over = true;
+  exchange->ended = true;
   csp_drop_ask (exchange);
   csp_drop_move (exchange);
   csp_drop_attempt (exchange);
@@ -104,8 +104,8 @@
   csp_caller_t *caller = exchange->caller;
 
   exchange->gateway->counts.answered++;
-  csp_count_end (exchange->gateway->times, exchange->labels, CSP_REASON_NONE,
-                 CSP_VERDICT_RAN);
+  csp_count_end (exchange->gateway->request_metrics, exchange->labels,
+                 CSP_REASON_NONE, CSP_VERDICT_RAN);
   if (exchange->events > 0)
     csp_observe_time (exchange->labels, CSP_TIME_STALLED,
                       exchange->stalled_us);
@@ -146,7 +146,8 @@
     }
   else
     gateway->counts.failed++;
-  csp_count_end (gateway->times, exchange->labels, reason, exchange->verdict);
+  csp_count_end (gateway->request_metrics, exchange->labels, reason,
+                 exchange->verdict);
   if (begun)
     gateway->counts.streams_lost++;
   log_end (exchange, begun ? CSP_EVENT_STREAM_LOST : CSP_EVENT_FORWARD_REFUSED,
@@ -162,7 +163,7 @@
 void
 csp_abandon_exchange (csp_exchange_t *exchange)
 {
-  if (exchange->over)
+  if (exchange->ended)
     return;
   exchange->gateway->counts.abandoned++;
   csp_count (exchange->labels, CSP_COUNT_CANCELS, 1);
@@ -172,7 +173,7 @@
 }
 
 bool
-csp_exchange_answers (const csp_exchange_t *exchange)
+csp_exchange_answer_begun (const csp_exchange_t *exchange)
 {
   return exchange->answer_begun;
 }
@@ -189,7 +190,7 @@
 {
   csp_exchange_t *exchange = timer->data;
 
-  if (exchange->over)
+  if (exchange->ended)
     return;
   exchange->may_have_run = csp_exchange_may_have_run (exchange);
   csp_fail_exchange (exchange, CSP_REASON_DEADLINE, "the time is over");
@@ -337,7 +338,7 @@
   exchange->gateway->counts.refused++;
   CSP_LOG (exchange->gateway->log, CSP_EVENT_FORWARD_TURNED_AWAY,
            exchange->request_id, csp_number ("status", status),
-           csp_text ("path", csp_caller_head (caller)->target),
+           csp_text ("path", csp_caller_request_head (caller)->target),
            csp_number ("routes_version",
                        (int64_t)csp_routes_version (exchange->routes)));
   exchange->caller = NULL;
@@ -351,7 +352,7 @@
 csp_begin_exchange (csp_gateway_t *gateway, csp_caller_t *caller,
                     int64_t began_ms)
 {
-  const csp_http_head_t *head = csp_caller_head (caller);
+  const csp_http_head_t *head = csp_caller_request_head (caller);
   const char *id = csp_find_http_field (
       head, gateway->dialect->names[CSP_NAME_REQUEST_ID]);
   csp_exchange_t *exchange = NULL;
@@ -379,8 +380,8 @@
       turn_away (exchange, status);
       return NULL;
     }
-  exchange->labels = csp_get_labels (gateway->times, exchange->organisation,
-                                     exchange->route->name);
+  exchange->labels = csp_get_labels (
+      gateway->request_metrics, exchange->organisation, exchange->route->name);
   csp_count (exchange->labels, CSP_COUNT_REQUESTS, 1);
   set_tokens (exchange, head);
   if (!fits_into_stop (exchange))
@@ -396,16 +397,16 @@
       exchange->body_whole = true;
       csp_send_attempt (exchange);
     }
-  return exchange->over ? NULL : exchange;
+  return exchange->ended ? NULL : exchange;
 }
 
 void
-csp_take_request_body (csp_exchange_t *exchange, const char *piece,
-                       size_t piece_bytes)
+csp_handle_request_body (csp_exchange_t *exchange, const char *piece,
+                         size_t piece_bytes)
 {
   if (exchange->body_streams)
     {
-      csp_pass_body (exchange, piece, piece_bytes);
+      csp_forward_body (exchange, piece, piece_bytes);
       return;
     }
   if (!csp_append_buffer (&exchange->body, piece, piece_bytes))
@@ -413,7 +414,7 @@
       csp_fail_exchange (exchange, CSP_REASON_INTERNAL, "out of memory");
       return;
     }
-  if (exchange->body.size_bytes < CSP_BODY_KEPT_BYTES)
+  if (exchange->body.size_bytes < CSP_BODY_BUFFER_MAX_BYTES)
     return;
   exchange->body_streams = true;
   csp_send_attempt (exchange);
@@ -426,7 +427,7 @@
     return;
   exchange->body_whole = true;
   if (exchange->body_streams)
-    csp_pass_body_end (exchange);
+    csp_forward_body_end (exchange);
   else
     csp_send_attempt (exchange);
 }
--- a/source/gateway/gateway-imp.h
+++ b/source/gateway/gateway-imp.h
@@ -19,75 +19,77 @@
 
 /* Parts of the forwarder, all on the traffic thread:
 
-     caller    one caller's connection: reads requests, writes answers
-     exchange  one request from its head to the end of its answer
-     attempt   the request at one target
-     stream    cuts an answer into whole events and knows the last id sent
-     move      takes a stream to another target
-     report    asks targets themselves, when the platform says nothing
-     cordon    what operators let get nothing new
-     quarantine  requests under which targets end
-     target-state  what targets say of themselves in their answers
-     reach     what follows where a data centre is cut off
-     page      readiness and metrics
-
-   An exchange lives between csp_begin_exchange and csp_end_exchange; a caller
-   has at most one.  */
+     caller        one caller's connection: reads requests, writes answers
+     exchange      one request, from its head to the end of its answer
+     attempt       one attempt to send the request to a target
+     stream        splits an answer into whole events, tracks the last id sent
+     move          moves a running stream to another target
+     report        queries targets while the platform can't be read
+     cordon        applies the operators' cordons
+     quarantine    refuses requests that make targets end
+     target-state  handles what targets report of themselves in answers
+     reach         handles data centres that are cut off
+     page          readiness and metrics
+
+   An exchange lives from csp_begin_exchange until it is finished, failed or
+   abandoned; a caller has at most one.  */
 
 typedef struct csp_caller csp_caller_t;
 typedef struct csp_exchange csp_exchange_t;
-typedef struct csp_report csp_report_t;
+typedef struct csp_status_query csp_status_query_t;
 
 enum
 {
-  /* A body up to this is read whole before the request is forwarded, so that
-     it can be sent again; a longer one is passed on as it comes.  Prompts of
-     the users reach 17 KB.  */
-  CSP_BODY_KEPT_BYTES = 65536,
-  /* Bytes that may wait for a slow reader before its writer is paused.  */
+  /* A body up to this size is read whole before the request is forwarded, so
+     that the request can be sent again; a longer body is forwarded as it
+     comes.  Prompts reach 17 KB.  */
+  CSP_BODY_BUFFER_MAX_BYTES = 65536,
+  /* Bytes that may wait for a slow reader before reading from the other side
+     is paused.  */
   CSP_BACKLOG_BYTES = 262144,
-  /* An answer up to this is held until it is whole, so that one that breaks
-     off can still become a retry or an honest error.  */
-  CSP_ANSWER_KEPT_BYTES = 262144,
-  /* Services that a host keeps a retry budget for; more share the last.  */
+  /* An answer up to this size is buffered until it is complete, so that after
+     a broken connection a retry or an error answer is still possible.  */
+  CSP_ANSWER_BUFFER_MAX_BYTES = 262144,
+  /* Services with a retry budget of their own; any further ones share the last
+     budget.  */
   CSP_BUDGETS_MAX = 16,
-  /* Live hosts that the control thread may choose from.  */
+  /* Live hosts offered to the control thread.  */
   CSP_LIVE_PEERS_MAX = 64,
-  /* Data centres are a millisecond or two apart; a target that takes no
-     connection within this has no power or is cut off.  */
+  /* Data centres are one or two milliseconds apart; a target that accepts no
+     connection within this time has lost power or is cut off.  */
   CSP_CONNECT_TIMEOUT_MS = 400,
-  /* What one token of a stream takes in a batch that is half full.  */
+  /* Time per token of a stream in a half-full batch.  */
   CSP_TOKEN_MS = 10,
-  /* In a stop: the balancer asks once a second and leaves a host out after
-     two misses; until then new connections come.  */
+  /* In a stop: the balancer checks readiness once a second and drops a host
+     after two failures; until then new connections arrive.  */
   CSP_STOP_NOTICE_MS = 2500,
-  /* What is open is cut that much before the process would be killed, so that
-     its sockets close in order.  */
+  /* Open connections are cut this long before the process would be killed, so
+     that its sockets close in order.  */
   CSP_STOP_MARGIN_MS = 300
 };
 
-/* What is known of one service beside its targets: its retry budget, what this
-   host lends to others of it while it decides, and how full its engines are by
-   the word of the host that decides.  */
+/* State of one service beside its targets: its retry budget, the retries that
+   this host lends to others while it is the decider, and how full its engines
+   are according to the decider.  */
 typedef struct
 {
   char service[CSP_TARGET_NAME_BYTES];
   csp_retry_budget_t budget;
   csp_lease_pool_t leases;
-  uint64_t want_id;  /* of the question for a lease that is out; 0: none */
-  int64_t wanted_ms; /* when it was asked */
+  uint64_t lease_request_id;  /* id of the pending lease request; 0: none */
+  int64_t lease_requested_ms; /* when that request was sent */
   uint32_t pool_percent;
-  int64_t pool_told_ms; /* 0: never */
+  int64_t pool_reported_ms; /* 0: never */
 } csp_service_budget_t;
 
-/* A target that says it leaves, to be told to the other hosts.  */
+/* A notice to the other hosts that a target leaves.  */
 typedef struct
 {
   uint64_t target; /* hash of its id */
-  uint8_t times;   /* still to be told */
-} csp_left_t;
+  uint8_t sends_left;
+} csp_leaving_notice_t;
 
-/* Counters of this slice, served as text.  */
+/* Counters of the forwarder, served as metrics.  */
 typedef struct
 {
   uint64_t requests;
@@ -96,16 +98,17 @@
   uint64_t failed;
   uint64_t abandoned;
   uint64_t retries;
-  uint64_t retries_lent; /* to hosts, this one too, while it decides */
+  uint64_t retries_lent; /* by this host as the decider, to itself too */
   uint64_t moves;
   uint64_t moves_failed;
   uint64_t streams_lost;
   uint64_t connections;
   uint64_t link_opens;
-  uint64_t reports;            /* questions to targets whether they leave */
-  uint64_t backoffs;           /* waits that targets asked for */
-  uint64_t quarantined;        /* requests under which targets ended */
-  uint64_t quarantine_refused; /* attempts of theirs that were not made */
+  uint64_t status_queries;
+  uint64_t backoffs;    /* backoffs that targets asked for */
+  uint64_t quarantined; /* requests whose targets ended while they ran */
+  /* Attempts of those requests that were refused.  */
+  uint64_t quarantine_refused;
 } csp_gateway_counts_t;
 
 struct csp_gateway
@@ -115,9 +118,9 @@
   csp_clock_t clock;
   csp_log_t *log;
   uv_loop_t loop;
-  uv_tcp_t front;
-  csp_page_server_t *ready;
-  csp_page_server_t *metrics;
+  uv_tcp_t caller_listener;
+  csp_page_server_t *readiness_page;
+  csp_page_server_t *metrics_page;
   uv_async_t wake;
   uv_timer_t tick;
   uv_timer_t move_timer; /* while streams wait for their turn to move */
@@ -127,45 +130,49 @@
   csp_fleet_t *fleet;
   csp_roster_t *roster;
   csp_reach_t *reach;
-  int64_t alone_since_ms; /* no engine is reached; 0: one is */
+  int64_t isolated_since_ms; /* no engine is reachable; 0: one is */
   csp_dispatch_t *dispatch;
   csp_quarantine_t *quarantine;
   uint64_t next_ask_id;
-  csp_buffer_t own_answers; /* csp_ask_answer_t one after another */
-  bool taking_answers;
-  uv_udp_t peers;
-  uv_timer_t tell_timer;
-  uv_timer_t greet_timer;
+  csp_buffer_t local_answers; /* a sequence of csp_ask_answer_t */
+  bool handling_answers;
+  uv_udp_t peer_socket;
+  uv_timer_t load_report_timer;
+  uv_timer_t hello_timer;
   uint64_t boot;
-  uint32_t data_centre; /* hash of its name, as hosts tell it */
+  uint32_t data_centre; /* hash of its name, as in datagrams */
   uint64_t hello_sequence;
-  csp_peer_address_t decider; /* whom to ask for places; may be this host */
+  /* The host that places requests; may be this host.  */
+  csp_peer_address_t decider;
   int64_t decider_since_ms;
   size_t decider_count;
-  csp_peer_address_t deciders[CSP_DECIDERS_MAX]; /* who is told our loads */
-  int64_t whole_at_ms;           /* when all loads are told them again */
-  csp_peer_address_t *peer_room; /* CSP_ROSTER_MAX addresses, for one call */
-  pthread_mutex_t live_lock;     /* guards what the control thread reads */
+  /* The hosts that get this host's loads.  */
+  csp_peer_address_t deciders[CSP_DECIDERS_MAX];
+  int64_t full_report_at_ms; /* when all loads are sent again */
+  /* CSP_ROSTER_MAX addresses, scratch space of one call.  */
+  csp_peer_address_t *peer_scratch;
+  pthread_mutex_t live_lock; /* guards readers and live_peers */
   csp_peer_address_t self;
   csp_reader_ranks_t readers;
-  size_t live_count;
-  csp_peer_address_t live[CSP_LIVE_PEERS_MAX];
+  size_t live_peer_count;
+  csp_peer_address_t live_peers[CSP_LIVE_PEERS_MAX];
   csp_random_t random;
   size_t budget_count;
   csp_service_budget_t budgets[CSP_BUDGETS_MAX];
   csp_gateway_counts_t counts;
-  csp_metrics_t *times;  /* histograms of each organisation and route */
+  /* Counts and histograms per organisation and route.  */
+  csp_metrics_t *request_metrics;
   csp_caller_t *callers; /* all open connections */
   csp_exchange_t *exchanges;
-  csp_report_t *reports; /* questions to targets that are under way */
-  size_t report_next;    /* the target whose turn to be asked is next */
-  size_t left_count;
-  csp_left_t left[CSP_HELLO_LEFT_MAX];
-  int64_t heard_ms;       /* when the platform was last heard; 0: never */
-  int64_t doubt_until_ms; /* engines are asked until then all the same */
+  csp_status_query_t *status_queries;
+  size_t next_query_index; /* in the fleet */
+  size_t leaving_notice_count;
+  csp_leaving_notice_t leaving_notices[CSP_HELLO_LEFT_MAX];
+  int64_t platform_read_ms; /* when the platform was last read; 0: never */
+  int64_t query_until_ms;   /* even if the platform is read again */
   uint32_t caller_count;
-  bool blind;  /* the platform can't be reached from here */
-  bool listed; /* a whole list of targets has been read */
+  bool platform_unreachable; /* the platform can't be reached from here */
+  bool targets_listed;       /* a complete list of targets has been read */
   bool stopping;
   int64_t stop_began_ms;
 };
@@ -177,198 +184,212 @@
 bool csp_gateway_is_ready (const csp_gateway_t *gateway);
 csp_service_budget_t *csp_find_service_budget (csp_gateway_t *gateway,
                                                const char *service);
-csp_retry_budget_t *csp_find_budget (csp_gateway_t *gateway,
-                                     const char *service);
+csp_retry_budget_t *csp_find_retry_budget (csp_gateway_t *gateway,
+                                           const char *service);
 
-/* How full the engines of a service are in all, as the host that decides has
-   told; 0 where it has not, or not lately.  */
+/* How full the engines of a service are in all, as reported by the decider; 0
+   where it has sent no report, or none lately.  */
 void csp_note_pool_percent (csp_gateway_t *gateway, const char *service,
                             uint32_t percent);
-double csp_told_pool_share (csp_gateway_t *gateway, const char *service);
+double csp_reported_pool_share (csp_gateway_t *gateway, const char *service);
 
 /* Caller: see gateway-caller.c.  */
 void csp_accept_caller (csp_gateway_t *gateway, uv_stream_t *listener);
-const csp_http_head_t *csp_caller_head (const csp_caller_t *caller);
+const csp_http_head_t *csp_caller_request_head (const csp_caller_t *caller);
 
-/* Write bytes of the answer; a broken connection shows on its read side.  */
+/* Write bytes of the answer; a broken connection is noticed on its read
+   side.  */
 void csp_write_caller (csp_caller_t *caller, const void *data,
                        size_t size_bytes);
 size_t csp_caller_backlog (const csp_caller_t *caller);
 
-/* Whether the connection is kept behind this answer; the answer says so.  */
-bool csp_caller_keeps (const csp_caller_t *caller);
+/* Whether the connection stays open after this answer; the answer's head says
+   so.  */
+bool csp_caller_keeps_alive (const csp_caller_t *caller);
 
-/* The answer is whole; the exchange is over.  */
+/* The answer is complete and the exchange is over.  */
 void csp_finish_caller_answer (csp_caller_t *caller);
 
-/* The answer can't be ended well: cut it, so that it doesn't look whole.  */
+/* The answer can't be completed: cut it off, so that it doesn't look
+   complete.  */
 void csp_abort_caller (csp_caller_t *caller);
 void csp_pause_caller (csp_caller_t *caller, bool pause);
 
-/* Answer by ourselves and end the exchange; detail goes into the body.  */
+/* Send an answer of this host and end the exchange; detail goes into the
+   body.  */
 void csp_answer_caller (csp_caller_t *caller, uint16_t status,
                         uint32_t retry_after_ms, const char *detail);
 
-/* Close callers that wait between requests; for a stop.  */
+/* Close callers without a request in progress; for a stop.  */
 void csp_close_idle_callers (csp_gateway_t *gateway);
 void csp_close_all_callers (csp_gateway_t *gateway);
 
-/* Exchange: see gateway-exchange.c.  began_ms is when the first byte of the
+/* Exchange: see gateway-exchange.c. began_ms is when the first byte of the
    request came.  NULL when the request was answered at once.  */
 csp_exchange_t *csp_begin_exchange (csp_gateway_t *gateway,
                                     csp_caller_t *caller, int64_t began_ms);
-void csp_take_request_body (csp_exchange_t *exchange, const char *piece,
-                            size_t piece_bytes);
+void csp_handle_request_body (csp_exchange_t *exchange, const char *piece,
+                              size_t piece_bytes);
 void csp_end_request_body (csp_exchange_t *exchange);
 
-/* The caller's socket takes bytes again.  */
-void csp_caller_drained (csp_exchange_t *exchange);
+/* The caller's socket can be written again: resume reading from the
+   target.  */
+void csp_resume_target_reads (csp_exchange_t *exchange);
 
 /* Whether a byte of the answer was written.  */
-bool csp_exchange_answers (const csp_exchange_t *exchange);
+bool csp_exchange_answer_begun (const csp_exchange_t *exchange);
 
 /* Whether a target may have begun to work on the request.  */
 bool csp_exchange_may_have_run (const csp_exchange_t *exchange);
 
-/* The caller left, or sent what can't be read on.  */
+/* The caller disconnected or sent malformed bytes.  */
 void csp_abandon_exchange (csp_exchange_t *exchange);
 
-/* Targets: see gateway-links.c.  A fresh or kept connection, NULL when none
-   can be had.  */
-csp_link_t *csp_take_link (csp_gateway_t *gateway, csp_fleet_target_t *target);
+/* Targets: see gateway-links.c.  A new or idle connection; NULL when memory or
+   descriptors fail.  */
+csp_link_t *csp_acquire_link (csp_gateway_t *gateway,
+                              csp_fleet_target_t *target);
 
-/* Keep a link for the next request, or close it.  */
-void csp_give_link_back (csp_gateway_t *gateway, csp_fleet_target_t *target,
-                         csp_link_t *link);
+/* Keep a connection for the next request, or close it.  */
+void csp_release_link (csp_gateway_t *gateway, csp_fleet_target_t *target,
+                       csp_link_t *link);
 
-/* Close what is kept for a target.  */
-void csp_drop_links (csp_fleet_target_t *target);
+/* Close the idle connections to a target.  */
+void csp_close_idle_links (csp_fleet_target_t *target);
 
-/* A target leaves: streams go elsewhere.  */
-void csp_leave_target (csp_gateway_t *gateway, csp_fleet_target_t *target);
+/* A target leaves: move its streams to other targets.  */
+void csp_drain_target (csp_gateway_t *gateway, csp_fleet_target_t *target);
 
-/* Nothing goes on at a target any more: copies there are given up.  */
-void csp_forget_destination (csp_gateway_t *gateway,
-                             const csp_fleet_target_t *target);
+/* A target leaves or is gone: give up the copies of runs there.  */
+void csp_drop_copies_at (csp_gateway_t *gateway,
+                         const csp_fleet_target_t *target);
 
-/* Begin the moves whose turn has come.  */
-void csp_pump_moves (csp_gateway_t *gateway);
+/* Start the moves whose turn has come.  */
+void csp_start_due_moves (csp_gateway_t *gateway);
 
-/* Streams that fell silent go on elsewhere.  Call it now and then.  */
-void csp_watch_streams (csp_gateway_t *gateway);
+/* Resume streams that have stopped sending at other targets.  Call it
+   periodically.  */
+void csp_resume_silent_streams (csp_gateway_t *gateway);
 
 /* Cordon: see gateway-cordon.c.  Operators cordon a data centre, or lift its
    cordon.  */
-void csp_take_cordon (csp_gateway_t *gateway, const char *data_centre,
-                      bool cordoned);
+void csp_apply_cordon (csp_gateway_t *gateway, const char *data_centre,
+                       bool cordoned);
 
-/* Whether a run whose memory lies there alone may still be gone on with.  */
+/* Whether a run whose only memory copy is at the target may still resume
+   there.  */
 bool csp_may_resume_at (const csp_gateway_t *gateway,
                         const csp_fleet_target_t *target);
 
-/* Reports: see gateway-report.c.  The platform was heard, so long ago.  */
-void csp_note_platform_heard (csp_gateway_t *gateway, uint32_t age_ms);
+/* Reports: see gateway-report.c.  The platform was read age_ms ago.  */
+void csp_note_platform_read (csp_gateway_t *gateway, uint32_t age_ms);
 
-/* Ask engines whether they leave and live, where the platform isn't heard.
-   Call it now and then.  */
-void csp_ask_reports (csp_gateway_t *gateway);
+/* Query engines whether they leave and still run, while the platform can't be
+   read.  Call it periodically.  */
+void csp_query_targets (csp_gateway_t *gateway);
 
-/* Whether its service runs models, by the routes in force.  */
+/* Whether the target's service runs models, according to the current
+   routes.  */
 bool csp_is_engine_target (const csp_gateway_t *gateway,
                            const csp_fleet_target_t *target);
 
-/* Ask one target how it is.  */
-void csp_ask_target (csp_gateway_t *gateway, csp_fleet_target_t *target,
-                     int64_t now_ms);
+/* Query the status of one target.  */
+void csp_query_target (csp_gateway_t *gateway, csp_fleet_target_t *target,
+                       int64_t now_ms);
 
-/* A target itself says that it leaves: it gets nothing new, and the other
-   hosts are told.  */
+/* A target itself reports that it leaves: it gets no new work, and the other
+   hosts are notified.  */
 void csp_announce_leaving (csp_gateway_t *gateway, csp_fleet_target_t *target);
 
-/* Target state: see gateway-target-state.c.  What the head of a target's
-   answer says of the target.  */
-void csp_take_target_state (csp_gateway_t *gateway, csp_fleet_target_t *target,
+/* Target state: see gateway-target-state.c.  Apply what the head of a target's
+   answer says about the target itself.  */
+void csp_handle_target_state (csp_gateway_t *gateway,
+                              csp_fleet_target_t *target,
+                              const csp_http_head_t *head);
+bool csp_head_says_leaving (const csp_gateway_t *gateway,
                             const csp_http_head_t *head);
-bool csp_says_leaving (const csp_gateway_t *gateway,
-                       const csp_http_head_t *head);
 
-/* Another host tells which targets say that they leave.  */
-void csp_take_left (csp_gateway_t *gateway, const csp_hello_t *hello);
-void csp_drop_reports (csp_gateway_t *gateway);
+/* Another host reports targets that leave.  */
+void csp_handle_leaving_notices (csp_gateway_t *gateway,
+                                 const csp_hello_t *hello);
+void csp_cancel_status_queries (csp_gateway_t *gateway);
 
 /* Reach: see gateway-reach.c.  Bytes of an answer came from a target.  */
 void csp_note_target_answered (csp_gateway_t *gateway,
                                const csp_fleet_target_t *target);
 
-/* A target took no connection, or reset one.  */
+/* A target accepted no connection, or reset one.  */
 void csp_note_target_failed (csp_gateway_t *gateway,
                              const csp_fleet_target_t *target);
 
-/* Judge anew which targets are cut off.  Call it now and then.  */
-void csp_judge_reach (csp_gateway_t *gateway);
+/* Update which targets are cut off.  Call it periodically.  */
+void csp_update_reachability (csp_gateway_t *gateway);
 
 /* Whether this host has reached no engine for a while, though some are
    listed.  */
 bool csp_is_isolated (const csp_gateway_t *gateway);
 
-/* When the balancer will have left such a host out; 0: it has.  */
+/* Time until the balancer will have dropped an isolated host; 0: it has.  */
 uint32_t csp_isolated_retry_ms (const csp_gateway_t *gateway);
 
-/* Peers: see gateway-peers.c.  False where the port can't be had.  */
+/* Peers: see gateway-peers.c.  False where the port can't be opened.  */
 bool csp_open_gateway_peers (csp_gateway_t *gateway);
 void csp_stop_gateway_peers (csp_gateway_t *gateway);
 void csp_close_gateway_peers (csp_gateway_t *gateway);
 
-/* Count what other hosts have told of a target that is new here.  */
-void csp_count_new_target (csp_gateway_t *gateway, const char *id);
+/* Count the loads that other hosts have already reported for a target that is
+   new here.  */
+void csp_count_reported_loads (csp_gateway_t *gateway, const char *id);
 
-/* Send one datagram to some hosts.  */
+/* Send one datagram to each of the given hosts.  */
 void csp_send_hello (csp_gateway_t *gateway, csp_hello_t *hello,
                      const csp_peer_address_t *peers, size_t peer_count);
 
 /* Dispatch: see gateway-dispatch.c.  */
-void csp_take_answer_of_dispatch (void *state, const csp_ask_answer_t *answer);
-void csp_take_dispatch_hello (csp_gateway_t *gateway, csp_peer_address_t from,
-                              const csp_hello_t *hello);
+void csp_deliver_ask_answer (void *state, const csp_ask_answer_t *answer);
+void csp_handle_dispatch_hello (csp_gateway_t *gateway,
+                                csp_peer_address_t from,
+                                const csp_hello_t *hello);
 
-void csp_take_own_answers (csp_gateway_t *gateway);
+void csp_handle_local_answers (csp_gateway_t *gateway);
 
-/* A service by the hash of its name; NULL where no route has it.  */
+/* Find a service by the hash of its name; NULL where no route uses it.  */
 const csp_route_service_t *
-csp_find_hashed_service (const csp_gateway_t *gateway, uint32_t hash);
+csp_find_service_by_hash (const csp_gateway_t *gateway, uint32_t hash);
 
-/* Lease: see gateway-lease.c.  What hosts ask this one for, and what it got.
- */
-void csp_take_lease_hello (csp_gateway_t *gateway, csp_peer_address_t from,
-                           const csp_hello_t *hello);
+/* Lease: see gateway-lease.c.  Handle other hosts' lease requests, and the
+   leases granted to this host.  */
+void csp_handle_lease_hello (csp_gateway_t *gateway, csp_peer_address_t from,
+                             const csp_hello_t *hello);
 
-/* Who decides has changed.  */
-void csp_note_lease_duties (csp_gateway_t *gateway);
+/* The decider has changed.  */
+void csp_note_decider_change (csp_gateway_t *gateway);
 
-/* For which part of the fleet this host decides, where targets are cold.  Call
-   it now and then.  */
+/* Update for which part of the fleet this host decides; cold targets are
+   bounded by that part.  Call it periodically.  */
 void csp_note_warmup_duty (csp_gateway_t *gateway);
 
-/* Give places that have come free.  */
-void csp_pump_places (csp_gateway_t *gateway);
+/* Place waiting asks where capacity has become free.  */
+void csp_place_waiting_asks (csp_gateway_t *gateway);
 
-/* Quarantine: see gateway-quarantine.c.  Tell all hosts of fresh strikes.
-   Call it now and then.  */
-void csp_tell_suspects (csp_gateway_t *gateway);
+/* Quarantine: see gateway-quarantine.c.  Send new strikes to all hosts.  Call
+   it periodically.  */
+void csp_broadcast_suspects (csp_gateway_t *gateway);
 
-/* Name some suspects in a greeting.  */
-void csp_name_gateway_suspects (csp_gateway_t *gateway, csp_hello_t *hello);
+/* Add some suspects to a periodic hello.  */
+void csp_add_suspects_to_hello (csp_gateway_t *gateway, csp_hello_t *hello);
 
-/* Another host tells its suspects, and what it found sound.  */
-void csp_take_suspects (csp_gateway_t *gateway, csp_peer_address_t from,
-                        const csp_hello_t *hello);
+/* Handle the suspects of another host, and the requests that it has
+   cleared.  */
+void csp_handle_suspects (csp_gateway_t *gateway, csp_peer_address_t from,
+                          const csp_hello_t *hello);
 
-/* Tell: see gateway-tell.c.  What is under way here has changed; the hosts
-   that decide hear of it in a moment.  */
-void csp_open_gateway_tell (csp_gateway_t *gateway);
-void csp_tell_load (csp_gateway_t *gateway);
+/* Tell: see gateway-tell.c.  This host's load has changed; it is sent to the
+   deciders after a short delay.  */
+void csp_open_load_reports (csp_gateway_t *gateway);
+void csp_schedule_load_report (csp_gateway_t *gateway);
 
-/* Who decides may have changed; who is new to it is told all.  */
+/* Update the list of deciders; a new one is sent all loads.  */
 void csp_choose_deciders (csp_gateway_t *gateway);
 
 /* Pages: see gateway-page.c.  */
--- a/source/gateway/gateway-lease.c
+++ b/source/gateway/gateway-lease.c
@@ -114,8 +114,9 @@
 {
   csp_exchange_t *exchange = gateway->exchanges;
 
-  row->want_id = 0;
-  csp_take_retry_lease (&row->budget, amount, row->wanted_ms + CSP_LEASE_MS);
+  row->lease_request_id = 0;
+  csp_take_retry_lease (&row->budget, amount,
+                        row->lease_requested_ms + CSP_LEASE_MS);
   while (exchange != NULL && (amount == 0 || row->budget.leased > 0))
     {
       csp_exchange_t *next = exchange->next;
@@ -124,8 +125,8 @@
         {
           exchange->awaits_lease = false;
           uv_timer_stop (&exchange->move.timer);
-          csp_try_again (exchange, exchange->lease_reason,
-                         exchange->lease_detail, false);
+          csp_retry_or_fail (exchange, exchange->lease_reason,
+                             exchange->lease_detail, false);
         }
       exchange = next;
     }
@@ -140,10 +141,11 @@
   csp_hello_t hello = { .want_count = 1 };
 
   if (wanted == 0
-      || (row->want_id != 0 && now_ms - row->wanted_ms < WANT_AGAIN_MS))
+      || (row->lease_request_id != 0
+          && now_ms - row->lease_requested_ms < WANT_AGAIN_MS))
     return;
-  row->want_id = ++gateway->next_ask_id;
-  row->wanted_ms = now_ms;
+  row->lease_request_id = ++gateway->next_ask_id;
+  row->lease_requested_ms = now_ms;
   if (csp_is_same_peer (gateway->decider, gateway->self))
     {
       take_lease (gateway, row, grant (gateway, row, wanted));
@@ -151,7 +153,7 @@
     }
   hello.wants[0]
       = (csp_hello_lease_t){ .service = hash_of_service (row->service),
-                             .id = row->want_id,
+                             .id = row->lease_request_id,
                              .amount = wanted };
   csp_send_hello (gateway, &hello, &gateway->decider, 1);
 }
@@ -162,7 +164,7 @@
   csp_exchange_t *exchange = timer->data;
   int64_t now_ms = csp_gateway_now_ms (exchange->gateway);
 
-  if (exchange->over || !exchange->awaits_lease)
+  if (exchange->ended || !exchange->awaits_lease)
     return;
   if (now_ms < exchange->lease_until_ms)
     {
@@ -189,7 +191,7 @@
       csp_fail_exchange (exchange, reason, detail);
       return;
     }
-  exchange->failed_at = exchange->target;
+  exchange->failed_target = exchange->target;
   csp_drop_attempt (exchange);
   exchange->awaits_lease = true;
   exchange->lease_reason = reason;
@@ -204,7 +206,7 @@
              const csp_hello_lease_t *want)
 {
   const csp_route_service_t *service
-      = csp_find_hashed_service (gateway, want->service);
+      = csp_find_service_by_hash (gateway, want->service);
   csp_hello_t hello = { .lease_count = 1, .leases = { *want } };
 
   if (service == NULL)
@@ -215,8 +217,8 @@
 }
 
 void
-csp_take_lease_hello (csp_gateway_t *gateway, csp_peer_address_t from,
-                      const csp_hello_t *hello)
+csp_handle_lease_hello (csp_gateway_t *gateway, csp_peer_address_t from,
+                        const csp_hello_t *hello)
 {
   size_t i;
   size_t j;
@@ -225,13 +227,13 @@
     answer_want (gateway, from, &hello->wants[i]);
   for (i = 0; i < hello->lease_count; i++)
     for (j = 0; j < gateway->budget_count; j++)
-      if (gateway->budgets[j].want_id == hello->leases[i].id
+      if (gateway->budgets[j].lease_request_id == hello->leases[i].id
           && hello->leases[i].id != 0)
         take_lease (gateway, &gateway->budgets[j], hello->leases[i].amount);
 }
 
 void
-csp_note_lease_duties (csp_gateway_t *gateway)
+csp_note_decider_change (csp_gateway_t *gateway)
 {
   bool decides = csp_is_same_peer (gateway->decider, gateway->self);
   size_t i;
--- a/source/gateway/gateway-links.c
+++ b/source/gateway/gateway-links.c
@@ -42,7 +42,7 @@
 }
 
 csp_link_t *
-csp_take_link (csp_gateway_t *gateway, csp_fleet_target_t *target)
+csp_acquire_link (csp_gateway_t *gateway, csp_fleet_target_t *target)
 {
   kept_links_t *kept = target->links;
   int64_t now_ms = csp_gateway_now_ms (gateway);
@@ -61,8 +61,8 @@
 }
 
 void
-csp_give_link_back (csp_gateway_t *gateway, csp_fleet_target_t *target,
-                    csp_link_t *link)
+csp_release_link (csp_gateway_t *gateway, csp_fleet_target_t *target,
+                  csp_link_t *link)
 {
   kept_links_t *kept = target->links;
   uint32_t usable_ms = csp_link_usable_ms (link);
@@ -83,7 +83,7 @@
 }
 
 void
-csp_drop_links (csp_fleet_target_t *target)
+csp_close_idle_links (csp_fleet_target_t *target)
 {
   kept_links_t *kept = target->links;
   size_t i;
--- a/source/gateway/gateway-move.c
+++ b/source/gateway/gateway-move.c
@@ -36,10 +36,10 @@
 static void
 reserve_move (csp_exchange_t *exchange, csp_fleet_target_t *to)
 {
-  exchange->move.to = to;
+  exchange->move.destination = to;
   to->own.backup_tokens += exchange->tokens;
   to->users++;
-  csp_tell_load (exchange->gateway);
+  csp_schedule_load_report (exchange->gateway);
 }
 
 void
@@ -51,19 +51,19 @@
   if (move->link != NULL)
     csp_close_link (move->link);
   move->link = NULL;
-  if (move->to != NULL)
+  if (move->destination != NULL)
     {
-      move->to->own.backup_tokens -= exchange->tokens;
-      move->to->users--;
-      csp_tell_load (exchange->gateway);
+      move->destination->own.backup_tokens -= exchange->tokens;
+      move->destination->users--;
+      csp_schedule_load_report (exchange->gateway);
     }
-  move->to = NULL;
-  if (move->from != NULL)
+  move->destination = NULL;
+  if (move->source != NULL)
     {
-      move->from->moving = false;
-      move->from->users--;
+      move->source->moving = false;
+      move->source->users--;
     }
-  move->from = NULL;
+  move->source = NULL;
   move->state = CSP_MOVE_NONE;
   uv_timer_stop (&move->timer);
   csp_clear_buffer (&move->answer);
@@ -97,7 +97,7 @@
   snprintf (kept_copy, sizeof kept_copy, "%s", copy);
   csp_drop_move (exchange);
   csp_drop_attempt (exchange);
-  csp_clear_buffer (&exchange->kept);
+  csp_clear_buffer (&exchange->buffered);
   csp_choose_backup (exchange, to);
   exchange->move.state = CSP_MOVE_RESUMING;
   exchange->move.wanted = false;
@@ -119,7 +119,7 @@
 }
 
 bool
-csp_rescue_stream (csp_exchange_t *exchange)
+csp_try_resume_stream (csp_exchange_t *exchange)
 {
   csp_move_t *move = &exchange->move;
 
@@ -133,13 +133,13 @@
       return true;
     }
   if (move->state == CSP_MOVE_RESUMING || move->tries >= CSP_MOVE_TRIES_MAX
-      || !csp_backup_stands (exchange) || csp_is_quarantined (exchange))
+      || !csp_has_usable_backup (exchange) || csp_is_quarantined (exchange))
     return false;
   return resume_from_backup (exchange);
 }
 
 void
-csp_move_arrived (csp_exchange_t *exchange)
+csp_complete_move (csp_exchange_t *exchange)
 {
   exchange->gateway->counts.moves++;
   exchange->moves++;
@@ -149,7 +149,7 @@
   exchange->move.tries = 0;
   if (exchange->target->state == CSP_FLEET_LEAVING
       || exchange->target->state == CSP_FLEET_GONE)
-    csp_want_move (exchange);
+    csp_consider_move (exchange);
 }
 
 /* A move that failed while the run is still where it was is tried again when
@@ -163,13 +163,13 @@
       = exchange->move.state == CSP_MOVE_STOPPING && exchange->link == NULL;
 
   exchange->gateway->counts.moves_failed++;
-  csp_log_move (exchange, why, exchange->move.to);
+  csp_log_move (exchange, why, exchange->move.destination);
   exchange->move.ask_at_ms
-      = csp_gateway_now_ms (exchange->gateway) + CSP_MOVE_AGAIN_MS;
+      = csp_gateway_now_ms (exchange->gateway) + CSP_MOVE_RETRY_MS;
   csp_drop_move (exchange);
   if (!stopped)
     return;
-  if (csp_backup_stands (exchange) && resume_from_backup (exchange))
+  if (csp_has_usable_backup (exchange) && resume_from_backup (exchange))
     return;
   csp_fail_exchange (exchange, CSP_REASON_STREAM_CUT, why);
 }
@@ -190,7 +190,7 @@
 {
   csp_exchange_t *exchange = timer->data;
 
-  if (!exchange->over)
+  if (!exchange->ended)
     give_up_move (exchange, "copy-late");
 }
 
@@ -200,7 +200,7 @@
   csp_exchange_t *exchange = state;
 
   exchange->move.status = head->status;
-  csp_take_target_state (exchange->gateway, exchange->target, head);
+  csp_handle_target_state (exchange->gateway, exchange->target, head);
 }
 
 static void
@@ -220,10 +220,11 @@
 {
   const csp_dialect_t *dialect = exchange->gateway->dialect;
   bool copied = exchange->move.status == STATUS_OK
-                && exchange->move.to->state != CSP_FLEET_GONE
-                && !csp_is_backed_off (exchange->move.to,
+                && exchange->move.destination->state != CSP_FLEET_GONE
+                && !csp_is_backed_off (exchange->move.destination,
                                        csp_gateway_now_ms (exchange->gateway));
-  csp_fleet_target_t *to = copied ? exchange->move.to : exchange->target;
+  csp_fleet_target_t *to
+      = copied ? exchange->move.destination : exchange->target;
   char address[CSP_ADDRESS_TEXT_BYTES];
   char copy[CSP_COPY_TEXT_BYTES];
 
@@ -250,7 +251,7 @@
   bool readable = exchange->gateway->dialect->read_move (
       move->answer.data, move->answer.size_bytes, &answer);
 
-  csp_give_link_back (exchange->gateway, exchange->target, move->link);
+  csp_release_link (exchange->gateway, exchange->target, move->link);
   move->link = NULL;
   uv_timer_stop (&move->timer);
   if (stopping && readable && answer.handle[0] != '\0')
@@ -271,7 +272,7 @@
     }
   if (move->status != STATUS_CONFLICT)
     {
-      move->refused_at = move->to->hash;
+      move->refusing_target = move->destination->hash;
       move->refused_until_ms
           = csp_gateway_now_ms (exchange->gateway) + REFUSED_FOR_MS;
     }
@@ -302,23 +303,23 @@
 
   csp_clear_buffer (&move->answer);
   move->status = 0;
-  if (move->from == NULL)
+  if (move->source == NULL)
     {
-      move->from = exchange->target;
-      move->from->moving = true;
-      move->from->users++;
+      move->source = exchange->target;
+      move->source->moving = true;
+      move->source->users++;
     }
-  move->link = csp_take_link (exchange->gateway, exchange->target);
+  move->link = csp_acquire_link (exchange->gateway, exchange->target);
   if (move->link == NULL)
     {
       give_up_move (exchange, "no-connection");
       return;
     }
   move->state = last ? CSP_MOVE_STOPPING : CSP_MOVE_COPYING;
-  csp_log_move (exchange, last ? "stop" : "copy", move->to);
+  csp_log_move (exchange, last ? "stop" : "copy", move->destination);
   csp_start_link_request (move->link, &copy_events, exchange, false);
   csp_print_target_address (exchange->target, source);
-  csp_print_target_address (move->to, to);
+  csp_print_target_address (move->destination, to);
   if (!dialect->write_move (source, exchange->request_id, to, last, &request)
       || !csp_write_link (move->link, request.data, request.size_bytes))
     {
@@ -332,7 +333,7 @@
 }
 
 void
-csp_want_move (csp_exchange_t *exchange)
+csp_consider_move (csp_exchange_t *exchange)
 {
   csp_move_t *move = &exchange->move;
 
@@ -343,11 +344,11 @@
   if (!move->wanted)
     {
       move->tries = 0;
-      move->alone = false;
+      move->decided_locally = false;
       move->ask_at_ms = 0;
     }
   move->wanted = true;
-  if (exchange->mode != CSP_ANSWER_STREAM || exchange->events == 0)
+  if (exchange->answer_mode != CSP_ANSWER_STREAM || exchange->events == 0)
     return;
   if (csp_backup_is_whole (exchange) && !csp_run_ends_in_time (exchange))
     {
@@ -356,7 +357,7 @@
                            "no connection to go on");
       return;
     }
-  csp_pump_moves (exchange->gateway);
+  csp_start_due_moves (exchange->gateway);
 }
 
 /* Where a stream goes when nobody has given it room.  Where all seem full the
@@ -366,10 +367,10 @@
 choose_alone (csp_exchange_t *exchange)
 {
   csp_fleet_target_t *to
-      = csp_choose_elsewhere (exchange, exchange->target, move_share_max);
+      = csp_choose_other_target (exchange, exchange->target, move_share_max);
 
   return to != NULL ? to
-                    : csp_choose_elsewhere (exchange, exchange->target, 0);
+                    : csp_choose_other_target (exchange, exchange->target, 0);
 }
 
 /* First a copy, while the run goes on.  */
--- a/source/gateway/gateway-page.c
+++ b/source/gateway/gateway-page.c
@@ -33,7 +33,7 @@
     { "streams_lost_total", "counter", counts->streams_lost },
     { "caller_connections_total", "counter", counts->connections },
     { "target_connections_total", "counter", counts->link_opens },
-    { "target_reports_total", "counter", counts->reports },
+    { "target_reports_total", "counter", counts->status_queries },
     { "target_backoffs_total", "counter", counts->backoffs },
     { "quarantined_total", "counter", counts->quarantined },
     { "quarantine_refused_total", "counter", counts->quarantine_refused },
@@ -87,7 +87,7 @@
 append_times (const csp_gateway_t *gateway, csp_buffer_t *text)
 {
   size_t size_bytes = 0;
-  char *times = csp_render_metrics (gateway->times, &size_bytes);
+  char *times = csp_render_metrics (gateway->request_metrics, &size_bytes);
 
   if (times != NULL)
     csp_append_buffer (text, times, size_bytes);
@@ -127,10 +127,10 @@
   const csp_gateway_settings_t *settings = &gateway->settings;
   int fault = 0;
 
-  gateway->ready = csp_open_page_server (&gateway->loop, &settings->ready,
-                                         &events, gateway, &fault);
-  if (gateway->ready != NULL && settings->metrics.sin_port != 0)
-    gateway->metrics = csp_open_page_server (
+  gateway->readiness_page = csp_open_page_server (
+      &gateway->loop, &settings->ready, &events, gateway, &fault);
+  if (gateway->readiness_page != NULL && settings->metrics.sin_port != 0)
+    gateway->metrics_page = csp_open_page_server (
         &gateway->loop, &settings->metrics, &events, gateway, &fault);
   if (fault == 0)
     return true;
@@ -142,8 +142,8 @@
 void
 csp_close_gateway_pages (csp_gateway_t *gateway)
 {
-  csp_close_page_server (gateway->ready);
-  csp_close_page_server (gateway->metrics);
-  gateway->ready = NULL;
-  gateway->metrics = NULL;
+  csp_close_page_server (gateway->readiness_page);
+  csp_close_page_server (gateway->metrics_page);
+  gateway->readiness_page = NULL;
+  gateway->metrics_page = NULL;
 }
--- a/source/gateway/gateway-peers.c
+++ b/source/gateway/gateway-peers.c
@@ -56,7 +56,7 @@
 }
 
 void
-csp_count_new_target (csp_gateway_t *gateway, const char *id)
+csp_count_reported_loads (csp_gateway_t *gateway, const char *id)
 {
   const csp_fleet_target_t *target
       = csp_find_fleet_target (gateway->fleet, id);
@@ -99,7 +99,7 @@
         struct sockaddr_in to = csp_socket_of_peer (peers[i]);
         uv_buf_t buffer = uv_buf_init (bytes.data, (unsigned)bytes.size_bytes);
 
-        uv_udp_try_send (&gateway->peers, &buffer, 1,
+        uv_udp_try_send (&gateway->peer_socket, &buffer, 1,
                          (const struct sockaddr *)&to);
       }
   csp_clear_buffer (&bytes);
@@ -113,7 +113,7 @@
   hello.known_count = csp_name_known_hosts (gateway->roster, peer, hello.known,
                                             CSP_HELLO_KNOWN_MAX,
                                             csp_gateway_now_ms (gateway));
-  csp_name_gateway_suspects (gateway, &hello);
+  csp_add_suspects_to_hello (gateway, &hello);
   csp_send_hello (gateway, &hello, &peer, 1);
 }
 
@@ -122,7 +122,7 @@
 {
   csp_hello_t hello = { .wants_answer = false };
 
-  csp_name_gateway_suspects (gateway, &hello);
+  csp_add_suspects_to_hello (gateway, &hello);
   csp_send_hello (gateway, &hello, &peer, 1);
 }
 
@@ -130,7 +130,7 @@
 on_greet (uv_timer_t *timer)
 {
   csp_gateway_t *gateway = timer->data;
-  csp_peer_address_t *peers = gateway->peer_room;
+  csp_peer_address_t *peers = gateway->peer_scratch;
   int64_t now_ms = csp_gateway_now_ms (gateway);
   size_t count;
   size_t i;
@@ -138,8 +138,8 @@
   if (csp_expire_peers (gateway->roster, now_ms))
     count_others (gateway);
   pthread_mutex_lock (&gateway->live_lock);
-  gateway->live_count
-      = csp_draw_peers (gateway->roster, gateway->live, CSP_LIVE_PEERS_MAX);
+  gateway->live_peer_count = csp_draw_peers (
+      gateway->roster, gateway->live_peers, CSP_LIVE_PEERS_MAX);
   csp_rank_readers (gateway->roster, &gateway->readers);
   pthread_mutex_unlock (&gateway->live_lock);
   csp_note_greeting_period (gateway->reach,
@@ -167,13 +167,13 @@
   if (hear_peer (gateway, peer, &hello)
       && (hello.whole || hello.load_count > 0)
       && csp_count_waiting_asks (gateway->dispatch) > 0)
-    csp_pump_places (gateway);
+    csp_place_waiting_asks (gateway);
   if (hello.wants_answer)
     answer_greeting (gateway, peer);
-  csp_take_left (gateway, &hello);
-  csp_take_suspects (gateway, peer, &hello);
-  csp_take_lease_hello (gateway, peer, &hello);
-  csp_take_dispatch_hello (gateway, peer, &hello);
+  csp_handle_leaving_notices (gateway, &hello);
+  csp_handle_suspects (gateway, peer, &hello);
+  csp_handle_lease_hello (gateway, peer, &hello);
+  csp_handle_dispatch_hello (gateway, peer, &hello);
 }
 
 size_t
@@ -183,8 +183,8 @@
   size_t count;
 
   pthread_mutex_lock (&gateway->live_lock);
-  count = gateway->live_count < room ? gateway->live_count : room;
-  memcpy (addresses, gateway->live, count * sizeof *addresses);
+  count = gateway->live_peer_count < room ? gateway->live_peer_count : room;
+  memcpy (addresses, gateway->live_peers, count * sizeof *addresses);
   pthread_mutex_unlock (&gateway->live_lock);
   return count;
 }
@@ -216,40 +216,42 @@
   gateway->roster = csp_create_roster (gateway->self, gateway->boot,
                                        gateway->data_centre, random);
   gateway->reach = csp_create_reach (gateway->data_centre);
-  gateway->peer_room = calloc (CSP_ROSTER_MAX, sizeof *gateway->peer_room);
+  gateway->peer_scratch
+      = calloc (CSP_ROSTER_MAX, sizeof *gateway->peer_scratch);
   if (gateway->roster == NULL || gateway->reach == NULL
-      || gateway->peer_room == NULL)
+      || gateway->peer_scratch == NULL)
     return false;
   csp_set_roster_self (gateway->roster, settings->capacity,
                        csp_gateway_now_ms (gateway));
   csp_rank_readers (gateway->roster, &gateway->readers);
-  csp_open_gateway_tell (gateway);
-  uv_timer_init (&gateway->loop, &gateway->greet_timer);
-  gateway->greet_timer.data = gateway;
-  uv_udp_init (&gateway->loop, &gateway->peers);
-  gateway->peers.data = gateway;
+  csp_open_load_reports (gateway);
+  uv_timer_init (&gateway->loop, &gateway->hello_timer);
+  gateway->hello_timer.data = gateway;
+  uv_udp_init (&gateway->loop, &gateway->peer_socket);
+  gateway->peer_socket.data = gateway;
   if (settings->peers.sin_port == 0)
     return true;
-  if (uv_udp_bind (&gateway->peers, (const struct sockaddr *)&settings->peers,
-                   0)
+  if (uv_udp_bind (&gateway->peer_socket,
+                   (const struct sockaddr *)&settings->peers, 0)
           != 0
-      || uv_udp_recv_start (&gateway->peers, csp_share_read_room, on_datagram)
+      || uv_udp_recv_start (&gateway->peer_socket, csp_share_read_room,
+                            on_datagram)
              != 0)
     return false;
   for (i = 0; i < settings->seed_count; i++)
     csp_learn_peer (gateway->roster, csp_peer_of_socket (&settings->seeds[i]));
-  uv_timer_start (&gateway->greet_timer, on_greet, 0, GREET_TICK_MS);
+  uv_timer_start (&gateway->hello_timer, on_greet, 0, GREET_TICK_MS);
   return true;
 }
 
 void
 csp_stop_gateway_peers (csp_gateway_t *gateway)
 {
-  if (uv_handle_get_type ((uv_handle_t *)&gateway->peers) != UV_UDP)
+  if (uv_handle_get_type ((uv_handle_t *)&gateway->peer_socket) != UV_UDP)
     return;
-  uv_udp_recv_stop (&gateway->peers);
-  uv_timer_stop (&gateway->tell_timer);
-  uv_timer_stop (&gateway->greet_timer);
+  uv_udp_recv_stop (&gateway->peer_socket);
+  uv_timer_stop (&gateway->load_report_timer);
+  uv_timer_stop (&gateway->hello_timer);
 }
 
 void
@@ -258,5 +260,5 @@
   pthread_mutex_destroy (&gateway->live_lock);
   csp_destroy_roster (gateway->roster);
   csp_destroy_reach (gateway->reach);
-  free (gateway->peer_room);
+  free (gateway->peer_scratch);
 }
--- a/source/gateway/gateway-quarantine.c
+++ b/source/gateway/gateway-quarantine.c
@@ -19,7 +19,7 @@
 uint64_t
 csp_exchange_fingerprint (csp_exchange_t *exchange)
 {
-  const csp_http_head_t *head = csp_caller_head (exchange->caller);
+  const csp_http_head_t *head = csp_caller_request_head (exchange->caller);
   const char *host = csp_find_http_field (head, "Host");
   csp_request_identity_t identity
       = { .method = head->method,
@@ -62,7 +62,7 @@
 static bool
 has_answer (const csp_exchange_t *exchange)
 {
-  return exchange->mode != CSP_ANSWER_NONE || exchange->events > 0;
+  return exchange->answer_mode != CSP_ANSWER_NONE || exchange->events > 0;
 }
 
 /* Whether it is the request.  One whose body is still coming isn't known yet;
@@ -70,7 +70,7 @@
 static bool
 is_request (csp_exchange_t *exchange, uint64_t fingerprint)
 {
-  return !exchange->over && exchange->service != NULL
+  return !exchange->ended && exchange->service != NULL
          && csp_exchange_fingerprint (exchange) == fingerprint;
 }
 
@@ -116,13 +116,13 @@
 static void
 send_to_all (csp_gateway_t *gateway, csp_hello_t *hello)
 {
-  csp_send_hello (gateway, hello, gateway->peer_room,
-                  csp_list_live_peers (gateway->roster, gateway->peer_room,
+  csp_send_hello (gateway, hello, gateway->peer_scratch,
+                  csp_list_live_peers (gateway->roster, gateway->peer_scratch,
                                        CSP_ROSTER_MAX));
 }
 
 void
-csp_tell_suspects (csp_gateway_t *gateway)
+csp_broadcast_suspects (csp_gateway_t *gateway)
 {
   for (;;)
     {
@@ -140,7 +140,7 @@
 }
 
 void
-csp_name_gateway_suspects (csp_gateway_t *gateway, csp_hello_t *hello)
+csp_add_suspects_to_hello (csp_gateway_t *gateway, csp_hello_t *hello)
 {
   hello->suspect_count
       = csp_name_suspects (gateway->quarantine, hello->suspects,
@@ -148,7 +148,7 @@
 }
 
 void
-csp_note_target_ended (csp_exchange_t *exchange)
+csp_note_connection_lost (csp_exchange_t *exchange)
 {
   csp_gateway_t *gateway = exchange->gateway;
   const csp_fleet_target_t *target = exchange->target;
@@ -163,7 +163,7 @@
   if (change == CSP_SUSPECT_QUARANTINED)
     begin_quarantine (gateway, fingerprint, "self", exchange);
   if (change == CSP_SUSPECT_QUARANTINED)
-    csp_tell_suspects (gateway);
+    csp_broadcast_suspects (gateway);
 }
 
 static void
@@ -193,8 +193,8 @@
 }
 
 void
-csp_take_suspects (csp_gateway_t *gateway, csp_peer_address_t from,
-                   const csp_hello_t *hello)
+csp_handle_suspects (csp_gateway_t *gateway, csp_peer_address_t from,
+                     const csp_hello_t *hello)
 {
   csp_hello_t answer = { .cleared_count = 0 };
   char host[CSP_PEER_TEXT_BYTES];
--- a/source/gateway/gateway-reach.c
+++ b/source/gateway/gateway-reach.c
@@ -47,7 +47,7 @@
   else
     engines->cut_off++;
   if (csp_take_reach_question (gateway->reach, target->data_centre, now_ms))
-    csp_ask_target (gateway, target, now_ms);
+    csp_query_target (gateway, target, now_ms);
 }
 
 static void
@@ -57,16 +57,16 @@
   bool alone = engines->reached == 0 && engines->cut_off > 0;
 
   if (!alone)
-    gateway->alone_since_ms = 0;
-  else if (gateway->alone_since_ms == 0)
-    gateway->alone_since_ms = now_ms;
+    gateway->isolated_since_ms = 0;
+  else if (gateway->isolated_since_ms == 0)
+    gateway->isolated_since_ms = now_ms;
 }
 
 bool
 csp_is_isolated (const csp_gateway_t *gateway)
 {
-  return gateway->alone_since_ms != 0
-         && csp_gateway_now_ms (gateway) - gateway->alone_since_ms
+  return gateway->isolated_since_ms != 0
+         && csp_gateway_now_ms (gateway) - gateway->isolated_since_ms
                 >= ISOLATED_AFTER_MS;
 }
 
@@ -74,9 +74,9 @@
 csp_isolated_retry_ms (const csp_gateway_t *gateway)
 {
   int64_t passed_ms
-      = gateway->alone_since_ms == 0
+      = gateway->isolated_since_ms == 0
             ? 0
-            : csp_gateway_now_ms (gateway) - gateway->alone_since_ms;
+            : csp_gateway_now_ms (gateway) - gateway->isolated_since_ms;
 
   return passed_ms < BALANCER_NOTICE_MS
              ? (uint32_t)(BALANCER_NOTICE_MS - passed_ms)
@@ -84,7 +84,7 @@
 }
 
 void
-csp_judge_reach (csp_gateway_t *gateway)
+csp_update_reachability (csp_gateway_t *gateway)
 {
   int64_t now_ms = csp_gateway_now_ms (gateway);
   size_t count = csp_fleet_size (gateway->fleet);
@@ -114,5 +114,5 @@
 {
   csp_note_exchange_failed (gateway->reach, target->data_centre,
                             csp_gateway_now_ms (gateway));
-  csp_judge_reach (gateway);
+  csp_update_reachability (gateway);
 }
--- a/source/gateway/gateway-report.c
+++ b/source/gateway/gateway-report.c
@@ -45,10 +45,10 @@
 };
 
 /* One question under way.  */
-struct csp_report
+struct csp_status_query
 {
-  csp_report_t *next;
-  csp_report_t *previous;
+  csp_status_query_t *next;
+  csp_status_query_t *previous;
   csp_gateway_t *gateway;
   csp_fleet_target_t *target;
   csp_link_t *link;
@@ -61,20 +61,21 @@
 static bool
 is_unheard (const csp_gateway_t *gateway, int64_t now_ms)
 {
-  return gateway->heard_ms != 0 && now_ms - gateway->heard_ms >= HEARD_LATE_MS;
+  return gateway->platform_read_ms != 0
+         && now_ms - gateway->platform_read_ms >= HEARD_LATE_MS;
 }
 
 void
-csp_note_platform_heard (csp_gateway_t *gateway, uint32_t age_ms)
+csp_note_platform_read (csp_gateway_t *gateway, uint32_t age_ms)
 {
   int64_t now_ms = csp_gateway_now_ms (gateway) - age_ms;
 
-  if (now_ms <= gateway->heard_ms)
+  if (now_ms <= gateway->platform_read_ms)
     return;
 
   if (is_unheard (gateway, now_ms))
-    gateway->doubt_until_ms = now_ms + DOUBT_MS;
-  gateway->heard_ms = now_ms;
+    gateway->query_until_ms = now_ms + DOUBT_MS;
+  gateway->platform_read_ms = now_ms;
 }
 
 bool
@@ -96,37 +97,39 @@
   size_t kept = 0;
   size_t i;
 
-  for (i = 0; i < gateway->left_count; i++)
+  for (i = 0; i < gateway->leaving_notice_count; i++)
     {
-      csp_left_t *left = &gateway->left[i];
+      csp_leaving_notice_t *left = &gateway->leaving_notices[i];
 
       hello.left[hello.left_count++] = left->target;
-      if (--left->times > 0)
-        gateway->left[kept++] = *left;
+      if (--left->sends_left > 0)
+        gateway->leaving_notices[kept++] = *left;
     }
-  gateway->left_count = kept;
+  gateway->leaving_notice_count = kept;
   if (hello.left_count > 0)
-    csp_send_hello (gateway, &hello, gateway->peer_room,
-                    csp_list_live_peers (gateway->roster, gateway->peer_room,
+    csp_send_hello (gateway, &hello, gateway->peer_scratch,
+                    csp_list_live_peers (gateway->roster,
+                                         gateway->peer_scratch,
                                          CSP_ROSTER_MAX));
 }
 
 void
 csp_announce_leaving (csp_gateway_t *gateway, csp_fleet_target_t *target)
 {
-  csp_left_t left = { .target = target->hash, .times = TOLD_TIMES };
+  csp_leaving_notice_t left
+      = { .target = target->hash, .sends_left = TOLD_TIMES };
 
   if (target->leaves)
     return;
-  while (gateway->left_count == CSP_HELLO_LEFT_MAX)
+  while (gateway->leaving_notice_count == CSP_HELLO_LEFT_MAX)
     tell_left (gateway);
-  gateway->left[gateway->left_count++] = left;
+  gateway->leaving_notices[gateway->leaving_notice_count++] = left;
   tell_left (gateway);
   csp_note_target_leaves (gateway->fleet, target);
 }
 
 void
-csp_take_left (csp_gateway_t *gateway, const csp_hello_t *hello)
+csp_handle_leaving_notices (csp_gateway_t *gateway, const csp_hello_t *hello)
 {
   size_t i;
 
@@ -141,16 +144,16 @@
 }
 
 static void
-end_report (csp_report_t *report, bool keeps_link)
+end_report (csp_status_query_t *report, bool keeps_link)
 {
   if (keeps_link)
-    csp_give_link_back (report->gateway, report->target, report->link);
+    csp_release_link (report->gateway, report->target, report->link);
   else
     csp_close_link (report->link);
   if (report->previous != NULL)
     report->previous->next = report->next;
   else
-    report->gateway->reports = report->next;
+    report->gateway->status_queries = report->next;
   if (report->next != NULL)
     report->next->previous = report->previous;
   report->target->users--;
@@ -161,17 +164,17 @@
 static void
 on_report_answered (void *state, const csp_http_head_t *head)
 {
-  csp_report_t *report = state;
+  csp_status_query_t *report = state;
 
   csp_note_target_answered (report->gateway, report->target);
   report->status = head->status;
-  report->leaving = csp_says_leaving (report->gateway, head);
+  report->leaving = csp_head_says_leaving (report->gateway, head);
 }
 
 static void
 on_report_body (void *state, const char *piece, size_t piece_bytes)
 {
-  csp_report_t *report = state;
+  csp_status_query_t *report = state;
 
   if (report->body.size_bytes + piece_bytes > REPORT_MAX_BYTES
       || !csp_append_buffer (&report->body, piece, piece_bytes))
@@ -181,7 +184,7 @@
 static void
 on_report_ended (void *state)
 {
-  csp_report_t *report = state;
+  csp_status_query_t *report = state;
   csp_gateway_t *gateway = report->gateway;
   csp_fleet_target_t *target = report->target;
   csp_target_report_t told = { .leaving = false };
@@ -204,7 +207,7 @@
 
 /* It is gone, or cut off from here, and gets nothing new for a while.  */
 static void
-fail_report (csp_report_t *report)
+fail_report (csp_status_query_t *report)
 {
   csp_gateway_t *gateway = report->gateway;
   const csp_fleet_target_t *target = report->target;
@@ -230,16 +233,16 @@
         .failed = on_report_failed };
 
 void
-csp_ask_target (csp_gateway_t *gateway, csp_fleet_target_t *target,
-                int64_t now_ms)
+csp_query_target (csp_gateway_t *gateway, csp_fleet_target_t *target,
+                  int64_t now_ms)
 {
-  csp_report_t *report = calloc (1, sizeof *report);
+  csp_status_query_t *report = calloc (1, sizeof *report);
   char address[CSP_ADDRESS_TEXT_BYTES];
   csp_buffer_t request = { 0 };
 
   if (report == NULL)
     return;
-  report->link = csp_take_link (gateway, target);
+  report->link = csp_acquire_link (gateway, target);
   if (report->link == NULL)
     {
       free (report);
@@ -248,10 +251,10 @@
   report->gateway = gateway;
   report->target = target;
   report->asked_ms = now_ms;
-  report->next = gateway->reports;
+  report->next = gateway->status_queries;
   if (report->next != NULL)
     report->next->previous = report;
-  gateway->reports = report;
+  gateway->status_queries = report;
   target->users++;
   target->report_at_ms = now_ms + REPORT_AGAIN_MS;
   csp_start_link_request (report->link, &report_events, report, false);
@@ -260,18 +263,18 @@
   csp_write_link (report->link, request.data, request.size_bytes);
   csp_finish_link_request (report->link);
   csp_clear_buffer (&request);
-  gateway->counts.reports++;
+  gateway->counts.status_queries++;
 }
 
 /* A target that lost power never answers.  */
 static void
 drop_late_reports (csp_gateway_t *gateway, int64_t now_ms)
 {
-  csp_report_t *report = gateway->reports;
+  csp_status_query_t *report = gateway->status_queries;
 
   while (report != NULL)
     {
-      csp_report_t *next = report->next;
+      csp_status_query_t *next = report->next;
 
       if (now_ms - report->asked_ms >= REPORT_TIMEOUT_MS)
         fail_report (report);
@@ -280,17 +283,17 @@
 }
 
 void
-csp_ask_reports (csp_gateway_t *gateway)
+csp_query_targets (csp_gateway_t *gateway)
 {
   int64_t now_ms = csp_gateway_now_ms (gateway);
   size_t count = csp_fleet_size (gateway->fleet);
-  size_t first = count == 0 ? 0 : gateway->report_next % count;
+  size_t first = count == 0 ? 0 : gateway->next_query_index % count;
   size_t asked = 0;
   size_t i;
 
   drop_late_reports (gateway, now_ms);
   tell_left (gateway);
-  if ((!is_unheard (gateway, now_ms) && now_ms >= gateway->doubt_until_ms)
+  if ((!is_unheard (gateway, now_ms) && now_ms >= gateway->query_until_ms)
       || !csp_is_same_peer (gateway->decider, gateway->self))
     return;
   for (i = 0; i < count && asked < REPORTS_IN_TURN; i++)
@@ -303,21 +306,21 @@
               || target->state == CSP_FLEET_LAPSED)
           && csp_is_engine_target (gateway, target))
         {
-          csp_ask_target (gateway, target, now_ms);
+          csp_query_target (gateway, target, now_ms);
           asked++;
         }
     }
-  gateway->report_next = first + i;
+  gateway->next_query_index = first + i;
 }
 
 void
-csp_drop_reports (csp_gateway_t *gateway)
+csp_cancel_status_queries (csp_gateway_t *gateway)
 {
-  csp_report_t *report = gateway->reports;
+  csp_status_query_t *report = gateway->status_queries;
 
   while (report != NULL)
     {
-      csp_report_t *next = report->next;
+      csp_status_query_t *next = report->next;
 
       end_report (report, false);
       report = next;
--- a/source/gateway/gateway-stream.c
+++ b/source/gateway/gateway-stream.c
@@ -90,7 +90,7 @@
 static size_t
 take_events (csp_exchange_t *exchange)
 {
-  csp_buffer_t *kept = &exchange->kept;
+  csp_buffer_t *kept = &exchange->buffered;
   size_t done_bytes = 0;
   size_t event_bytes;
 
@@ -153,25 +153,25 @@
       csp_clear_buffer (&exchange->head);
     }
   if (exchange->chunked)
-    csp_append_chunk (&out, exchange->kept.data, size_bytes);
+    csp_append_chunk (&out, exchange->buffered.data, size_bytes);
   else
-    csp_append_buffer (&out, exchange->kept.data, size_bytes);
+    csp_append_buffer (&out, exchange->buffered.data, size_bytes);
   csp_write_caller (exchange->caller, out.data, out.size_bytes);
   csp_clear_buffer (&out);
-  csp_consume_buffer (&exchange->kept, size_bytes);
+  csp_consume_buffer (&exchange->buffered, size_bytes);
 }
 
 void
-csp_take_stream (csp_exchange_t *exchange, const char *piece,
-                 size_t piece_bytes)
+csp_handle_stream_bytes (csp_exchange_t *exchange, const char *piece,
+                         size_t piece_bytes)
 {
-  bool first = exchange->run_since_ms == 0;
+  bool first = exchange->run_started_ms == 0;
   size_t ready_bytes;
 
   exchange->last_data_ms = csp_gateway_now_ms (exchange->gateway);
   csp_note_target_answered (exchange->gateway, exchange->target);
-  if (!csp_append_buffer (&exchange->kept, piece, piece_bytes)
-      || exchange->kept.size_bytes > CSP_ANSWER_KEPT_BYTES)
+  if (!csp_append_buffer (&exchange->buffered, piece, piece_bytes)
+      || exchange->buffered.size_bytes > CSP_ANSWER_BUFFER_MAX_BYTES)
     {
       csp_fail_exchange (exchange, CSP_REASON_INTERNAL,
                          "an event is too large");
@@ -183,15 +183,15 @@
   send_events (exchange, ready_bytes);
   if (first)
     {
-      exchange->run_since_ms = exchange->last_data_ms;
+      exchange->run_started_ms = exchange->last_data_ms;
       csp_note_prompt_read (exchange, exchange->target);
       csp_count_movable (exchange, true);
-      csp_tell_load (exchange->gateway);
+      csp_schedule_load_report (exchange->gateway);
     }
   if (exchange->move.state == CSP_MOVE_RESUMING)
-    csp_move_arrived (exchange);
+    csp_complete_move (exchange);
   else if (first && exchange->move.wanted)
-    csp_want_move (exchange);
+    csp_consider_move (exchange);
   if (exchange->link != NULL
       && csp_caller_backlog (exchange->caller) > CSP_BACKLOG_BYTES)
     csp_pause_link (exchange->link, true);
--- a/source/gateway/gateway-target-state.c
+++ b/source/gateway/gateway-target-state.c
@@ -14,7 +14,8 @@
 };
 
 bool
-csp_says_leaving (const csp_gateway_t *gateway, const csp_http_head_t *head)
+csp_head_says_leaving (const csp_gateway_t *gateway,
+                       const csp_http_head_t *head)
 {
   return csp_find_http_field (head, gateway->dialect->names[CSP_NAME_LEAVING])
          != NULL;
@@ -30,7 +31,7 @@
     {
       csp_exchange_t *next = exchange->next;
 
-      if (!exchange->over && exchange->asking && !exchange->asks_to_move
+      if (!exchange->ended && exchange->asking && !exchange->asks_to_move
           && csp_is_service_backed_off (exchange))
         csp_refuse_backed_off (exchange);
       exchange = next;
@@ -61,15 +62,15 @@
 }
 
 void
-csp_take_target_state (csp_gateway_t *gateway, csp_fleet_target_t *target,
-                       const csp_http_head_t *head)
+csp_handle_target_state (csp_gateway_t *gateway, csp_fleet_target_t *target,
+                         const csp_http_head_t *head)
 {
   const char *retry_after = csp_find_http_field (head, "Retry-After");
 
   /* Another target answers at the address; it speaks of itself.  */
   if (head->status == STATUS_MISDIRECTED)
     return;
-  if (csp_says_leaving (gateway, head))
+  if (csp_head_says_leaving (gateway, head))
     csp_announce_leaving (gateway, target);
   if (head->status == STATUS_UNAVAILABLE && retry_after != NULL)
     take_backoff (gateway, target, retry_after);
--- a/source/gateway/gateway-tell.c
+++ b/source/gateway/gateway-tell.c
@@ -101,10 +101,10 @@
 }
 
 void
-csp_tell_load (csp_gateway_t *gateway)
+csp_schedule_load_report (csp_gateway_t *gateway)
 {
-  if (!uv_is_active ((uv_handle_t *)&gateway->tell_timer))
-    uv_timer_start (&gateway->tell_timer, on_tell, TELL_MS, 0);
+  if (!uv_is_active ((uv_handle_t *)&gateway->load_report_timer))
+    uv_timer_start (&gateway->load_report_timer, on_tell, TELL_MS, 0);
 }
 
 static bool
@@ -151,10 +151,10 @@
                            csp_is_same_peer (decider, gateway->self)));
     }
   gateway->decider = decider;
-  csp_note_lease_duties (gateway);
-  if (now_ms >= gateway->whole_at_ms)
+  csp_note_decider_change (gateway);
+  if (now_ms >= gateway->full_report_at_ms)
     {
-      gateway->whole_at_ms = now_ms + WHOLE_MS;
+      gateway->full_report_at_ms = now_ms + WHOLE_MS;
       tell_loads (gateway, true, hosts, count);
     }
   else
@@ -164,10 +164,10 @@
 }
 
 void
-csp_open_gateway_tell (csp_gateway_t *gateway)
+csp_open_load_reports (csp_gateway_t *gateway)
 {
   gateway->decider = gateway->self;
   gateway->decider_since_ms = csp_gateway_now_ms (gateway);
-  uv_timer_init (&gateway->loop, &gateway->tell_timer);
-  gateway->tell_timer.data = gateway;
+  uv_timer_init (&gateway->loop, &gateway->load_report_timer);
+  gateway->load_report_timer.data = gateway;
 }
--- a/source/gateway/gateway-turn.c
+++ b/source/gateway/gateway-turn.c
@@ -22,7 +22,7 @@
    right in the median and far off in the tails, so a run that has outlived its
    guess goes on for some part of what it took so far.  */
 int64_t
-csp_expected_left_ms (const csp_exchange_t *exchange)
+csp_expected_remaining_ms (const csp_exchange_t *exchange)
 {
   int64_t took_ms
       = csp_gateway_now_ms (exchange->gateway) - exchange->first_event_ms;
@@ -36,7 +36,7 @@
 bool
 csp_run_ends_in_time (const csp_exchange_t *exchange)
 {
-  return csp_expected_left_ms (exchange) < ENDS_SOON_MS
+  return csp_expected_remaining_ms (exchange) < ENDS_SOON_MS
          && csp_gateway_now_ms (exchange->gateway)
                 < exchange->target->left_at_ms + ENDS_SOON_MS;
 }
@@ -45,7 +45,7 @@
 csp_waits_for_move (csp_exchange_t *exchange)
 {
   return exchange->move.wanted && exchange->move.state == CSP_MOVE_NONE
-         && exchange->mode == CSP_ANSWER_STREAM && exchange->events > 0
+         && exchange->answer_mode == CSP_ANSWER_STREAM && exchange->events > 0
          && exchange->target != NULL
          && exchange->move.tries < CSP_MOVE_TRIES_MAX
          && !csp_is_quarantined (exchange);
@@ -54,14 +54,14 @@
 static void
 on_move_timer (uv_timer_t *timer)
 {
-  csp_pump_moves (timer->data);
+  csp_start_due_moves (timer->data);
 }
 
 /* Whether this host may begin the move by itself now.  */
 static bool
 has_own_turn (const csp_exchange_t *exchange, int64_t now_ms)
 {
-  return exchange->move.alone && !exchange->target->moving
+  return exchange->move.decided_locally && !exchange->target->moving
          && now_ms >= exchange->target->turn_at_ms;
 }
 
@@ -72,7 +72,7 @@
   if (exchange->asking || now_ms < exchange->move.ask_at_ms
       || csp_run_ends_in_time (exchange))
     return false;
-  if (exchange->move.alone)
+  if (exchange->move.decided_locally)
     return has_own_turn (exchange, now_ms);
   csp_ask_to_move (exchange);
   return false;
@@ -82,7 +82,7 @@
    target.  Where it says nothing they go one after another, the one that has
    longest to go first: what is nearly done may still end where it is.  */
 void
-csp_pump_moves (csp_gateway_t *gateway)
+csp_start_due_moves (csp_gateway_t *gateway)
 {
   int64_t now_ms = csp_gateway_now_ms (gateway);
   csp_exchange_t *exchange = gateway->exchanges;
@@ -99,8 +99,8 @@
           waiting = true;
           if (ask_or_go (exchange, now_ms)
               && (best == NULL
-                  || csp_expected_left_ms (exchange)
-                         > csp_expected_left_ms (best)))
+                  || csp_expected_remaining_ms (exchange)
+                         > csp_expected_remaining_ms (best)))
             best = exchange;
         }
       exchange = next;
@@ -168,8 +168,7 @@
 }
 
 void
-csp_forget_destination (csp_gateway_t *gateway,
-                        const csp_fleet_target_t *target)
+csp_drop_copies_at (csp_gateway_t *gateway, const csp_fleet_target_t *target)
 {
   csp_exchange_t *exchange = gateway->exchanges;
 
@@ -180,31 +179,31 @@
       if (exchange->backup == target)
         {
           exchange->backup = NULL;
-          if (exchange->run_since_ms != 0)
+          if (exchange->run_started_ms != 0)
             csp_count_movable (exchange, true);
         }
-      if (exchange->move.to == target)
+      if (exchange->move.destination == target)
         csp_note_destination_left (exchange);
       exchange = next;
     }
 }
 
 void
-csp_leave_target (csp_gateway_t *gateway, csp_fleet_target_t *target)
+csp_drain_target (csp_gateway_t *gateway, csp_fleet_target_t *target)
 {
   csp_exchange_t *exchange;
 
   target->left_at_ms = csp_gateway_now_ms (gateway);
   target->turn_at_ms
       = csp_gateway_now_ms (gateway) + own_turn_ms (gateway, target);
-  csp_forget_destination (gateway, target);
+  csp_drop_copies_at (gateway, target);
   exchange = gateway->exchanges;
   while (exchange != NULL)
     {
       csp_exchange_t *next = exchange->next;
 
       if (exchange->target == target)
-        csp_want_move (exchange);
+        csp_consider_move (exchange);
       exchange = next;
     }
 }
@@ -213,7 +212,7 @@
    connection stays open.  One notices a stream that stands still; the caller
    waits for seconds and then leaves.  */
 void
-csp_watch_streams (csp_gateway_t *gateway)
+csp_resume_silent_streams (csp_gateway_t *gateway)
 {
   int64_t now_ms = csp_gateway_now_ms (gateway);
   csp_exchange_t *exchange = gateway->exchanges;
@@ -222,14 +221,14 @@
     {
       csp_exchange_t *next = exchange->next;
 
-      if (exchange->events > 0 && exchange->mode == CSP_ANSWER_STREAM
+      if (exchange->events > 0 && exchange->answer_mode == CSP_ANSWER_STREAM
           && exchange->move.state == CSP_MOVE_NONE
           && now_ms - exchange->last_data_ms >= SILENT_MS
           && csp_caller_backlog (exchange->caller) == 0)
         {
           csp_log_move (exchange, "silent", exchange->backup);
           exchange->last_data_ms = now_ms;
-          csp_rescue_stream (exchange);
+          csp_try_resume_stream (exchange);
         }
       exchange = next;
     }
--- a/source/gateway/gateway.c
+++ b/source/gateway/gateway.c
@@ -37,8 +37,8 @@
 bool
 csp_gateway_is_ready (const csp_gateway_t *gateway)
 {
-  return !gateway->stopping && gateway->routes != NULL && gateway->listed
-         && !csp_is_isolated (gateway);
+  return !gateway->stopping && gateway->routes != NULL
+         && gateway->targets_listed && !csp_is_isolated (gateway);
 }
 
 csp_service_budget_t *
@@ -70,7 +70,7 @@
 }
 
 csp_retry_budget_t *
-csp_find_budget (csp_gateway_t *gateway, const char *service)
+csp_find_retry_budget (csp_gateway_t *gateway, const char *service)
 {
   return &csp_find_service_budget (gateway, service)->budget;
 }
@@ -82,16 +82,17 @@
   csp_service_budget_t *row = csp_find_service_budget (gateway, service);
 
   row->pool_percent = percent;
-  row->pool_told_ms = csp_gateway_now_ms (gateway);
+  row->pool_reported_ms = csp_gateway_now_ms (gateway);
 }
 
 double
-csp_told_pool_share (csp_gateway_t *gateway, const char *service)
+csp_reported_pool_share (csp_gateway_t *gateway, const char *service)
 {
   const csp_service_budget_t *row = csp_find_service_budget (gateway, service);
 
-  if (row->pool_told_ms == 0
-      || csp_gateway_now_ms (gateway) - row->pool_told_ms > POOL_TOLD_FOR_MS)
+  if (row->pool_reported_ms == 0
+      || csp_gateway_now_ms (gateway) - row->pool_reported_ms
+             > POOL_TOLD_FOR_MS)
     return 0;
   return (double)row->pool_percent / PERCENT;
 }
@@ -105,14 +106,14 @@
            csp_text ("target", target->row.id),
            csp_number ("open_streams", target->own.requests),
            csp_text ("told_by", target->told_by_itself ? "target" : "list"));
-  csp_leave_target (gateway, target);
+  csp_drain_target (gateway, target);
 }
 
 static void
 on_target_freed (void *state, csp_fleet_target_t *target)
 {
   (void)state;
-  csp_drop_links (target);
+  csp_close_idle_links (target);
 }
 
 /* Tell the fleet what the targets of each service stand while they are cold.
@@ -186,7 +187,7 @@
 
   csp_list_target (gateway->fleet, row, now_ms);
   if (csp_fleet_additions (gateway->fleet) != additions)
-    csp_count_new_target (gateway, row->id);
+    csp_count_reported_loads (gateway, row->id);
 }
 
 static void
@@ -206,14 +207,14 @@
       csp_unlist_target (gateway->fleet, update->value.target_id, now_ms);
       break;
     case CSP_UPDATE_CORDON:
-      csp_take_cordon (gateway, update->value.cordon.data_centre,
-                       update->value.cordon.on);
+      csp_apply_cordon (gateway, update->value.cordon.data_centre,
+                        update->value.cordon.on);
       break;
     case CSP_UPDATE_LISTED:
-      gateway->listed = true;
+      gateway->targets_listed = true;
       break;
     case CSP_UPDATE_PLATFORM_HEARD:
-      csp_note_platform_heard (gateway, update->value.age_ms);
+      csp_note_platform_read (gateway, update->value.age_ms);
       break;
     case CSP_UPDATE_SIGHTED:
       csp_set_roster_sighted (gateway->roster, update->value.sighted);
@@ -224,8 +225,8 @@
       break;
     case CSP_UPDATE_PLATFORM_AWAY:
     case CSP_UPDATE_PLATFORM_BACK:
-      gateway->blind = update->kind == CSP_UPDATE_PLATFORM_AWAY;
-      csp_set_roster_blind (gateway->roster, gateway->blind);
+      gateway->platform_unreachable = update->kind == CSP_UPDATE_PLATFORM_AWAY;
+      csp_set_roster_blind (gateway->roster, gateway->platform_unreachable);
       csp_note_platform (gateway->fleet,
                          update->kind == CSP_UPDATE_PLATFORM_BACK, now_ms);
       break;
@@ -298,13 +299,13 @@
   csp_gateway_t *gateway = tick->data;
 
   csp_expire_targets (gateway->fleet, csp_gateway_now_ms (gateway));
-  csp_judge_reach (gateway);
-  csp_watch_streams (gateway);
-  csp_ask_reports (gateway);
+  csp_update_reachability (gateway);
+  csp_resume_silent_streams (gateway);
+  csp_query_targets (gateway);
   csp_expire_suspects (gateway->quarantine, csp_gateway_now_ms (gateway));
-  csp_tell_suspects (gateway);
+  csp_broadcast_suspects (gateway);
   csp_note_warmup_duty (gateway);
-  csp_pump_places (gateway);
+  csp_place_waiting_asks (gateway);
   /* The balancer leaves this host out by now; on connections that stay open
      callers would go on being turned away.  */
   if (csp_is_isolated (gateway) && csp_isolated_retry_ms (gateway) == 0)
@@ -326,11 +327,13 @@
   const struct sockaddr_in *address = &gateway->settings.front;
   int fault;
 
-  uv_tcp_init (&gateway->loop, &gateway->front);
-  gateway->front.data = gateway;
-  fault = uv_tcp_bind (&gateway->front, (const struct sockaddr *)address, 0);
+  uv_tcp_init (&gateway->loop, &gateway->caller_listener);
+  gateway->caller_listener.data = gateway;
+  fault = uv_tcp_bind (&gateway->caller_listener,
+                       (const struct sockaddr *)address, 0);
   if (fault == 0)
-    fault = uv_listen ((uv_stream_t *)&gateway->front, BACKLOG, on_front);
+    fault = uv_listen ((uv_stream_t *)&gateway->caller_listener, BACKLOG,
+                       on_front);
   if (fault == 0)
     return true;
   snprintf (message, message_bytes, "can't listen for callers at port %u: %s",
@@ -367,14 +370,13 @@
   uv_timer_init (&gateway->loop, &gateway->move_timer);
   gateway->move_timer.data = gateway;
   gateway->fleet = csp_create_fleet (on_target_left, on_target_freed, gateway);
-  gateway->times = csp_create_metrics (CSP_SERIES_MAX);
+  gateway->request_metrics = csp_create_metrics (CSP_SERIES_MAX);
   gateway->quarantine = csp_create_quarantine ();
-  if (gateway->times == NULL || gateway->quarantine == NULL)
+  if (gateway->request_metrics == NULL || gateway->quarantine == NULL)
     goto fail;
   if (gateway->fleet != NULL)
-    gateway->dispatch
-        = csp_create_dispatch (gateway->fleet, csp_take_answer_of_dispatch,
-                               gateway, csp_random_seed ());
+    gateway->dispatch = csp_create_dispatch (
+        gateway->fleet, csp_deliver_ask_answer, gateway, csp_random_seed ());
   if (gateway->dispatch == NULL)
     goto fail;
   snprintf (message, message_bytes, "can't hear other hosts");
@@ -406,8 +408,8 @@
   csp_stop_gateway_peers (gateway);
   uv_timer_stop (&gateway->tick);
   uv_timer_stop (&gateway->move_timer);
-  if (uv_handle_get_type ((uv_handle_t *)&gateway->front) == UV_TCP)
-    uv_close ((uv_handle_t *)&gateway->front, NULL);
+  if (uv_handle_get_type ((uv_handle_t *)&gateway->caller_listener) == UV_TCP)
+    uv_close ((uv_handle_t *)&gateway->caller_listener, NULL);
 }
 
 void
@@ -417,12 +419,12 @@
     return;
   csp_close_all_callers (gateway);
   csp_close_gateway_pages (gateway);
-  csp_drop_reports (gateway);
+  csp_cancel_status_queries (gateway);
   stop_listening (gateway);
   uv_run (&gateway->loop, UV_RUN_NOWAIT);
   on_wake (&gateway->wake);
   csp_destroy_dispatch (gateway->dispatch);
-  csp_clear_buffer (&gateway->own_answers);
+  csp_clear_buffer (&gateway->local_answers);
   csp_destroy_fleet (gateway->fleet);
   csp_release_routes (gateway->routes);
   uv_run (&gateway->loop, UV_RUN_NOWAIT);
@@ -431,7 +433,7 @@
     continue;
   uv_loop_close (&gateway->loop);
   csp_close_gateway_peers (gateway);
-  csp_destroy_metrics (gateway->times);
+  csp_destroy_metrics (gateway->request_metrics);
   csp_destroy_quarantine (gateway->quarantine);
   free (gateway);
 }
@@ -449,7 +451,7 @@
   struct sockaddr_in address = { 0 };
   int size_bytes = sizeof address;
 
-  uv_tcp_getsockname (&gateway->front, (struct sockaddr *)&address,
+  uv_tcp_getsockname (&gateway->caller_listener, (struct sockaddr *)&address,
                       &size_bytes);
   return ntohs (address.sin_port);
 }
@@ -457,5 +459,5 @@
 uint16_t
 csp_gateway_ready_port (const csp_gateway_t *gateway)
 {
-  return csp_page_server_port (gateway->ready);
+  return csp_page_server_port (gateway->readiness_page);
 }
