--- a/source/gateway/gateway-backup.c
+++ b/source/gateway/gateway-backup.c
@@ -1,28 +1,28 @@
 #include "gateway/gateway-move-imp.h"
 
-/* Where a run's memory is copied to as it grows.  */
+/* Backups: copying a run's memory to a second target as it grows.  */
 
 enum
 {
-  /* A copy of a prompt of 3,000 tokens was not there after 470 ms, of which it
-     takes 200 to 400 on an idle link.  */
-  BACKUP_SETTLES_MS = 600,
+  /* A copy of a 3,000-token prompt was not complete after 470 ms; on an idle
+     link it takes 200 to 400 ms.  */
+  BACKUP_DELAY_MS = 600,
   BACKUP_COPY_TIMES = 3
 };
 
-/* How full the memory of all engines together may be for backups.  Where runs
-   can be moved a copy of each that grows with it is worth little: it takes the
-   place of a request, and above all the links, on which the moves then wait.
-   On days of 12 engines with their memory at some 0.4, without backups 0.04 to
-   0.05 more of the worth was served, and 0.05 more on days on which a sixth of
-   the engines crash three times; so there are some only while engines are
-   nearly idle.  Where runs can't be moved backups are all there is.  */
+/* Backups are taken up to this use of all engines' memory.  Where runs can be
+   moved, backups are worth little: each takes the memory of a request and
+   delays the moves on the links.  With 12 engines at 0.4 of their memory, 0.04
+   to 0.05 more of the requests' value was served without backups, and 0.05
+   more when a sixth of the engines crashed three times.  So with moves there
+   are backups only while engines are nearly idle; without moves backups are
+   the only protection.  */
 static const double pool_share_max_beside_moves = 0.15;
 static const double pool_share_max = 0.75;
 
-/* A copy that throws runs out of memory costs more than it saves: each of
-   those is read again.  With half of the streams backed up the others have
-   the link between targets to themselves when their target leaves.  */
+/* A backup that evicts runs costs more than it saves, since each evicted run
+   must be read again.  With half of the streams backed up, the others have the
+   links to themselves when their target leaves.  */
 static const double backup_share_max = 0.75;
 
 void
@@ -60,20 +60,20 @@
                                   csp_gateway_now_ms (gateway));
 }
 
-/* Whether a backup is worth its memory and its part of the links.  */
+/* Whether a backup is worth its memory and its share of the links.  */
 static bool
-backup_pays (const csp_exchange_t *exchange)
+is_backup_worthwhile (const csp_exchange_t *exchange)
 {
-  double told_share
+  double reported_share
       = csp_reported_pool_share (exchange->gateway, exchange->service->name);
   const csp_route_service_t *service = exchange->service;
   double share
       = csp_find_pool_share (exchange->gateway->fleet, service->name,
                              service->memory_tokens, exchange->tokens);
 
-  /* What this host knows is mostly its own part.  */
-  if (share < told_share)
-    share = told_share;
+  /* This host knows mostly its own load, so the larger share is used.  */
+  if (share < reported_share)
+    share = reported_share;
   return share <= (service->moves_runs ? pool_share_max_beside_moves
                                        : pool_share_max);
 }
@@ -85,7 +85,7 @@
 
   csp_drop_backup (exchange);
   if (exchange->route->kind != CSP_ROUTE_STREAM
-      || !exchange->service->takes_backups || !backup_pays (exchange))
+      || !exchange->service->takes_backups || !is_backup_worthwhile (exchange))
     return;
   backup = csp_choose_other_target (exchange, target, backup_share_max);
   if (backup == NULL)
@@ -96,7 +96,6 @@
   exchange->reserved_backup = backup;
 }
 
-/* Whether there may be a copy to go on from.  */
 bool
 csp_has_usable_backup (const csp_exchange_t *exchange)
 {
@@ -108,18 +107,16 @@
          && exchange->run_started_ms != 0;
 }
 
-/* Whether the copy is surely whole, so that a sound run may be given up for
-   it.  Copying begins with the run's first token; between data centres it
-   takes twice as long, and others may be on the link.  */
+/* Copying begins with the run's first token; between data centres it takes
+   twice as long, and other copies may share the link.  */
 bool
 csp_backup_is_whole (const csp_exchange_t *exchange)
 {
   double copy_ms
       = (double)exchange->prompt_tokens * exchange->service->copy_ms_per_token;
-  int64_t settles_ms
-      = BACKUP_SETTLES_MS + (int64_t)(BACKUP_COPY_TIMES * copy_ms);
+  int64_t delay_ms = BACKUP_DELAY_MS + (int64_t)(BACKUP_COPY_TIMES * copy_ms);
 
   return csp_has_usable_backup (exchange)
          && csp_gateway_now_ms (exchange->gateway) - exchange->run_started_ms
-                >= settles_ms;
+                >= delay_ms;
 }
--- a/source/gateway/gateway-lease.c
+++ b/source/gateway/gateway-lease.c
@@ -4,16 +4,16 @@
 
 #include <string.h>
 
-/* Retries that are lent, see retry-lease.h.  A host that has spent its own
-   asks the host that decides, and keeps what failed for the moment that it
-   takes; the caller has most of its time left then.  */
+/* Leases of retries, see retry-lease.h.  A host that has spent its own retries
+   asks the decider for more and holds its failed requests for the short time
+   that takes; callers still have most of their time left.  */
 
 enum
 {
-  /* A message there and one back, and a moment on a busy host.  */
-  AWAIT_MS = 60,
-  /* A question or its answer may be lost.  */
-  WANT_AGAIN_MS = 25
+  /* A round trip between hosts and a short delay at a busy host.  */
+  LEASE_WAIT_MS = 60,
+  /* A lease request or its answer may be lost.  */
+  LEASE_RESEND_MS = 25
 };
 
 static uint32_t
@@ -22,7 +22,7 @@
   return (uint32_t)csp_hash_pair ("service", service);
 }
 
-/* Data centres that have targets.  */
+/* Count the data centres that have targets.  */
 static size_t
 count_listed_data_centres (const csp_gateway_t *gateway)
 {
@@ -44,7 +44,7 @@
 }
 
 static csp_lease_facts_t
-facts_of_fleet (const csp_gateway_t *gateway)
+collect_lease_facts (const csp_gateway_t *gateway)
 {
   csp_lease_facts_t facts
       = { .hosts_asking = csp_count_askers (gateway->roster),
@@ -63,15 +63,16 @@
           .decides_since_ms = gateway->decider_since_ms };
 
   if (duty.decides)
-    duty.fleet = facts_of_fleet (gateway);
+    duty.fleet = collect_lease_facts (gateway);
   csp_note_dispatch_duty (gateway->dispatch, &duty);
 }
 
 static uint32_t
-grant (csp_gateway_t *gateway, csp_service_budget_t *row, uint32_t wanted)
+grant_leases (csp_gateway_t *gateway, csp_service_budget_t *row,
+              uint32_t wanted)
 {
   int64_t now_ms = csp_gateway_now_ms (gateway);
-  csp_lease_facts_t facts = facts_of_fleet (gateway);
+  csp_lease_facts_t facts = collect_lease_facts (gateway);
   uint32_t granted;
 
   csp_note_lease_duty (&row->leases,
@@ -89,28 +90,31 @@
 }
 
 static bool
-awaits_from (const csp_exchange_t *exchange, const csp_service_budget_t *row)
+awaits_lease_of (const csp_exchange_t *exchange,
+                 const csp_service_budget_t *row)
 {
   return exchange->awaits_lease
          && strcmp (exchange->service->name, row->service) == 0;
 }
 
 static uint32_t
-count_awaiting (const csp_gateway_t *gateway, const csp_service_budget_t *row)
+count_awaiting_lease (const csp_gateway_t *gateway,
+                      const csp_service_budget_t *row)
 {
   const csp_exchange_t *exchange;
   uint32_t count = 0;
 
   for (exchange = gateway->exchanges; exchange != NULL;
        exchange = exchange->next)
-    count += awaits_from (exchange, row);
+    count += awaits_lease_of (exchange, row);
   return count;
 }
 
-/* Send again what waits, as far as the lease goes.  Where nothing is lent, all
-   that waits ends at once: what comes free comes free in seconds.  */
+/* Send waiting requests again as far as the lease allows.  Without a lease all
+   of them fail at once: retries become free only after seconds.  */
 static void
-take_lease (csp_gateway_t *gateway, csp_service_budget_t *row, uint32_t amount)
+handle_lease (csp_gateway_t *gateway, csp_service_budget_t *row,
+              uint32_t amount)
 {
   csp_exchange_t *exchange = gateway->exchanges;
 
@@ -121,7 +125,7 @@
     {
       csp_exchange_t *next = exchange->next;
 
-      if (awaits_from (exchange, row))
+      if (awaits_lease_of (exchange, row))
         {
           exchange->awaits_lease = false;
           uv_timer_stop (&exchange->move.timer);
@@ -132,23 +136,24 @@
     }
 }
 
-/* Ask for as many as wait.  What comes after that asks again.  */
+/* Request leases for all requests that wait now; later ones cause a new lease
+   request.  */
 static void
-want_lease (csp_gateway_t *gateway, csp_service_budget_t *row)
+request_lease (csp_gateway_t *gateway, csp_service_budget_t *row)
 {
   int64_t now_ms = csp_gateway_now_ms (gateway);
-  uint32_t wanted = count_awaiting (gateway, row);
+  uint32_t wanted = count_awaiting_lease (gateway, row);
   csp_hello_t hello = { .want_count = 1 };
 
   if (wanted == 0
       || (row->lease_request_id != 0
-          && now_ms - row->lease_requested_ms < WANT_AGAIN_MS))
+          && now_ms - row->lease_requested_ms < LEASE_RESEND_MS))
     return;
   row->lease_request_id = ++gateway->next_ask_id;
   row->lease_requested_ms = now_ms;
   if (csp_is_same_peer (gateway->decider, gateway->self))
     {
-      take_lease (gateway, row, grant (gateway, row, wanted));
+      handle_lease (gateway, row, grant_leases (gateway, row, wanted));
       return;
     }
   hello.wants[0]
@@ -159,7 +164,7 @@
 }
 
 static void
-on_awaited (uv_timer_t *timer)
+on_lease_timer (uv_timer_t *timer)
 {
   csp_exchange_t *exchange = timer->data;
   int64_t now_ms = csp_gateway_now_ms (exchange->gateway);
@@ -168,10 +173,11 @@
     return;
   if (now_ms < exchange->lease_until_ms)
     {
-      uv_timer_start (&exchange->move.timer, on_awaited, WANT_AGAIN_MS, 0);
-      want_lease (exchange->gateway,
-                  csp_find_service_budget (exchange->gateway,
-                                           exchange->service->name));
+      uv_timer_start (&exchange->move.timer, on_lease_timer, LEASE_RESEND_MS,
+                      0);
+      request_lease (exchange->gateway,
+                     csp_find_service_budget (exchange->gateway,
+                                              exchange->service->name));
       return;
     }
   exchange->awaits_lease = false;
@@ -196,14 +202,14 @@
   exchange->awaits_lease = true;
   exchange->lease_reason = reason;
   exchange->lease_detail = detail;
-  exchange->lease_until_ms = csp_gateway_now_ms (gateway) + AWAIT_MS;
-  uv_timer_start (&exchange->move.timer, on_awaited, WANT_AGAIN_MS, 0);
-  want_lease (gateway, row);
+  exchange->lease_until_ms = csp_gateway_now_ms (gateway) + LEASE_WAIT_MS;
+  uv_timer_start (&exchange->move.timer, on_lease_timer, LEASE_RESEND_MS, 0);
+  request_lease (gateway, row);
 }
 
 static void
-answer_want (csp_gateway_t *gateway, csp_peer_address_t from,
-             const csp_hello_lease_t *want)
+answer_lease_request (csp_gateway_t *gateway, csp_peer_address_t from,
+                      const csp_hello_lease_t *want)
 {
   const csp_route_service_t *service
       = csp_find_service_by_hash (gateway, want->service);
@@ -211,7 +217,7 @@
 
   if (service == NULL)
     return;
-  hello.leases[0].amount = grant (
+  hello.leases[0].amount = grant_leases (
       gateway, csp_find_service_budget (gateway, service->name), want->amount);
   csp_send_hello (gateway, &hello, &from, 1);
 }
@@ -224,12 +230,12 @@
   size_t j;
 
   for (i = 0; i < hello->want_count; i++)
-    answer_want (gateway, from, &hello->wants[i]);
+    answer_lease_request (gateway, from, &hello->wants[i]);
   for (i = 0; i < hello->lease_count; i++)
     for (j = 0; j < gateway->budget_count; j++)
       if (gateway->budgets[j].lease_request_id == hello->leases[i].id
           && hello->leases[i].id != 0)
-        take_lease (gateway, &gateway->budgets[j], hello->leases[i].amount);
+        handle_lease (gateway, &gateway->budgets[j], hello->leases[i].amount);
 }
 
 void
--- a/source/gateway/gateway-stream.c
+++ b/source/gateway/gateway-stream.c
@@ -5,9 +5,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Streams go to the caller by whole events.  A target that dies may break off
-   in the middle of one; had the caller a piece of it, the event could neither
-   be taken back nor be sent again from another target.  */
+/* Streams are sent to the caller in whole events.  A target that fails may
+   break off in the middle of an event; had the caller part of it, the event
+   could neither be taken back nor sent again from another target.  */
 
 enum
 {
@@ -15,8 +15,8 @@
   US_PER_MS = 1000
 };
 
-/* Length of the first whole event, its empty line counted in; 0 where there
-   is none yet.  */
+/* Length of the first complete event including its empty line; 0 if there is
+   none yet.  */
 static size_t
 whole_event_bytes (const char *data, size_t size_bytes)
 {
@@ -25,11 +25,11 @@
 
   while (at < end)
     {
-      const char *feed = memchr (at, '\n', (size_t)(end - at));
+      const char *newline = memchr (at, '\n', (size_t)(end - at));
 
-      if (feed == NULL)
+      if (newline == NULL)
         return 0;
-      at = feed + 1;
+      at = newline + 1;
       if (at < end && *at == '\n')
         return (size_t)(at + 1 - data);
       if (at + 1 < end && at[0] == '\r' && at[1] == '\n')
@@ -51,19 +51,19 @@
   id[0] = '\0';
   while (line < end)
     {
-      const char *feed = memchr (line, '\n', (size_t)(end - line));
+      const char *newline = memchr (line, '\n', (size_t)(end - line));
 
-      if (feed == NULL)
+      if (newline == NULL)
         return;
-      if ((size_t)(feed - line) > prefix_bytes
+      if ((size_t)(newline - line) > prefix_bytes
           && memcmp (line, prefix, prefix_bytes) == 0)
         {
           const char *value = line + prefix_bytes;
           size_t value_bytes;
 
-          while (value < feed && *value == ' ')
+          while (value < newline && *value == ' ')
             value++;
-          value_bytes = (size_t)(feed - value);
+          value_bytes = (size_t)(newline - value);
           if (value_bytes > 0 && value[value_bytes - 1] == '\r')
             value_bytes--;
           if (value_bytes >= CSP_EVENT_ID_BYTES)
@@ -72,11 +72,12 @@
           id[value_bytes] = '\0';
           return;
         }
-      line = feed + 1;
+      line = newline + 1;
     }
 }
 
-/* Ids increase; one that doesn't was sent before the run went on here.  */
+/* Ids increase; an event whose id doesn't was sent before the run resumed at
+   this target.  */
 static bool
 was_sent (const csp_exchange_t *exchange, const char *id)
 {
@@ -85,10 +86,10 @@
                 <= strtoull (exchange->last_event, NULL, DECIMAL);
 }
 
-/* Note the whole events at the front of what is kept, drop those that were
-   sent before, and tell how many bytes go to the caller.  */
+/* Count the complete events at the front of the buffer and drop those that
+   were already sent.  Returns how many bytes to send to the caller.  */
 static size_t
-take_events (csp_exchange_t *exchange)
+collect_events (csp_exchange_t *exchange)
 {
   csp_buffer_t *kept = &exchange->buffered;
   size_t done_bytes = 0;
@@ -177,7 +178,7 @@
                          "an event is too large");
       return;
     }
-  ready_bytes = take_events (exchange);
+  ready_bytes = collect_events (exchange);
   if (ready_bytes == 0)
     return;
   send_events (exchange, ready_bytes);
--- a/source/gateway/gateway-turn.c
+++ b/source/gateway/gateway-turn.c
@@ -4,35 +4,36 @@
 
 enum
 {
-  /* A run whose end is nearer than this, by the guess of its length, ends
-     where it is: targets serve for a second and more behind their notice.  */
+  /* A run expected to end within this time ends where it is: targets keep
+     running for more than a second after they announce that they leave.  */
   ENDS_SOON_MS = 500,
-  /* A run that has outlived its guess is expected to take a third more.  */
-  OUTLIVED_PART = 3,
-  /* Between the turns of two hosts: the last rest of a run and what the
-     estimate of its length is off.  */
+  /* A run that is longer than estimated is expected to go on for a third of
+     its time so far.  */
+  OVERDUE_DIVISOR = 3,
+  /* Between the turns of two hosts: covers the last part of a copy and the
+     error in the estimate of its duration.  */
   TURN_MARGIN_MS = 40,
   TURN_TICK_MS = 10,
-  /* Events come every 30 to 60 ms, and a batch that takes in long prompts
-     pauses for some tenths of a second.  */
+  /* Events come every 30 to 60 ms, but a batch that reads long prompts pauses
+     for some tenths of a second.  */
   SILENT_MS = 900
 };
 
-/* How much longer the run will probably write.  Guesses of the length are
-   right in the median and far off in the tails, so a run that has outlived its
-   guess goes on for some part of what it took so far.  */
+/* Estimates of the output length are right in the median and far off in the
+   tails, so a run that is longer than estimated is expected to go on for a
+   part of its time so far.  */
 int64_t
 csp_expected_remaining_ms (const csp_exchange_t *exchange)
 {
   int64_t took_ms
       = csp_gateway_now_ms (exchange->gateway) - exchange->first_event_ms;
-  int64_t whole_ms = (int64_t)exchange->output_tokens * CSP_TOKEN_MS;
-  int64_t least_ms = took_ms / OUTLIVED_PART;
+  int64_t expected_total_ms = (int64_t)exchange->output_tokens * CSP_TOKEN_MS;
+  int64_t min_ms = took_ms / OVERDUE_DIVISOR;
 
-  return whole_ms - took_ms > least_ms ? whole_ms - took_ms : least_ms;
+  return expected_total_ms - took_ms > min_ms ? expected_total_ms - took_ms
+                                              : min_ms;
 }
 
-/* Whether the run will probably end before its target does.  */
 bool
 csp_run_ends_in_time (const csp_exchange_t *exchange)
 {
@@ -57,7 +58,7 @@
   csp_start_due_moves (timer->data);
 }
 
-/* Whether this host may begin the move by itself now.  */
+/* Whether this host may begin the move without the decider now.  */
 static bool
 has_own_turn (const csp_exchange_t *exchange, int64_t now_ms)
 {
@@ -65,9 +66,10 @@
          && now_ms >= exchange->target->turn_at_ms;
 }
 
-/* Ask for a stream, or tell whether it may be moved unasked now.  */
+/* Ask the decider for the stream's move.  Returns whether this host may start
+   the move now without the decider's grant.  */
 static bool
-ask_or_go (csp_exchange_t *exchange, int64_t now_ms)
+ask_or_may_start (csp_exchange_t *exchange, int64_t now_ms)
 {
   if (exchange->asking || now_ms < exchange->move.ask_at_ms
       || csp_run_ends_in_time (exchange))
@@ -78,9 +80,10 @@
   return false;
 }
 
-/* The host that decides is asked for all streams of this host that leave a
-   target.  Where it says nothing they go one after another, the one that has
-   longest to go first: what is nearly done may still end where it is.  */
+/* The decider is asked for all streams of this host that leave a target.
+   Where it does not answer, streams move one after another, the one with the
+   longest expected time first: a stream that is nearly finished may still end
+   at its target.  */
 void
 csp_start_due_moves (csp_gateway_t *gateway)
 {
@@ -93,11 +96,12 @@
     {
       csp_exchange_t *next = exchange->next;
 
-      /* One that ends in time is looked at again: it may not.  */
+      /* A run that is expected to end in time is checked again, since it may
+         not.  */
       if (csp_waits_for_move (exchange))
         {
           waiting = true;
-          if (ask_or_go (exchange, now_ms)
+          if (ask_or_may_start (exchange, now_ms)
               && (best == NULL
                   || csp_expected_remaining_ms (exchange)
                          > csp_expected_remaining_ms (best)))
@@ -111,23 +115,24 @@
     csp_begin_move (best, NULL);
 }
 
-/* Where nobody decides hosts move their streams from one target in turns, by
-   what each has told of its streams there: a run that is stopped waits for the
-   copies that others have put on the link before, and its caller sees a pause
-   of tenths of a second.  Each host knows the order and the lengths, so nobody
-   has to be asked; one that is gone leaves its turn empty.  */
+/* Without a decider, hosts move their streams away from a target in turns, in
+   an order that each host computes from the loads that all have reported.
+   Otherwise a stopped run would wait for copies that other hosts put on the
+   link before, and its caller would see a pause of tenths of a second.  The
+   turn of a host that is down stays unused.  */
 typedef struct
 {
   const csp_fleet_target_t *target;
   uint64_t own_rank;
   uint64_t tokens_before;
   uint32_t hosts_before;
-} turn_t;
+} move_turn_t;
 
 static void
-count_turn (void *state, csp_peer_address_t peer, const csp_peer_load_t *load)
+count_earlier_host (void *state, csp_peer_address_t peer,
+                    const csp_peer_load_t *load)
 {
-  turn_t *turn = state;
+  move_turn_t *turn = state;
 
   if (load->target != turn->target->hash || load->movable_tokens == 0
       || csp_order_peer (peer, load->target) >= turn->own_rank)
@@ -139,15 +144,16 @@
 static int64_t
 own_turn_ms (const csp_gateway_t *gateway, const csp_fleet_target_t *target)
 {
-  turn_t turn = { .target = target,
-                  .own_rank = csp_order_peer (gateway->self, target->hash) };
+  move_turn_t turn
+      = { .target = target,
+          .own_rank = csp_order_peer (gateway->self, target->hash) };
   const csp_route_service_t *service = NULL;
 
   if (gateway->routes != NULL)
     service = csp_get_route_service (gateway->routes, target->row.service);
   if (service == NULL || gateway->roster == NULL)
     return 0;
-  csp_each_peer_load (gateway->roster, count_turn, &turn);
+  csp_each_peer_load (gateway->roster, count_earlier_host, &turn);
   return (int64_t)((double)turn.tokens_before * service->copy_ms_per_token)
          + turn.hosts_before * TURN_MARGIN_MS;
 }
@@ -208,9 +214,9 @@
     }
 }
 
-/* A target that lost power or was cut off says nothing more, and its
-   connection stays open.  One notices a stream that stands still; the caller
-   waits for seconds and then leaves.  */
+/* A target that lost power or was cut off sends nothing more while its
+   connection stays open; without this check the caller would wait for seconds
+   and then disconnect.  */
 void
 csp_resume_silent_streams (csp_gateway_t *gateway)
 {
--- a/source/gateway/gateway.c
+++ b/source/gateway/gateway.c
@@ -5,23 +5,23 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* The traffic thread's loop: listeners, updates from the control thread, and
-   the steps of a stop.  */
+/* The traffic thread's event loop: listeners, updates from the control thread,
+   and the steps of a stop.  */
 
 enum
 {
-  BACKLOG = 512,
-  /* Lapsed targets and silent streams are looked at that often; a silent
-     stream is late within 180 ms by the users' word, and a glance at some
-     dozens of streams costs microseconds.  */
+  LISTEN_BACKLOG = 512,
+  /* Interval of checks for lapsed targets and silent streams.  A silent stream
+     counts as late within 180 ms, and checking some dozens of streams costs
+     microseconds.  */
   TICK_MS = 100,
-  /* Word of how full the engines are counts that long: engines are lost and
-     come back by the second.  */
-  POOL_TOLD_FOR_MS = 2000,
+  /* A report of how full the engines are is valid this long: engines are lost
+     and return every second.  */
+  POOL_SHARE_VALID_MS = 2000,
   PERCENT = 100
 };
 
-/* An update on its way between the threads.  */
+/* An update in the queue between the threads.  */
 typedef struct
 {
   struct cds_wfcq_node node;
@@ -92,7 +92,7 @@
 
   if (row->pool_reported_ms == 0
       || csp_gateway_now_ms (gateway) - row->pool_reported_ms
-             > POOL_TOLD_FOR_MS)
+             > POOL_SHARE_VALID_MS)
     return 0;
   return (double)row->pool_percent / PERCENT;
 }
@@ -116,10 +116,10 @@
   csp_close_idle_links (target);
 }
 
-/* Tell the fleet what the targets of each service stand while they are cold.
- */
+/* Set how many requests targets of each service may get while they are
+   cold.  */
 static void
-bound_cold_targets (csp_gateway_t *gateway)
+set_cold_bounds (csp_gateway_t *gateway)
 {
   const csp_gateway_settings_t *settings = &gateway->settings;
   const csp_route_service_t *service;
@@ -143,9 +143,10 @@
     }
 }
 
-/* A boot that has shown a version's effect never acts on an older one.  */
+/* Ignore older versions: a process that has shown the effect of a version
+   must never go back to an older one.  */
 static void
-take_routes (csp_gateway_t *gateway, csp_routes_t *routes)
+apply_routes (csp_gateway_t *gateway, csp_routes_t *routes)
 {
   uint64_t version = csp_routes_version (routes);
 
@@ -161,7 +162,7 @@
     }
   csp_release_routes (gateway->routes);
   gateway->routes = routes;
-  bound_cold_targets (gateway);
+  set_cold_bounds (gateway);
   CSP_LOG (gateway->log, CSP_EVENT_CONFIGURATION_TAKEN, NULL,
            csp_number ("revision", (int64_t)version));
 }
@@ -198,7 +199,7 @@
   switch (update->kind)
     {
     case CSP_UPDATE_ROUTES:
-      take_routes (gateway, update->value.routes);
+      apply_routes (gateway, update->value.routes);
       break;
     case CSP_UPDATE_TARGET:
       list_target (gateway, &update->value.target, now_ms);
@@ -272,19 +273,19 @@
   return true;
 }
 
-/* A stop: readiness fails at once and answers close their connections; once
-   the balancer has seen it, idle callers are let go; what is open runs to its
-   end or to the limit.  */
+/* During a stop readiness fails at once and answers close their connections.
+   When the balancer has noticed, idle callers are closed; open requests run to
+   their end or to the time limit.  */
 static void
 step_stop (csp_gateway_t *gateway)
 {
-  int64_t passed_ms = csp_gateway_now_ms (gateway) - gateway->stop_began_ms;
+  int64_t elapsed_ms = csp_gateway_now_ms (gateway) - gateway->stop_began_ms;
 
-  if (passed_ms >= CSP_STOP_NOTICE_MS)
+  if (elapsed_ms >= CSP_STOP_NOTICE_MS)
     csp_close_idle_callers (gateway);
-  if (passed_ms >= CSP_STOP_NOTICE_MS && gateway->caller_count == 0)
+  if (elapsed_ms >= CSP_STOP_NOTICE_MS && gateway->caller_count == 0)
     uv_stop (&gateway->loop);
-  if (passed_ms
+  if (elapsed_ms
       < (int64_t)gateway->settings.stop_limit_ms - CSP_STOP_MARGIN_MS)
     return;
   if (gateway->caller_count > 0)
@@ -306,8 +307,8 @@
   csp_broadcast_suspects (gateway);
   csp_note_warmup_duty (gateway);
   csp_place_waiting_asks (gateway);
-  /* The balancer leaves this host out by now; on connections that stay open
-     callers would go on being turned away.  */
+  /* The balancer no longer sends callers here; on connections that stay open
+     callers would go on being refused.  */
   if (csp_is_isolated (gateway) && csp_isolated_retry_ms (gateway) == 0)
     csp_close_idle_callers (gateway);
   if (gateway->stopping)
@@ -315,14 +316,15 @@
 }
 
 static void
-on_front (uv_stream_t *listener, int status)
+on_connection (uv_stream_t *listener, int status)
 {
   if (status == 0)
     csp_accept_caller (listener->data, listener);
 }
 
 static bool
-open_front (csp_gateway_t *gateway, char *message, size_t message_bytes)
+open_caller_listener (csp_gateway_t *gateway, char *message,
+                      size_t message_bytes)
 {
   const struct sockaddr_in *address = &gateway->settings.front;
   int fault;
@@ -332,8 +334,8 @@
   fault = uv_tcp_bind (&gateway->caller_listener,
                        (const struct sockaddr *)address, 0);
   if (fault == 0)
-    fault = uv_listen ((uv_stream_t *)&gateway->caller_listener, BACKLOG,
-                       on_front);
+    fault = uv_listen ((uv_stream_t *)&gateway->caller_listener,
+                       LISTEN_BACKLOG, on_connection);
   if (fault == 0)
     return true;
   snprintf (message, message_bytes, "can't listen for callers at port %u: %s",
@@ -379,9 +381,9 @@
         gateway->fleet, csp_deliver_ask_answer, gateway, csp_random_seed ());
   if (gateway->dispatch == NULL)
     goto fail;
-  snprintf (message, message_bytes, "can't hear other hosts");
+  snprintf (message, message_bytes, "can't receive datagrams of other hosts");
   if (!csp_open_gateway_peers (gateway)
-      || !open_front (gateway, message, message_bytes)
+      || !open_caller_listener (gateway, message, message_bytes)
       || !csp_open_gateway_pages (gateway, message, message_bytes))
     goto fail;
   return gateway;
@@ -399,9 +401,9 @@
     uv_close (handle, NULL);
 }
 
-/* Nothing new comes in and no timer runs any more.  The loop still turns while
-   connections close, and a datagram or a tick would meet what is freed by
-   then; one notices processes that crash at the end of a stop.  */
+/* Stop accepting input and timers.  The loop still runs while connections
+   close, and a datagram or tick would use memory that is already freed; the
+   process would crash at the end of a stop.  */
 static void
 stop_listening (csp_gateway_t *gateway)
 {
