--- a/include/cowslipspoke/gateway.h
+++ b/include/cowslipspoke/gateway.h
@@ -63,7 +63,7 @@
   CSP_UPDATE_LISTED, /* all targets of the platform's list have been sent */
   CSP_UPDATE_PLATFORM_HEARD,  /* also when nothing changed */
   CSP_UPDATE_PLATFORM_LAPSES, /* its rows may be missing for a while */
-  CSP_UPDATE_SIGHTED,         /* whether this host itself gets answers */
+  CSP_UPDATE_SIGHTED,         /* whether this host's own reads succeed */
   CSP_UPDATE_PLATFORM_AWAY,
   CSP_UPDATE_PLATFORM_BACK,
   CSP_UPDATE_STOP
@@ -90,8 +90,8 @@
 
 typedef struct csp_gateway csp_gateway_t;
 
-/* Open the listeners.  On failure return NULL and write a message.  dialect
- * and log must outlive the gateway.  */
+/* Open the listeners.  On failure write a message and return NULL.  Both
+   dialect and log must outlive the gateway.  */
 csp_gateway_t *csp_create_gateway (const csp_gateway_settings_t *settings,
                                    const csp_dialect_t *dialect,
                                    const csp_clock_t *clock, csp_log_t *log,
@@ -108,7 +108,8 @@
 
 /* List live hosts; for the control thread.  Returns how many were written.  */
 size_t csp_list_gateway_peers (csp_gateway_t *gateway,
-                               csp_peer_address_t *addresses, size_t room);
+                               csp_peer_address_t *addresses,
+                               size_t max_count);
 
 /* The hosts that may read the platform for this one, best first; for the
    control thread.  */
--- a/source/gateway/gateway-caller-answer.c
+++ b/source/gateway/gateway-caller-answer.c
@@ -3,15 +3,15 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Answers to one caller, and the end of its connection.  */
+/* Writing answers to one caller, and closing its connection.  */
 
 enum
 {
-  /* Closing with unread bytes resets the connection, and the reset overtakes
-     the answer.  So the write side closes first, and the caller has this long
-     to read and close.  */
+  /* Closing a socket with unread bytes resets the connection, and the reset
+     overtakes the answer.  So the write side is closed first, and the caller
+     has this long to read the answer and close.  */
   LINGER_MS = 1000,
-  HEAD_ROOM_BYTES = 512,
+  BODY_MAX_BYTES = 512,
   MS_PER_S = 1000
 };
 
@@ -27,9 +27,9 @@
   free (caller);
 }
 
-/* Take the caller off the list; its handles close behind.  */
+/* Take the caller off the list; its handles close later.  */
 static void
-forget_caller (csp_caller_t *caller)
+unlink_caller (csp_caller_t *caller)
 {
   caller->closed = true;
   caller->exchange = NULL;
@@ -50,7 +50,7 @@
 
   if (caller->closed)
     return;
-  forget_caller (caller);
+  unlink_caller (caller);
   uv_close ((uv_handle_t *)&caller->tcp, csp_caller_closed);
   if (exchange != NULL)
     csp_abandon_exchange (exchange);
@@ -132,12 +132,12 @@
 void
 csp_finish_caller_answer (csp_caller_t *caller)
 {
-  bool keeps = csp_caller_keeps_alive (caller);
+  bool keep_alive = csp_caller_keeps_alive (caller);
 
   caller->exchange = NULL;
   if (caller->closed)
     return;
-  if (!keeps)
+  if (!keep_alive)
     {
       csp_linger_caller (caller);
       return;
@@ -153,9 +153,9 @@
     csp_parse_caller_input (caller);
 }
 
-/* An answer to HTTP/1.0 ends with its connection, so only a reset shows that
-   it was cut.  Elsewhere the framing shows it, and an orderly close leaves the
-   caller the bytes that are on their way.  */
+/* An HTTP/1.0 answer without framing ends with its connection, so only a reset
+   shows that it was cut off.  Otherwise the framing shows it, and an orderly
+   close still delivers the bytes already sent.  */
 void
 csp_abort_caller (csp_caller_t *caller)
 {
@@ -164,7 +164,7 @@
     return;
   if (csp_caller_request_head (caller)->minor_version == 0
       && uv_tcp_close_reset (&caller->tcp, csp_caller_closed) == 0)
-    forget_caller (caller);
+    unlink_caller (caller);
   else
     csp_close_caller (caller);
 }
@@ -173,7 +173,7 @@
 csp_answer_caller (csp_caller_t *caller, uint16_t status,
                    uint32_t retry_after_ms, const char *detail)
 {
-  char body[HEAD_ROOM_BYTES];
+  char body[BODY_MAX_BYTES];
   csp_buffer_t answer = { 0 };
   int body_bytes = snprintf (body, sizeof body, "{\"error\":\"%s\"}", detail);
 
--- a/source/gateway/gateway-caller.c
+++ b/source/gateway/gateway-caller.c
@@ -3,14 +3,14 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* One caller's connection.  Requests are read one after another; what arrives
-   behind the one under way waits in a buffer of bounded size.  */
+/* Reading one caller's connection.  Requests are read one after another; bytes
+   behind the current request wait in a buffer of bounded size.  */
 
 enum
 {
-  /* Bytes of further requests that are taken while one is under way.  */
+  /* Bytes of further requests that are read during the current one.  */
   PENDING_MAX_BYTES = 65536,
-  /* Before a configuration is known.  */
+  /* Limits until a configuration is known.  */
   FIRST_HEAD_BYTES = 16384,
   FIRST_BODY_BYTES = 4194304,
   FIRST_HEAD_TIMEOUT_MS = 3000,
@@ -22,7 +22,7 @@
 };
 
 static csp_caller_limits_t
-limits_of (const csp_gateway_t *gateway)
+current_limits (const csp_gateway_t *gateway)
 {
   csp_caller_limits_t first = { FIRST_HEAD_BYTES, FIRST_BODY_BYTES,
                                 FIRST_HEAD_TIMEOUT_MS, FIRST_IDLE_TIMEOUT_MS };
@@ -34,15 +34,15 @@
 csp_http_limits_t
 csp_reader_limits (const csp_gateway_t *gateway)
 {
-  csp_caller_limits_t limits = limits_of (gateway);
+  csp_caller_limits_t limits = current_limits (gateway);
   csp_http_limits_t reader = { .head_max_bytes = limits.head_max_bytes,
                                .body_max_bytes = limits.body_max_bytes };
 
   return reader;
 }
 
-/* Refuse what can't be read on; nothing behind it can be trusted.  Where an
-   answer has begun there is no room for another.  */
+/* Refuse a request that can't be parsed; the bytes behind it can't be trusted.
+   If an answer has begun, the connection is closed without another.  */
 static void
 refuse (csp_caller_t *caller, uint16_t status, const char *detail)
 {
@@ -96,8 +96,8 @@
       = csp_begin_exchange (caller->gateway, caller, caller->began_ms);
 }
 
-/* Read on in the pending bytes until the request under way is whole.  The
-   exchange may end within, which makes ready for the next request.  */
+/* Parse pending bytes until the current request is complete.  The exchange may
+   end meanwhile, which prepares the reader for the next request.  */
 void
 csp_parse_caller_input (csp_caller_t *caller)
 {
@@ -144,7 +144,7 @@
 }
 
 static void
-on_read (uv_stream_t *stream, ssize_t size_bytes, const uv_buf_t *room)
+on_read (uv_stream_t *stream, ssize_t size_bytes, const uv_buf_t *buffer)
 {
   csp_caller_t *caller = stream->data;
 
@@ -158,7 +158,7 @@
   if (caller->lingering)
     return;
   caller->last_read_ms = csp_gateway_now_ms (caller->gateway);
-  if (!csp_append_buffer (&caller->pending, room->base, (size_t)size_bytes))
+  if (!csp_append_buffer (&caller->pending, buffer->base, (size_t)size_bytes))
     {
       csp_close_caller (caller);
       return;
@@ -189,7 +189,7 @@
 on_timer (uv_timer_t *timer)
 {
   csp_caller_t *caller = timer->data;
-  csp_caller_limits_t limits = limits_of (caller->gateway);
+  csp_caller_limits_t limits = current_limits (caller->gateway);
   int64_t now_ms = csp_gateway_now_ms (caller->gateway);
   int64_t idle_ms = now_ms - caller->last_read_ms;
 
@@ -224,12 +224,12 @@
   csp_set_caller_timer (caller);
 }
 
-/* When the caller's patience or ours ends, counted anew after each read; no
-   timer is needed while a whole request is under way.  */
+/* Set the timer for the head or idle timeout, restarted after each read; no
+   timer runs while a complete request is in progress.  */
 void
 csp_set_caller_timer (csp_caller_t *caller)
 {
-  csp_caller_limits_t limits = limits_of (caller->gateway);
+  csp_caller_limits_t limits = current_limits (caller->gateway);
   int64_t now_ms = csp_gateway_now_ms (caller->gateway);
   int64_t due_ms = caller->last_read_ms + limits.idle_timeout_ms;
 
--- a/source/gateway/gateway-cordon.c
+++ b/source/gateway/gateway-cordon.c
@@ -2,18 +2,18 @@
 
 #include <string.h>
 
-/* What follows on a host where operators cordon a data centre: copies there
-   are given up, and requests that nobody may serve any more are turned away at
-   once.  Where new requests go is the choice of targets' matter; what runs in
-   the data centre ends there.  */
+/* Effects of a cordon on this host: copies of runs in the data centre are
+   given up, and requests that no target may serve any more are refused at
+   once.  New requests avoid the data centre in the choice of targets; requests
+   already running there end there.  */
 
 enum
 {
-  /* Operators put a data centre back by hand, in seconds or hours.  */
+  /* Operators lift a cordon by hand, after seconds or hours.  */
   CORDONED_RETRY_MS = 1000,
-  /* A run that was stopped for a move goes on within that, or is lost: its
-     memory lies nowhere else.  Operators wait for seconds before they take
-     power away.  */
+  /* A run that was stopped for a move may resume at a cordoned target within
+     this time, since its only copy is there.  Operators wait for seconds
+     before they cut power.  */
   RESUME_WITHIN_MS = 1000
 };
 
@@ -36,10 +36,10 @@
                      "all data centres of its service are cordoned");
 }
 
-/* Requests that wait for a place at engines of which none may take them any
-   more would wait until their time is over, and their callers with them.  */
+/* Refuse requests that wait for a place at engines of which none may take them
+   any more; they would wait until their deadline.  */
 static void
-refuse_waiting (csp_gateway_t *gateway)
+refuse_waiting_requests (csp_gateway_t *gateway)
 {
   csp_exchange_t *exchange = gateway->exchanges;
 
@@ -54,9 +54,10 @@
     }
 }
 
-/* Copies of runs lie at these targets, or are on their way there.  */
+/* Give up the copies of runs at the data centre's targets.  Returns how many
+   targets it has.  */
 static size_t
-leave_data_centre (csp_gateway_t *gateway, const char *data_centre)
+drop_copies_in_data_centre (csp_gateway_t *gateway, const char *data_centre)
 {
   size_t count = csp_fleet_size (gateway->fleet);
   size_t targets = 0;
@@ -86,7 +87,7 @@
 
   if (result == CSP_CORDON_AS_BEFORE)
     return;
-  targets = leave_data_centre (gateway, data_centre);
+  targets = drop_copies_in_data_centre (gateway, data_centre);
   CSP_LOG (gateway->log,
            cordoned ? CSP_EVENT_CORDONED : CSP_EVENT_CORDON_LIFTED, NULL,
            csp_text ("data_centre", data_centre),
@@ -98,6 +99,6 @@
                               : result == CSP_CORDON_NO_NAME ? "no name"
                                                              : NULL));
   if (cordoned)
-    refuse_waiting (gateway);
+    refuse_waiting_requests (gateway);
   csp_place_waiting_asks (gateway);
 }
--- a/source/gateway/gateway-exchange-imp.h
+++ b/source/gateway/gateway-exchange-imp.h
@@ -77,8 +77,8 @@
   bool body_whole;
   bool body_streams; /* longer than the buffer, so forwarded as it comes */
 
-  /* Asking the decider for a place.  The ask uses the timer of the move, which
-     can only come later.  */
+  /* Asking the decider for a place: the capacity for one run at an engine.
+     The ask uses the timer of the move, which can only come later.  */
   bool asking;
   bool asks_to_move; /* asks where a stream may move, not for a first place */
   bool ask_answered;
@@ -198,7 +198,7 @@
                       const char *detail);
 
 /* Answer: see gateway-answer.c.  Send the request once more, or fail it with
-   the given reason. may_wait is false once the request has waited for a
+   the given reason.  may_wait is false once the request has waited for a
    lease.  */
 void csp_retry_or_fail (csp_exchange_t *exchange, csp_reason_t reason,
                         const char *detail, bool may_wait);
--- a/source/gateway/gateway-imp.h
+++ b/source/gateway/gateway-imp.h
@@ -224,7 +224,7 @@
 void csp_close_idle_callers (csp_gateway_t *gateway);
 void csp_close_all_callers (csp_gateway_t *gateway);
 
-/* Exchange: see gateway-exchange.c. began_ms is when the first byte of the
+/* Exchange: see gateway-exchange.c.  began_ms is when the first byte of the
    request came.  NULL when the request was answered at once.  */
 csp_exchange_t *csp_begin_exchange (csp_gateway_t *gateway,
                                     csp_caller_t *caller, int64_t began_ms);
@@ -267,7 +267,7 @@
 /* Start the moves whose turn has come.  */
 void csp_start_due_moves (csp_gateway_t *gateway);
 
-/* Resume streams that have stopped sending at other targets.  Call it
+/* Resume streams whose target has stopped sending, at other targets.  Call it
    periodically.  */
 void csp_resume_silent_streams (csp_gateway_t *gateway);
 
@@ -306,8 +306,8 @@
 void csp_handle_target_state (csp_gateway_t *gateway,
                               csp_fleet_target_t *target,
                               const csp_http_head_t *head);
-bool csp_head_says_leaving (const csp_gateway_t *gateway,
-                            const csp_http_head_t *head);
+bool csp_head_announces_leaving (const csp_gateway_t *gateway,
+                                 const csp_http_head_t *head);
 
 /* Another host reports targets that leave.  */
 void csp_handle_leaving_notices (csp_gateway_t *gateway,
@@ -332,7 +332,8 @@
 /* Time until the balancer will have dropped an isolated host; 0: it has.  */
 uint32_t csp_isolated_retry_ms (const csp_gateway_t *gateway);
 
-/* Peers: see gateway-peers.c.  False where the port can't be opened.  */
+/* Peers: see gateway-peers.c.  False when the port can't be opened or
+   memory fails.  */
 bool csp_open_gateway_peers (csp_gateway_t *gateway);
 void csp_stop_gateway_peers (csp_gateway_t *gateway);
 void csp_close_gateway_peers (csp_gateway_t *gateway);
@@ -384,8 +385,8 @@
 void csp_handle_suspects (csp_gateway_t *gateway, csp_peer_address_t from,
                           const csp_hello_t *hello);
 
-/* Tell: see gateway-tell.c.  This host's load has changed; it is sent to the
-   deciders after a short delay.  */
+/* Load reports: see gateway-tell.c.  Schedule a report of this host's changed
+   load to the deciders, sent after a short delay.  */
 void csp_open_load_reports (csp_gateway_t *gateway);
 void csp_schedule_load_report (csp_gateway_t *gateway);
 
--- a/source/gateway/gateway-links.c
+++ b/source/gateway/gateway-links.c
@@ -2,41 +2,41 @@
 
 #include <stdlib.h>
 
-/* Idle connections to targets.  The one used last is taken first, so that
-   the others grow old and go.  */
+/* Idle connections to targets.  The most recently used one is taken first, so
+   that the others expire.  */
 
 enum
 {
-  KEPT_MAX = 8,
-  /* A request that meets the server's close has to count as run, so a link is
-     left alone that much before its server's time is over: a delayed packet
-     and a pause of ours fit in.  */
-  KEEP_MARGIN_MS = 1000
+  IDLE_LINKS_MAX = 8,
+  /* A request sent while the server closes the connection must count as run,
+     so a link is not used this close to its idle timeout; covers a delayed
+     packet and a pause of this process.  */
+  IDLE_MARGIN_MS = 1000
 };
 
 typedef struct
 {
   csp_link_t *link;
   int64_t usable_until_ms;
-} kept_link_t;
+} idle_link_t;
 
 typedef struct
 {
   size_t count;
-  kept_link_t links[KEPT_MAX];
-} kept_links_t;
+  idle_link_t links[IDLE_LINKS_MAX];
+} idle_links_t;
 
 static void
 forget_link (void *state, csp_link_t *link)
 {
   csp_fleet_target_t *target = state;
-  kept_links_t *kept = target->links;
+  idle_links_t *idle = target->links;
   size_t i;
 
-  for (i = 0; i < kept->count; i++)
-    if (kept->links[i].link == link)
+  for (i = 0; i < idle->count; i++)
+    if (idle->links[i].link == link)
       {
-        kept->links[i] = kept->links[--kept->count];
+        idle->links[i] = idle->links[--idle->count];
         return;
       }
 }
@@ -44,12 +44,12 @@
 csp_link_t *
 csp_acquire_link (csp_gateway_t *gateway, csp_fleet_target_t *target)
 {
-  kept_links_t *kept = target->links;
+  idle_links_t *idle = target->links;
   int64_t now_ms = csp_gateway_now_ms (gateway);
 
-  while (kept != NULL && kept->count > 0)
+  while (idle != NULL && idle->count > 0)
     {
-      kept_link_t last = kept->links[--kept->count];
+      idle_link_t last = idle->links[--idle->count];
 
       if (now_ms < last.usable_until_ms)
         return last.link;
@@ -64,34 +64,35 @@
 csp_release_link (csp_gateway_t *gateway, csp_fleet_target_t *target,
                   csp_link_t *link)
 {
-  kept_links_t *kept = target->links;
+  idle_links_t *idle = target->links;
   uint32_t usable_ms = csp_link_usable_ms (link);
 
-  if (kept == NULL && usable_ms > KEEP_MARGIN_MS)
-    kept = target->links = calloc (1, sizeof *kept);
-  if (kept == NULL || usable_ms <= KEEP_MARGIN_MS || kept->count == KEPT_MAX
-      || target->state == CSP_FLEET_GONE || target->state == CSP_FLEET_LEAVING)
+  if (idle == NULL && usable_ms > IDLE_MARGIN_MS)
+    idle = target->links = calloc (1, sizeof *idle);
+  if (idle == NULL || usable_ms <= IDLE_MARGIN_MS
+      || idle->count == IDLE_LINKS_MAX || target->state == CSP_FLEET_GONE
+      || target->state == CSP_FLEET_LEAVING)
     {
       csp_close_link (link);
       return;
     }
-  kept->links[kept->count].link = link;
-  kept->links[kept->count].usable_until_ms
-      = csp_gateway_now_ms (gateway) + usable_ms - KEEP_MARGIN_MS;
-  kept->count++;
+  idle->links[idle->count].link = link;
+  idle->links[idle->count].usable_until_ms
+      = csp_gateway_now_ms (gateway) + usable_ms - IDLE_MARGIN_MS;
+  idle->count++;
   csp_park_link (link, forget_link, target);
 }
 
 void
 csp_close_idle_links (csp_fleet_target_t *target)
 {
-  kept_links_t *kept = target->links;
+  idle_links_t *idle = target->links;
   size_t i;
 
-  if (kept == NULL)
+  if (idle == NULL)
     return;
-  for (i = 0; i < kept->count; i++)
-    csp_close_link (kept->links[i].link);
-  free (kept);
+  for (i = 0; i < idle->count; i++)
+    csp_close_link (idle->links[i].link);
+  free (idle);
   target->links = NULL;
 }
--- a/source/gateway/gateway-page.c
+++ b/source/gateway/gateway-page.c
@@ -63,7 +63,7 @@
   return true;
 }
 
-/* One line for each data centre that gets nothing new.  */
+/* One line per cordoned data centre.  */
 static void
 print_cordons (const csp_gateway_t *gateway, csp_buffer_t *text)
 {
@@ -82,7 +82,7 @@
     }
 }
 
-/* The histograms of organisations and routes.  */
+/* Append the histograms of organisations and routes.  */
 static void
 append_times (const csp_gateway_t *gateway, csp_buffer_t *text)
 {
@@ -98,7 +98,7 @@
 on_asked (void *state, csp_page_t *page, const csp_http_head_t *head)
 {
   static const char metrics_path[] = "/metrics";
-  static const char *const words[]
+  static const char *const bodies[]
       = { "{\"ready\":false}", "{\"ready\":true}" };
   const csp_gateway_t *gateway = state;
   bool ready = csp_gateway_is_ready (gateway);
@@ -107,8 +107,8 @@
   if (strcmp (head->target, metrics_path) != 0)
     {
       csp_answer_page (page, ready ? STATUS_OK : STATUS_UNAVAILABLE,
-                       "application/json", words[ready],
-                       strlen (words[ready]));
+                       "application/json", bodies[ready],
+                       strlen (bodies[ready]));
       return;
     }
   print_metrics (gateway, &text);
--- a/source/gateway/gateway-peers.c
+++ b/source/gateway/gateway-peers.c
@@ -5,12 +5,12 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Greeting other hosts and hearing them.  */
+/* Exchanging hello datagrams with other hosts.  */
 
 enum
 {
-  /* Greetings are due by the second; looked at that often.  */
-  GREET_TICK_MS = 200,
+  /* Hellos are due about once a second and are checked this often.  */
+  HELLO_TICK_MS = 200,
   BOOT_RANDOM_BITS = 16
 };
 
@@ -29,15 +29,15 @@
   csp_uncount_other_load (state, load);
 }
 
-/* What the other hosts have under way, counted anew.  */
+/* Recount the loads that all other hosts have reported.  */
 static void
-count_others (csp_gateway_t *gateway)
+recount_peer_loads (csp_gateway_t *gateway)
 {
   csp_clear_other_loads (gateway->fleet);
   csp_each_peer_load (gateway->roster, count_load, gateway->fleet);
 }
 
-/* A target whose loads are counted because it is new here.  */
+/* A new target whose already reported loads are being counted.  */
 typedef struct
 {
   csp_fleet_t *fleet;
@@ -45,8 +45,8 @@
 } new_target_t;
 
 static void
-count_load_of_new (void *state, csp_peer_address_t peer,
-                   const csp_peer_load_t *load)
+count_load_of_new_target (void *state, csp_peer_address_t peer,
+                          const csp_peer_load_t *load)
 {
   const new_target_t *new_target = state;
 
@@ -65,14 +65,15 @@
   if (target == NULL)
     return;
   new_target.target = target->hash;
-  csp_each_peer_load (gateway->roster, count_load_of_new, &new_target);
+  csp_each_peer_load (gateway->roster, count_load_of_new_target, &new_target);
 }
 
-/* A host's word replaces its last one.  Counting all hosts anew for each
-   datagram took more than a host has at 300 hosts and 3,000 targets.  */
+/* A host's new loads replace its previous ones.  Recounting all hosts for each
+   datagram took more than a host's processor at 300 hosts and 3,000
+   targets.  */
 static bool
-hear_peer (csp_gateway_t *gateway, csp_peer_address_t peer,
-           const csp_hello_t *hello)
+record_peer_hello (csp_gateway_t *gateway, csp_peer_address_t peer,
+                   const csp_hello_t *hello)
 {
   bool taken;
 
@@ -83,7 +84,7 @@
   return taken;
 }
 
-/* Send now or not at all: a greeting that waits is an old one.  */
+/* Send now or drop: a delayed hello would be out of date.  */
 void
 csp_send_hello (csp_gateway_t *gateway, csp_hello_t *hello,
                 const csp_peer_address_t *peers, size_t peer_count)
@@ -106,7 +107,7 @@
 }
 
 static void
-greet (csp_gateway_t *gateway, csp_peer_address_t peer)
+send_periodic_hello (csp_gateway_t *gateway, csp_peer_address_t peer)
 {
   csp_hello_t hello = { .wants_answer = true };
 
@@ -118,7 +119,7 @@
 }
 
 static void
-answer_greeting (csp_gateway_t *gateway, csp_peer_address_t peer)
+answer_hello (csp_gateway_t *gateway, csp_peer_address_t peer)
 {
   csp_hello_t hello = { .wants_answer = false };
 
@@ -127,7 +128,7 @@
 }
 
 static void
-on_greet (uv_timer_t *timer)
+on_hello_timer (uv_timer_t *timer)
 {
   csp_gateway_t *gateway = timer->data;
   csp_peer_address_t *peers = gateway->peer_scratch;
@@ -136,7 +137,7 @@
   size_t i;
 
   if (csp_expire_peers (gateway->roster, now_ms))
-    count_others (gateway);
+    recount_peer_loads (gateway);
   pthread_mutex_lock (&gateway->live_lock);
   gateway->live_peer_count = csp_draw_peers (
       gateway->roster, gateway->live_peers, CSP_LIVE_PEERS_MAX);
@@ -146,12 +147,12 @@
                             csp_greeting_period_ms (gateway->roster));
   count = csp_list_due_peers (gateway->roster, now_ms, peers, CSP_ROSTER_MAX);
   for (i = 0; i < count; i++)
-    greet (gateway, peers[i]);
+    send_periodic_hello (gateway, peers[i]);
   csp_choose_deciders (gateway);
 }
 
 static void
-on_datagram (uv_udp_t *handle, ssize_t size_bytes, const uv_buf_t *room,
+on_datagram (uv_udp_t *handle, ssize_t size_bytes, const uv_buf_t *buffer,
              const struct sockaddr *from, unsigned flags)
 {
   csp_gateway_t *gateway = handle->data;
@@ -159,17 +160,17 @@
   csp_hello_t hello;
 
   if (size_bytes <= 0 || from == NULL || (flags & UV_UDP_PARTIAL) != 0
-      || !csp_decode_hello (room->base, (size_t)size_bytes, &hello))
+      || !csp_decode_hello (buffer->base, (size_t)size_bytes, &hello))
     return;
   peer = csp_peer_of_socket ((const struct sockaddr_in *)from);
   csp_note_host_heard (gateway->reach, hello.data_centre,
                        csp_gateway_now_ms (gateway));
-  if (hear_peer (gateway, peer, &hello)
+  if (record_peer_hello (gateway, peer, &hello)
       && (hello.whole || hello.load_count > 0)
       && csp_count_waiting_asks (gateway->dispatch) > 0)
     csp_place_waiting_asks (gateway);
   if (hello.wants_answer)
-    answer_greeting (gateway, peer);
+    answer_hello (gateway, peer);
   csp_handle_leaving_notices (gateway, &hello);
   csp_handle_suspects (gateway, peer, &hello);
   csp_handle_lease_hello (gateway, peer, &hello);
@@ -178,12 +179,13 @@
 
 size_t
 csp_list_gateway_peers (csp_gateway_t *gateway, csp_peer_address_t *addresses,
-                        size_t room)
+                        size_t max_count)
 {
   size_t count;
 
   pthread_mutex_lock (&gateway->live_lock);
-  count = gateway->live_peer_count < room ? gateway->live_peer_count : room;
+  count = gateway->live_peer_count < max_count ? gateway->live_peer_count
+                                               : max_count;
   memcpy (addresses, gateway->live_peers, count * sizeof *addresses);
   pthread_mutex_unlock (&gateway->live_lock);
   return count;
@@ -210,8 +212,8 @@
       = (uint32_t)csp_hash_pair ("data_centre", settings->data_centre);
   gateway->boot = ((uint64_t)csp_wall_ms (&gateway->clock) << BOOT_RANDOM_BITS)
                   | (random & ((1U << BOOT_RANDOM_BITS) - 1));
-  /* Asks of this boot aren't taken for those of an earlier one, whose answers
-     the host that decides may remember.  */
+  /* Ids of this process's asks must differ from those of an earlier process,
+     whose answers the decider may still remember.  */
   gateway->next_ask_id = gateway->boot;
   gateway->roster = csp_create_roster (gateway->self, gateway->boot,
                                        gateway->data_centre, random);
@@ -240,7 +242,7 @@
     return false;
   for (i = 0; i < settings->seed_count; i++)
     csp_learn_peer (gateway->roster, csp_peer_of_socket (&settings->seeds[i]));
-  uv_timer_start (&gateway->hello_timer, on_greet, 0, GREET_TICK_MS);
+  uv_timer_start (&gateway->hello_timer, on_hello_timer, 0, HELLO_TICK_MS);
   return true;
 }
 
--- a/source/gateway/gateway-quarantine.c
+++ b/source/gateway/gateway-quarantine.c
@@ -4,14 +4,14 @@
 
 #include <string.h>
 
-/* Requests under which targets end, see quarantine.h: noting strikes, telling
-   other hosts, and refusing what is held.  */
+/* Requests that make targets end, see quarantine.h: noting strikes, sending
+   them to other hosts, and refusing quarantined requests.  */
 
 enum
 {
-  /* Suspects in one greeting.  A host sends and answers some two dozen a
-     second, and has 4 kB a second for all that hosts tell each other.  */
-  GREETED_SUSPECTS_MAX = 2
+  /* Suspects in one periodic hello.  A host sends and answers about two dozen
+     hellos a second, and has 4 kB a second for all messages between hosts.  */
+  PERIODIC_SUSPECTS_MAX = 2
 };
 
 static const char refusal_detail[] = "targets ended under this request";
@@ -58,15 +58,16 @@
   csp_fail_exchange (exchange, CSP_REASON_QUARANTINED, refusal_detail);
 }
 
-/* Whether it has begun to answer, and so runs without harm to its target.  */
+/* Whether its answer has begun, so that it runs without harm to its
+   target.  */
 static bool
 has_answer (const csp_exchange_t *exchange)
 {
   return exchange->answer_mode != CSP_ANSWER_NONE || exchange->events > 0;
 }
 
-/* Whether it is the request.  One whose body is still coming isn't known yet;
-   it is looked at when it is sent.  */
+/* Whether the exchange carries the request.  One whose body is still
+   incomplete has no fingerprint yet; it is checked when it is sent.  */
 static bool
 is_request (csp_exchange_t *exchange, uint64_t fingerprint)
 {
@@ -74,8 +75,9 @@
          && csp_exchange_fingerprint (exchange) == fingerprint;
 }
 
-/* What waits, or waits at a target for its turn, would end one more target
-   when it runs.  not_this: the exchange that is being dealt with.  */
+/* End the exchanges of a quarantined request that wait here or in a target's
+   queue: each would end one more target when it runs.  not_this is the
+   exchange that is being handled.  */
 static void
 end_unanswered (csp_gateway_t *gateway, uint64_t fingerprint,
                 const csp_exchange_t *not_this)
@@ -98,7 +100,7 @@
 
 static void
 begin_quarantine (csp_gateway_t *gateway, uint64_t fingerprint,
-                  const char *told_by, const csp_exchange_t *not_this)
+                  const char *reported_by, const csp_exchange_t *not_this)
 {
   char text[CSP_FINGERPRINT_TEXT_BYTES];
 
@@ -109,7 +111,7 @@
            csp_number ("hold_ms", csp_quarantine_left_ms (
                                       gateway->quarantine, fingerprint,
                                       csp_gateway_now_ms (gateway))),
-           csp_text ("told_by", told_by));
+           csp_text ("told_by", reported_by));
   end_unanswered (gateway, fingerprint, not_this);
 }
 
@@ -142,9 +144,9 @@
 void
 csp_add_suspects_to_hello (csp_gateway_t *gateway, csp_hello_t *hello)
 {
-  hello->suspect_count
-      = csp_name_suspects (gateway->quarantine, hello->suspects,
-                           GREETED_SUSPECTS_MAX, csp_gateway_now_ms (gateway));
+  hello->suspect_count = csp_name_suspects (
+      gateway->quarantine, hello->suspects, PERIODIC_SUSPECTS_MAX,
+      csp_gateway_now_ms (gateway));
 }
 
 void
@@ -155,7 +157,7 @@
   uint64_t fingerprint = csp_exchange_fingerprint (exchange);
   csp_suspect_change_t change;
 
-  /* A target that leaves ends by itself.  */
+  /* A leaving target ends for its own reasons.  */
   if (target->state == CSP_FLEET_LEAVING || target->state == CSP_FLEET_GONE)
     return;
   change = csp_strike_request (gateway->quarantine, fingerprint, target->hash,
@@ -168,7 +170,7 @@
 
 static void
 clear_request (csp_gateway_t *gateway, uint64_t fingerprint,
-               const char *told_by)
+               const char *reported_by)
 {
   int64_t now_ms = csp_gateway_now_ms (gateway);
   bool held
@@ -182,7 +184,7 @@
     return;
   csp_print_fingerprint (fingerprint, text);
   CSP_LOG (gateway->log, CSP_EVENT_QUARANTINE_LIFTED, NULL,
-           csp_text ("fingerprint", text), csp_text ("told_by", told_by));
+           csp_text ("fingerprint", text), csp_text ("told_by", reported_by));
 }
 
 void
--- a/source/gateway/gateway-reach.c
+++ b/source/gateway/gateway-reach.c
@@ -1,27 +1,26 @@
 #include "gateway/gateway-imp.h"
 
-/* What follows from the data centres that this host doesn't reach: targets
-   there get nothing that may run only once, they are asked now and then
-   whether they can be reached, and a host that reaches no engine at all says
-   that it isn't ready.
+/* Handling of data centres that this host can't reach: targets there get no
+   request that may run only once and are probed periodically, and a host that
+   reaches no engine reports that it isn't ready.
 
-   Failure: a data centre is cut off while it has no engine of its own, as its
-   last ones were just taken away.  Its host went on taking callers and refused
-   them all, though hosts elsewhere could have served them: on a day with a cut
-   of six seconds 14 texts and 12 short requests of one data centre.  Not
-   ready, it gets no new connections from the balancer within two seconds, and
-   those that it turns away until then come back to a host that can.  */
+   Failure: a data centre was cut off when its last engines had just been taken
+   away.  Its host went on accepting callers and refused them all, though other
+   hosts could have served them: a cut of six seconds lost 14 generations and
+   12 short requests.  A host that isn't ready gets no new connections from the
+   balancer within two seconds, and callers that it refuses until then retry at
+   a host that reaches engines.  */
 
 enum
 {
-  /* What one crashed target does to the picture is over sooner.  */
+  /* The effect of a single crashed target is over sooner.  */
   ISOLATED_AFTER_MS = 300,
-  /* The balancer asks once a second and leaves a host out after two misses;
-     some moments more until its callers go elsewhere.  */
+  /* The balancer checks once a second and drops a host after two failures; its
+     callers need a little longer to switch.  */
   BALANCER_NOTICE_MS = 2200
 };
 
-/* Engines that a request could go to, and others that are listed.  */
+/* Ready engines that this host reaches, and those that are cut off.  */
 typedef struct
 {
   size_t reached;
@@ -29,8 +28,8 @@
 } engine_count_t;
 
 static void
-judge_target (csp_gateway_t *gateway, csp_fleet_target_t *target,
-              int64_t now_ms, engine_count_t *engines)
+update_target_reachability (csp_gateway_t *gateway, csp_fleet_target_t *target,
+                            int64_t now_ms, engine_count_t *engines)
 {
   bool cut = !csp_is_reached (gateway->reach, target->data_centre, now_ms);
 
@@ -51,12 +50,12 @@
 }
 
 static void
-judge_isolation (csp_gateway_t *gateway, const engine_count_t *engines,
-                 int64_t now_ms)
+update_isolation (csp_gateway_t *gateway, const engine_count_t *engines,
+                  int64_t now_ms)
 {
-  bool alone = engines->reached == 0 && engines->cut_off > 0;
+  bool isolated = engines->reached == 0 && engines->cut_off > 0;
 
-  if (!alone)
+  if (!isolated)
     gateway->isolated_since_ms = 0;
   else if (gateway->isolated_since_ms == 0)
     gateway->isolated_since_ms = now_ms;
@@ -73,13 +72,13 @@
 uint32_t
 csp_isolated_retry_ms (const csp_gateway_t *gateway)
 {
-  int64_t passed_ms
+  int64_t elapsed_ms
       = gateway->isolated_since_ms == 0
             ? 0
             : csp_gateway_now_ms (gateway) - gateway->isolated_since_ms;
 
-  return passed_ms < BALANCER_NOTICE_MS
-             ? (uint32_t)(BALANCER_NOTICE_MS - passed_ms)
+  return elapsed_ms < BALANCER_NOTICE_MS
+             ? (uint32_t)(BALANCER_NOTICE_MS - elapsed_ms)
              : 0;
 }
 
@@ -92,12 +91,13 @@
   engine_count_t engines = { .reached = 0 };
   size_t i;
 
-  /* From a random place on, so that not the same target is asked each time,
-     which may be the one that is down.  */
+  /* Start at a random target, so that the probe doesn't always go to the same
+     one, which may be down.  */
   for (i = 0; i < count; i++)
-    judge_target (gateway, csp_fleet_at (gateway->fleet, (first + i) % count),
-                  now_ms, &engines);
-  judge_isolation (gateway, &engines, now_ms);
+    update_target_reachability (
+        gateway, csp_fleet_at (gateway->fleet, (first + i) % count), now_ms,
+        &engines);
+  update_isolation (gateway, &engines, now_ms);
 }
 
 void
--- a/source/gateway/gateway-report.c
+++ b/source/gateway/gateway-report.c
@@ -2,49 +2,49 @@
 
 #include <stdlib.h>
 
-/* Asking targets themselves whether they leave, and whether they live.
-
-   Failure: the platform's store falls silent, and an eighth of the engines is
-   told to leave meanwhile.  Nobody here hears of it, and all streams there end
-   with their engines: 24 of the 63 that were lost on a day of 48 engines.
-   Longer silence leaves more and more engines in the list that are gone, until
-   some seconds behind the store's return; they look empty, and the host that
-   decides sends streams there that leave others: 40 of 112 that were lost on
-   another day were refused by such an engine, a third of a second later each.
-
-   The platform answers more than once a second, with or without news.  When it
-   is not heard for longer, and for some time behind that, the host that
-   decides asks the engines and tells the others which of them leave.  Where
-   each host asked for itself, and whenever the list hadn't changed for a
-   while, one day had 39,872 questions, 0.0135 of the worth, for nothing.  */
+/* Querying targets whether they leave and still run.
+
+   Failure: the platform's store stops answering, and an eighth of the engines
+   is told to leave meanwhile.  No host learns of it, and all streams there are
+   lost with their engines: 24 of 63 lost streams with 48 engines.  The longer
+   the silence, the more engines in the list are gone, until some seconds after
+   the store returns; they look empty, so the decider moves streams there: 40
+   of 112 lost streams were refused by such an engine, after a third of a
+   second each.
+
+   The platform answers more than once a second, also without changes.  When it
+   can't be read for longer, and for some time afterwards, the decider queries
+   the engines and notifies the other hosts of those that leave.  When every
+   host queried, whenever the list had not changed for a while, 39,872 queries
+   cost 0.0135 of the requests' value for no gain.  */
 
 enum
 {
-  /* A watch without news is answered after 0.6 s; a busy host reads it a
-     little later.  */
-  HEARD_LATE_MS = 750,
-  /* What was lost in the silence is in the list until its lease has run out,
-     three heartbeats of 1.2 s, and the grace for rows that lapsed, 2.3 s.  */
-  DOUBT_MS = 6000,
-  /* Reports are some hundred ms old by themselves, and an engine that leaves
+  /* A watch without changes is answered after 0.6 s; a busy host reads the
+     answer a little later.  */
+  PLATFORM_SILENT_MS = 750,
+  /* An engine lost while the platform was silent stays in the list until its
+     lease expires, three heartbeats of 1.2 s, plus the grace for lapsed rows,
+     2.3 s.  */
+  QUERY_AFTER_SILENCE_MS = 6000,
+  /* Reports are some hundred ms old when they arrive, and a leaving engine
      goes on for a second and a half.  */
-  REPORT_AGAIN_MS = 400,
-  /* Questions in one turn of a tenth of a second.  3,000 engines asked every
-     0.4 s are 7,500 questions a second, more than the host that decides can
-     make in all: it answers no ask for a place in those seconds, which begin
-     whenever the store says nothing and whenever all hosts start.  Half a core
-     makes 300 beside its other work; so many engines are asked often enough,
-     and of more each in its turn.  */
-  REPORTS_IN_TURN = 30,
-  REPORT_TIMEOUT_MS = 400,
+  QUERY_PERIOD_MS = 400,
+  /* Queries per tick of a tenth of a second.  3,000 engines queried every 0.4
+     s would be 7,500 queries a second, more than the decider can make: it
+     would answer no ask in the seconds after the store stops or all hosts
+     start.  Half a core makes 300 a second beside its other work; 300 engines
+     or fewer are queried often enough, and more take turns.  */
+  QUERIES_PER_TICK = 30,
+  QUERY_TIMEOUT_MS = 400,
   /* A link that loses three datagrams in a hundred loses three in a row once
      in 37,000 times.  */
-  TOLD_TIMES = 3,
+  NOTICE_SENDS = 3,
   REPORT_MAX_BYTES = 65536,
   STATUS_OK = 200
 };
 
-/* One question under way.  */
+/* A status query in progress.  */
 struct csp_status_query
 {
   csp_status_query_t *next;
@@ -54,15 +54,15 @@
   csp_link_t *link;
   csp_buffer_t body;
   uint16_t status;
-  bool leaving; /* by the head of its answer */
+  bool leaving; /* by its answer's head */
   int64_t asked_ms;
 };
 
 static bool
-is_unheard (const csp_gateway_t *gateway, int64_t now_ms)
+is_platform_silent (const csp_gateway_t *gateway, int64_t now_ms)
 {
   return gateway->platform_read_ms != 0
-         && now_ms - gateway->platform_read_ms >= HEARD_LATE_MS;
+         && now_ms - gateway->platform_read_ms >= PLATFORM_SILENT_MS;
 }
 
 void
@@ -73,8 +73,8 @@
   if (now_ms <= gateway->platform_read_ms)
     return;
 
-  if (is_unheard (gateway, now_ms))
-    gateway->query_until_ms = now_ms + DOUBT_MS;
+  if (is_platform_silent (gateway, now_ms))
+    gateway->query_until_ms = now_ms + QUERY_AFTER_SILENCE_MS;
   gateway->platform_read_ms = now_ms;
 }
 
@@ -89,23 +89,24 @@
   return service != NULL && service->is_engine;
 }
 
-/* Tell the others which targets leave, a few times, as datagrams get lost.  */
+/* Send notices of leaving targets to the other hosts, several times since
+   datagrams may be lost.  */
 static void
-tell_left (csp_gateway_t *gateway)
+send_leaving_notices (csp_gateway_t *gateway)
 {
   csp_hello_t hello = { .left_count = 0 };
-  size_t kept = 0;
+  size_t remaining = 0;
   size_t i;
 
   for (i = 0; i < gateway->leaving_notice_count; i++)
     {
-      csp_leaving_notice_t *left = &gateway->leaving_notices[i];
+      csp_leaving_notice_t *notice = &gateway->leaving_notices[i];
 
-      hello.left[hello.left_count++] = left->target;
-      if (--left->sends_left > 0)
-        gateway->leaving_notices[kept++] = *left;
+      hello.left[hello.left_count++] = notice->target;
+      if (--notice->sends_left > 0)
+        gateway->leaving_notices[remaining++] = *notice;
     }
-  gateway->leaving_notice_count = kept;
+  gateway->leaving_notice_count = remaining;
   if (hello.left_count > 0)
     csp_send_hello (gateway, &hello, gateway->peer_scratch,
                     csp_list_live_peers (gateway->roster,
@@ -116,15 +117,15 @@
 void
 csp_announce_leaving (csp_gateway_t *gateway, csp_fleet_target_t *target)
 {
-  csp_leaving_notice_t left
-      = { .target = target->hash, .sends_left = TOLD_TIMES };
+  csp_leaving_notice_t notice
+      = { .target = target->hash, .sends_left = NOTICE_SENDS };
 
   if (target->leaves)
     return;
   while (gateway->leaving_notice_count == CSP_HELLO_LEFT_MAX)
-    tell_left (gateway);
-  gateway->leaving_notices[gateway->leaving_notice_count++] = left;
-  tell_left (gateway);
+    send_leaving_notices (gateway);
+  gateway->leaving_notices[gateway->leaving_notice_count++] = notice;
+  send_leaving_notices (gateway);
   csp_note_target_leaves (gateway->fleet, target);
 }
 
@@ -144,141 +145,141 @@
 }
 
 static void
-end_report (csp_status_query_t *report, bool keeps_link)
+end_query (csp_status_query_t *query, bool keeps_link)
 {
   if (keeps_link)
-    csp_release_link (report->gateway, report->target, report->link);
+    csp_release_link (query->gateway, query->target, query->link);
   else
-    csp_close_link (report->link);
-  if (report->previous != NULL)
-    report->previous->next = report->next;
+    csp_close_link (query->link);
+  if (query->previous != NULL)
+    query->previous->next = query->next;
   else
-    report->gateway->status_queries = report->next;
-  if (report->next != NULL)
-    report->next->previous = report->previous;
-  report->target->users--;
-  csp_clear_buffer (&report->body);
-  free (report);
+    query->gateway->status_queries = query->next;
+  if (query->next != NULL)
+    query->next->previous = query->previous;
+  query->target->users--;
+  csp_clear_buffer (&query->body);
+  free (query);
 }
 
 static void
-on_report_answered (void *state, const csp_http_head_t *head)
+on_query_answered (void *state, const csp_http_head_t *head)
 {
-  csp_status_query_t *report = state;
+  csp_status_query_t *query = state;
 
-  csp_note_target_answered (report->gateway, report->target);
-  report->status = head->status;
-  report->leaving = csp_head_says_leaving (report->gateway, head);
+  csp_note_target_answered (query->gateway, query->target);
+  query->status = head->status;
+  query->leaving = csp_head_announces_leaving (query->gateway, head);
 }
 
 static void
-on_report_body (void *state, const char *piece, size_t piece_bytes)
+on_query_body (void *state, const char *piece, size_t piece_bytes)
 {
-  csp_status_query_t *report = state;
+  csp_status_query_t *query = state;
 
-  if (report->body.size_bytes + piece_bytes > REPORT_MAX_BYTES
-      || !csp_append_buffer (&report->body, piece, piece_bytes))
-    end_report (report, false);
+  if (query->body.size_bytes + piece_bytes > REPORT_MAX_BYTES
+      || !csp_append_buffer (&query->body, piece, piece_bytes))
+    end_query (query, false);
 }
 
 static void
-on_report_ended (void *state)
+on_query_ended (void *state)
 {
-  csp_status_query_t *report = state;
-  csp_gateway_t *gateway = report->gateway;
-  csp_fleet_target_t *target = report->target;
-  csp_target_report_t told = { .leaving = false };
-  bool readable = report->status == STATUS_OK
+  csp_status_query_t *query = state;
+  csp_gateway_t *gateway = query->gateway;
+  csp_fleet_target_t *target = query->target;
+  csp_target_report_t report = { .leaving = false };
+  bool readable = query->status == STATUS_OK
                   && gateway->dialect->read_report (
-                      report->body.data, report->body.size_bytes, &told);
+                      query->body.data, query->body.size_bytes, &report);
 
-  told.leaving |= report->leaving;
-  end_report (report, true);
+  report.leaving |= query->leaving;
+  end_query (query, true);
   target->unreachable = 0;
-  if (!readable && !told.leaving)
+  if (!readable && !report.leaving)
     return;
-  csp_note_target_born (gateway->fleet, target, told.born_ms,
+  csp_note_target_born (gateway->fleet, target, report.born_ms,
                         csp_gateway_now_ms (gateway));
-  if (!told.leaving
-      || (told.born_ms != 0 && told.born_ms != target->row.born_ms))
+  if (!report.leaving
+      || (report.born_ms != 0 && report.born_ms != target->row.born_ms))
     return;
   csp_announce_leaving (gateway, target);
 }
 
-/* It is gone, or cut off from here, and gets nothing new for a while.  */
+/* The target is gone or cut off from here, and gets no new work for a
+   while.  */
 static void
-fail_report (csp_status_query_t *report)
+fail_query (csp_status_query_t *query)
 {
-  csp_gateway_t *gateway = report->gateway;
-  const csp_fleet_target_t *target = report->target;
+  csp_gateway_t *gateway = query->gateway;
+  const csp_fleet_target_t *target = query->target;
 
-  csp_note_unreachable (report->target, csp_gateway_now_ms (gateway));
-  end_report (report, false);
+  csp_note_unreachable (query->target, csp_gateway_now_ms (gateway));
+  end_query (query, false);
   csp_note_target_failed (gateway, target);
 }
 
 static void
-on_report_failed (void *state, csp_link_failure_t why)
+on_query_failed (void *state, csp_link_failure_t why)
 {
   if (why == CSP_LINK_UNREACHABLE)
-    fail_report (state);
+    fail_query (state);
   else
-    end_report (state, false);
+    end_query (state, false);
 }
 
-static const csp_link_events_t report_events
-    = { .answered = on_report_answered,
-        .body = on_report_body,
-        .ended = on_report_ended,
-        .failed = on_report_failed };
+static const csp_link_events_t query_events = { .answered = on_query_answered,
+                                                .body = on_query_body,
+                                                .ended = on_query_ended,
+                                                .failed = on_query_failed };
 
 void
 csp_query_target (csp_gateway_t *gateway, csp_fleet_target_t *target,
                   int64_t now_ms)
 {
-  csp_status_query_t *report = calloc (1, sizeof *report);
+  csp_status_query_t *query = calloc (1, sizeof *query);
   char address[CSP_ADDRESS_TEXT_BYTES];
   csp_buffer_t request = { 0 };
 
-  if (report == NULL)
+  if (query == NULL)
     return;
-  report->link = csp_acquire_link (gateway, target);
-  if (report->link == NULL)
+  query->link = csp_acquire_link (gateway, target);
+  if (query->link == NULL)
     {
-      free (report);
+      free (query);
       return;
     }
-  report->gateway = gateway;
-  report->target = target;
-  report->asked_ms = now_ms;
-  report->next = gateway->status_queries;
-  if (report->next != NULL)
-    report->next->previous = report;
-  gateway->status_queries = report;
+  query->gateway = gateway;
+  query->target = target;
+  query->asked_ms = now_ms;
+  query->next = gateway->status_queries;
+  if (query->next != NULL)
+    query->next->previous = query;
+  gateway->status_queries = query;
   target->users++;
-  target->report_at_ms = now_ms + REPORT_AGAIN_MS;
-  csp_start_link_request (report->link, &report_events, report, false);
+  target->report_at_ms = now_ms + QUERY_PERIOD_MS;
+  csp_start_link_request (query->link, &query_events, query, false);
   csp_print_target_address (target, address);
   gateway->dialect->write_report (address, &request);
-  csp_write_link (report->link, request.data, request.size_bytes);
-  csp_finish_link_request (report->link);
+  csp_write_link (query->link, request.data, request.size_bytes);
+  csp_finish_link_request (query->link);
   csp_clear_buffer (&request);
   gateway->counts.status_queries++;
 }
 
 /* A target that lost power never answers.  */
 static void
-drop_late_reports (csp_gateway_t *gateway, int64_t now_ms)
+fail_late_queries (csp_gateway_t *gateway, int64_t now_ms)
 {
-  csp_status_query_t *report = gateway->status_queries;
+  csp_status_query_t *query = gateway->status_queries;
 
-  while (report != NULL)
+  while (query != NULL)
     {
-      csp_status_query_t *next = report->next;
+      csp_status_query_t *next = query->next;
 
-      if (now_ms - report->asked_ms >= REPORT_TIMEOUT_MS)
-        fail_report (report);
-      report = next;
+      if (now_ms - query->asked_ms >= QUERY_TIMEOUT_MS)
+        fail_query (query);
+      query = next;
     }
 }
 
@@ -291,12 +292,13 @@
   size_t asked = 0;
   size_t i;
 
-  drop_late_reports (gateway, now_ms);
-  tell_left (gateway);
-  if ((!is_unheard (gateway, now_ms) && now_ms >= gateway->query_until_ms)
+  fail_late_queries (gateway, now_ms);
+  send_leaving_notices (gateway);
+  if ((!is_platform_silent (gateway, now_ms)
+       && now_ms >= gateway->query_until_ms)
       || !csp_is_same_peer (gateway->decider, gateway->self))
     return;
-  for (i = 0; i < count && asked < REPORTS_IN_TURN; i++)
+  for (i = 0; i < count && asked < QUERIES_PER_TICK; i++)
     {
       csp_fleet_target_t *target
           = csp_fleet_at (gateway->fleet, (first + i) % count);
@@ -316,13 +318,13 @@
 void
 csp_cancel_status_queries (csp_gateway_t *gateway)
 {
-  csp_status_query_t *report = gateway->status_queries;
+  csp_status_query_t *query = gateway->status_queries;
 
-  while (report != NULL)
+  while (query != NULL)
     {
-      csp_status_query_t *next = report->next;
+      csp_status_query_t *next = query->next;
 
-      end_report (report, false);
-      report = next;
+      end_query (query, false);
+      query = next;
     }
 }
--- a/source/gateway/gateway-target-state.c
+++ b/source/gateway/gateway-target-state.c
@@ -1,29 +1,30 @@
 #include "gateway/gateway-exchange-imp.h"
 
-/* What targets say of themselves in the heads of their answers, whatever the
-   answer is: that they leave, and that they want nothing for a while.  */
+/* What targets report of themselves in the heads of their answers, independent
+   of the answer: that they leave, or that hosts should back off.  */
 
 enum
 {
   STATUS_MISDIRECTED = 421,
   STATUS_UNAVAILABLE = 503,
-  /* Hosts and callers that were told the same moment come back by lot within
-     a part of the wait.  */
-  SPREAD_LEAST_MS = 200,
-  SPREAD_PARTS = 4
+  /* Hosts and callers that were given the same moment return at random times
+     within a part of the wait.  */
+  SPREAD_MIN_MS = 200,
+  SPREAD_DIVISOR = 4
 };
 
 bool
-csp_head_says_leaving (const csp_gateway_t *gateway,
-                       const csp_http_head_t *head)
+csp_head_announces_leaving (const csp_gateway_t *gateway,
+                            const csp_http_head_t *head)
 {
   return csp_find_http_field (head, gateway->dialect->names[CSP_NAME_LEAVING])
          != NULL;
 }
 
-/* What waits for a place would be told the same only when it gets one.  */
+/* Refuse the requests that wait for a place now; they would get the same
+   refusal later.  */
 static void
-refuse_waiting (csp_gateway_t *gateway)
+refuse_waiting_requests (csp_gateway_t *gateway)
 {
   csp_exchange_t *exchange = gateway->exchanges;
 
@@ -39,8 +40,8 @@
 }
 
 static void
-take_backoff (csp_gateway_t *gateway, csp_fleet_target_t *target,
-              const char *retry_after)
+handle_backoff (csp_gateway_t *gateway, csp_fleet_target_t *target,
+                const char *retry_after)
 {
   int64_t now_ms = csp_gateway_now_ms (gateway);
   uint32_t wait_ms;
@@ -58,7 +59,7 @@
            csp_text ("target", target->row.id),
            csp_number ("wait_ms", wait_ms),
            csp_number ("left_ms", target->backoff_until_ms - now_ms));
-  refuse_waiting (gateway);
+  refuse_waiting_requests (gateway);
 }
 
 void
@@ -67,13 +68,13 @@
 {
   const char *retry_after = csp_find_http_field (head, "Retry-After");
 
-  /* Another target answers at the address; it speaks of itself.  */
+  /* Another target answers at this address, and reports its own state.  */
   if (head->status == STATUS_MISDIRECTED)
     return;
-  if (csp_head_says_leaving (gateway, head))
+  if (csp_head_announces_leaving (gateway, head))
     csp_announce_leaving (gateway, target);
   if (head->status == STATUS_UNAVAILABLE && retry_after != NULL)
-    take_backoff (gateway, target, retry_after);
+    handle_backoff (gateway, target, retry_after);
 }
 
 bool
@@ -91,7 +92,7 @@
   csp_gateway_t *gateway = exchange->gateway;
   uint32_t left_ms = csp_service_backoff_ms (
       gateway->fleet, exchange->service->name, csp_gateway_now_ms (gateway));
-  uint32_t spread_ms = left_ms / SPREAD_PARTS + SPREAD_LEAST_MS;
+  uint32_t spread_ms = left_ms / SPREAD_DIVISOR + SPREAD_MIN_MS;
 
   exchange->retry_after_ms
       = left_ms + csp_random_below (&gateway->random, spread_ms);
--- a/source/gateway/gateway-tell.c
+++ b/source/gateway/gateway-tell.c
@@ -2,28 +2,29 @@
 
 #include <string.h>
 
-/* Telling what is under way here, to the hosts that decide.
+/* Sending this host's loads to the deciders.
 
    Load pattern: hundreds of hosts, each of which begins and ends requests all
-   the time.  Told to all hosts, each change is hundreds of datagrams, and what
-   the busiest host carried grew with the square of their number.  Only who
-   decides needs each change; the others ask it.  So a change goes to three
-   hosts at most: the one that decides, the one that would be next, and the
-   first of the own data centre.  */
+   the time.  If each change went to all hosts, it would take hundreds of
+   datagrams, and the load of the busiest host would grow with the square of
+   their number.  Only the decider needs each change; the others ask it.  So a
+   change goes to at most three hosts: the decider, the next in line, and the
+   first of this data centre.  */
 
 enum
 {
-  /* Changes of some moments are told together.  What the host that decides
-     doesn't know yet it chooses without: at 91 hosts and 60 prompts a second
-     the first token came after 973 ms in the median with 91 ms between change
-     and datagram, and after 695 ms with 2 ms.  */
-  TELL_MS = 2,
-  /* All loads are told again that often, as datagrams get lost.  */
-  WHOLE_MS = 1000
+  /* Changes within this time are sent together.  The decider places requests
+     without the changes it doesn't know yet: at 91 hosts and 60 prompts a
+     second the median time to the first token was 973 ms with a delay of 91
+     ms, and 695 ms with 2 ms.  */
+  LOAD_REPORT_DELAY_MS = 2,
+  /* Interval at which all loads are sent again, since datagrams may be
+     lost.  */
+  FULL_REPORT_PERIOD_MS = 1000
 };
 
 static csp_peer_load_t
-load_of (const csp_fleet_target_t *target)
+make_load (const csp_fleet_target_t *target)
 {
   csp_peer_load_t load
       = { .target = target->hash,
@@ -45,12 +46,12 @@
          && a->movable_tokens == b->movable_tokens;
 }
 
-/* Whether the others should hear of a load.  What is under way at a plain
-   service is over within some 30 ms, and three quarters of all requests go to
-   such; nobody decides about those for others.  */
+/* Whether the deciders need this load.  Three quarters of all requests go to
+   plain services, end there within some 30 ms, and are not placed by the
+   decider, so those are left out.  */
 static bool
-is_worth_telling (const csp_fleet_target_t *target,
-                  const csp_peer_load_t *load, bool whole)
+must_report (const csp_fleet_target_t *target, const csp_peer_load_t *load,
+             bool whole)
 {
   if (!target->is_engine && load->backup_tokens == 0
       && target->told.backup_tokens == 0)
@@ -59,10 +60,10 @@
                : !is_same_load (load, &target->told);
 }
 
-/* Send what of our loads is wanted, in as many datagrams as it takes.  whole:
-   all loads; else those that changed.  */
+/* Send this host's loads, in as many datagrams as needed: all
+   loads if whole, else those that changed.  */
 static void
-tell_loads (csp_gateway_t *gateway, bool whole,
+send_loads (csp_gateway_t *gateway, bool whole,
             const csp_peer_address_t *peers, size_t peer_count)
 {
   size_t count = csp_fleet_size (gateway->fleet);
@@ -75,9 +76,9 @@
   for (i = 0; i < count; i++)
     {
       csp_fleet_target_t *target = csp_fleet_at (gateway->fleet, i);
-      csp_peer_load_t load = load_of (target);
+      csp_peer_load_t load = make_load (target);
 
-      if (!is_worth_telling (target, &load, whole))
+      if (!must_report (target, &load, whole))
         continue;
       if (!whole)
         target->told = load;
@@ -93,22 +94,23 @@
 }
 
 static void
-on_tell (uv_timer_t *timer)
+on_load_report_timer (uv_timer_t *timer)
 {
   csp_gateway_t *gateway = timer->data;
 
-  tell_loads (gateway, false, gateway->deciders, gateway->decider_count);
+  send_loads (gateway, false, gateway->deciders, gateway->decider_count);
 }
 
 void
 csp_schedule_load_report (csp_gateway_t *gateway)
 {
   if (!uv_is_active ((uv_handle_t *)&gateway->load_report_timer))
-    uv_timer_start (&gateway->load_report_timer, on_tell, TELL_MS, 0);
+    uv_timer_start (&gateway->load_report_timer, on_load_report_timer,
+                    LOAD_REPORT_DELAY_MS, 0);
 }
 
 static bool
-is_told (const csp_gateway_t *gateway, csp_peer_address_t host)
+gets_load_reports (const csp_gateway_t *gateway, csp_peer_address_t host)
 {
   size_t i;
 
@@ -118,17 +120,17 @@
   return false;
 }
 
-/* A host that is told from now on has to know all at once: it may have to
-   decide in the next moment.  */
+/* Send all loads at once to a new decider: it may have to decide
+   immediately.  */
 static void
-tell_new_deciders (csp_gateway_t *gateway, const csp_peer_address_t *hosts,
-                   size_t count)
+report_to_new_deciders (csp_gateway_t *gateway,
+                        const csp_peer_address_t *hosts, size_t count)
 {
   size_t i;
 
   for (i = 0; i < count; i++)
-    if (!is_told (gateway, hosts[i]))
-      tell_loads (gateway, true, &hosts[i], 1);
+    if (!gets_load_reports (gateway, hosts[i]))
+      send_loads (gateway, true, &hosts[i], 1);
 }
 
 void
@@ -154,11 +156,11 @@
   csp_note_decider_change (gateway);
   if (now_ms >= gateway->full_report_at_ms)
     {
-      gateway->full_report_at_ms = now_ms + WHOLE_MS;
-      tell_loads (gateway, true, hosts, count);
+      gateway->full_report_at_ms = now_ms + FULL_REPORT_PERIOD_MS;
+      send_loads (gateway, true, hosts, count);
     }
   else
-    tell_new_deciders (gateway, hosts, count);
+    report_to_new_deciders (gateway, hosts, count);
   memcpy (gateway->deciders, hosts, sizeof hosts);
   gateway->decider_count = count;
 }
