--- a/include/cowslipspoke/roster.h
+++ b/include/cowslipspoke/roster.h
@@ -10,32 +10,31 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* The other hosts of a deployment that nobody lists: found from a few seeds,
-   which may be stale or down, and from what hosts say of each other; and what
-   each has under way at the targets.  Hosts speak in single datagrams; a lost
-   one is made good by the next whole one a second later, and in a cut each
-   side simply stops counting the other's load.
-
-   Load pattern: callers of one burst reach all hosts at once.  Hosts that
-   know only their own requests pick the same idle target, whose streams then
-   pause together while its neighbours stand empty.  One notices first tokens
-   that take seconds at a third of the fleet's capacity.  So loads are told to
-   the hosts that decide, each change within milliseconds.
-
-   Load pattern: hundreds of hosts.  Where each greets and tells each other,
-   what a host sends and hears grows with their number, and all together with
-   its square: 78 kB a second for the busiest host at 30 hosts, 1,612 at 300,
-   most of it between data centres.  So a host greets a few others a second,
-   drawn by lot, some in each data centre, and names to them the hosts that
-   rank first, each with the time since it was last heard by anybody.  A word
-   reaches all hosts in a second or so, at a cost to each host that doesn't
-   grow with the fleet.  */
+/* The other hosts of a deployment and the load that each has under way at the
+   targets.  Hosts aren't configured: they are discovered from a few seeds,
+   which may be stale or down, and by gossip.  Messages are single datagrams; a
+   lost one is made up for by the next full report a second later, and in a
+   network partition each side stops counting the other's load.
+
+   Load pattern: callers of one burst reach all hosts at once.  Hosts that know
+   only their own requests choose the same idle target, whose streams then
+   pause together while other targets are idle; first tokens take seconds at a
+   third of the fleet's capacity.  So each change of load is reported to the
+   deciders within milliseconds.
+
+   Load pattern: hundreds of hosts.  If each sent to each other, the traffic of
+   a host would grow with their number, and the total with its square: 78 kB a
+   second for the busiest host at 30 hosts, 1,612 at 300, most of it between
+   data centres.  So a host sends hellos to a few random hosts a second, some
+   in each data centre, and names in them the hosts that rank first, each with
+   the age of the last report about it.  A change reaches all hosts in about a
+   second, at a cost per host that doesn't grow with the fleet.  */
 
 enum
 {
   CSP_ROSTER_MAX = 4096,
-  /* Below what Ethernet carries in one frame, so that a lost fragment loses
-     no more than itself.  */
+  /* Below the payload of an Ethernet frame, so that datagrams aren't
+     fragmented.  */
   CSP_HELLO_MAX_BYTES = 1400,
   CSP_HELLO_LOADS_MAX = 20,
   CSP_HELLO_KNOWN_MAX = 18,
@@ -43,15 +42,15 @@
   CSP_HELLO_LEFT_MAX = 8,
   CSP_HELLO_LEASES_MAX = 2,
   CSP_HELLO_SUSPECTS_MAX = 4,
-  /* Targets that an ask leaves out.  */
+  /* Backed-off targets that an ask can exclude.  */
   CSP_ASK_BACKOFFS_MAX = 8,
-  /* Whom loads are told, see csp_list_deciders.  */
+  /* Hosts that get load reports, see csp_list_deciders.  */
   CSP_DECIDERS_MAX = 3,
-  /* Hosts of one data centre and of the fleet that may read the platform for
+  /* Hosts of one data centre, and of the fleet, that may read the platform for
      others, best first.  */
   CSP_READERS_NEAR_MAX = 4,
-  /* Hosts that the store turns away, from which on it counts as away for all
-     while nobody is known whom it answers.  */
+  /* If the store refuses this many hosts and no host is known to read it, it
+     counts as down for all.  */
   CSP_OUTAGE_HOSTS = 6,
   CSP_READERS_FLEET_MAX = 3
 };
@@ -63,7 +62,7 @@
 
 typedef struct
 {
-  uint32_t ip; /* in the host's byte order */
+  uint32_t ip; /* in host byte order */
   uint16_t port;
 } csp_peer_address_t;
 
@@ -71,25 +70,25 @@
 csp_peer_address_t csp_peer_of_socket (const struct sockaddr_in *address);
 struct sockaddr_in csp_socket_of_peer (csp_peer_address_t peer);
 
-/* Address and port as one number; 0 is none.  */
+/* Packs address and port into one number; 0 is none.  */
 uint64_t csp_pack_peer (csp_peer_address_t peer);
 
-/* Address and port as a text, for logs.  */
+/* Formats address and port for logs.  */
 void csp_print_peer (csp_peer_address_t peer, char text[CSP_PEER_TEXT_BYTES]);
 
-/* A place in an order of hosts that all work out alike; another salt gives
+/* A pseudo-random rank of a host on which all hosts agree; another salt gives
    another order.  */
 uint64_t csp_order_peer (csp_peer_address_t peer, uint64_t salt);
 
-/* A host as another one names it.  */
+/* What gossip says about a host.  */
 typedef struct
 {
   csp_peer_address_t address;
   uint32_t data_centre; /* hash of its name */
   uint32_t capacity;    /* see csp_set_roster_self */
-  uint32_t age_ms;      /* since its own last word, by whatever way it came */
-  uint32_t up_ms;       /* since its start, as of that word; no more than
-                           CSP_UP_TOLD_MAX_MS is told */
+  uint32_t age_ms;      /* since its last report, direct or through others */
+  uint32_t up_ms;       /* time since its start at that report, at most
+                           CSP_UP_TOLD_MAX_MS */
   bool leaving;
   bool blind;
   bool sighted;
@@ -97,22 +96,22 @@
 
 enum
 {
-  /* Beyond this all hosts count as equally old.  */
+  /* From this uptime on all hosts count as equally old.  */
   CSP_UP_TOLD_MAX_MS = 10000
 };
 
-/* What one host has under way at one target.  */
+/* The load that one host has under way at one target.  */
 typedef struct
 {
   uint64_t target; /* hash of the target's id */
   uint32_t requests;
   uint32_t tokens;
   uint32_t backup_tokens;
-  uint32_t reading_tokens; /* of prompts that no token has answered yet */
-  uint32_t movable_tokens; /* of streams that would have to be moved */
+  uint32_t reading_tokens; /* of prompts without a first token yet */
+  uint32_t movable_tokens; /* of streams that must move if the target leaves */
 } csp_peer_load_t;
 
-/* A request that asks the host that decides for a place.  */
+/* A request for a placement, sent to the decider.  */
 typedef struct
 {
   uint64_t id;
@@ -122,23 +121,25 @@
   uint32_t tokens;
   uint32_t start_within_ms;
   uint8_t urgency;
-  uint64_t moves_from; /* hash of the target that a stream leaves; 0: none */
-  uint64_t refused_at; /* hash of one that had no room for it; 0: none */
-  uint32_t left_ms;    /* how much longer it will probably write */
+  uint64_t moves_from; /* hash of a moving stream's target; 0: none */
+  uint64_t refused_at; /* hash of a target that refused it for lack of
+                          capacity; 0: none */
+  uint32_t left_ms;    /* estimated remaining time of its output */
   size_t backoff_count;
-  uint64_t backoffs[CSP_ASK_BACKOFFS_MAX]; /* hashes of targets that have asked
-                                              its host for a wait */
+  uint64_t backoffs[CSP_ASK_BACKOFFS_MAX]; /* hashes of targets that are backed
+                                              off for its host */
 } csp_hello_ask_t;
 
-/* Retries beyond a host's own that it wants, or gets; see retry-lease.h.  */
+/* Retries beyond a host's own budget that it requests or is granted; see
+   retry-lease.h.  */
 typedef struct
 {
   uint32_t service; /* hash of its name */
-  uint64_t id;      /* of the asking host's choosing */
+  uint64_t id;      /* chosen by the requesting host */
   uint32_t amount;
 } csp_hello_lease_t;
 
-/* What an ask for a place comes to.  */
+/* The outcome of an ask.  */
 typedef enum
 {
   CSP_ASK_WAITS,
@@ -149,25 +150,25 @@
 
 typedef struct
 {
-  csp_peer_address_t host; /* whom it is for; not in the datagram */
+  csp_peer_address_t host; /* the host that asked; not in the datagram */
   uint64_t id;
   csp_ask_outcome_t outcome;
-  uint64_t target;         /* hash of its id, where placed */
-  uint32_t retry_after_ms; /* where refused */
-  uint32_t pool_percent;   /* of the memory of all its engines that is given
-                              away, where placed */
+  uint64_t target;         /* hash of its id, if placed */
+  uint32_t retry_after_ms; /* if refused */
+  uint32_t pool_percent;   /* share of the pool's memory that is assigned, if
+                              placed */
 } csp_ask_answer_t;
 
-/* One datagram.  */
+/* A hello: one datagram.  */
 typedef struct
 {
-  uint64_t boot;     /* of one start of the sender */
-  uint64_t sequence; /* rises with each datagram of a boot */
-  bool whole;        /* loads that aren't named are none */
+  uint64_t boot;     /* identifies one start of the sender */
+  uint64_t sequence; /* increases with each datagram of a boot */
+  bool whole;        /* a full report: loads that aren't listed are 0 */
   bool leaving;
-  bool blind;           /* the platform can't be reached from there */
-  bool sighted;         /* it reads the platform, and is answered */
-  bool wants_answer;    /* a greeting, which is answered by one that doesn't */
+  bool blind;           /* the sender can't reach the platform */
+  bool sighted;         /* the sender reads the platform successfully */
+  bool wants_answer;    /* requests a hello in reply, which requests none */
   uint32_t data_centre; /* hash of its name */
   uint32_t capacity;
   uint32_t up_ms;
@@ -181,113 +182,116 @@
   csp_ask_answer_t answers[CSP_HELLO_ASKS_MAX];
   size_t cancel_count;
   uint64_t cancels[CSP_HELLO_ASKS_MAX];
-  uint64_t decider; /* whom the sender asks, see csp_pack_peer; 0: not told */
+  uint64_t decider; /* the host that the sender asks, see csp_pack_peer; 0:
+                       unspecified */
   size_t want_count;
   csp_hello_lease_t wants[CSP_HELLO_LEASES_MAX];
   size_t lease_count;
   csp_hello_lease_t leases[CSP_HELLO_LEASES_MAX];
   size_t left_count;
-  uint64_t
-      left[CSP_HELLO_LEFT_MAX]; /* hashes of targets that say they leave */
+  uint64_t left[CSP_HELLO_LEFT_MAX]; /* hashes of targets that announced that
+                                        they leave */
   size_t suspect_count;
   csp_suspect_t suspects[CSP_HELLO_SUSPECTS_MAX];
   size_t cleared_count;
-  uint64_t cleared[CSP_HELLO_SUSPECTS_MAX]; /* requests found sound */
+  uint64_t cleared[CSP_HELLO_SUSPECTS_MAX]; /* requests cleared of suspicion */
 } csp_hello_t;
 
-/* Encode; false when memory fails.  */
+/* Encodes a hello; false when memory allocation fails or the hello is too
+   large.  */
 bool csp_encode_hello (const csp_hello_t *hello, csp_buffer_t *bytes);
 
-/* Decode; false where the bytes are none or exceed the bounds.  */
+/* Decodes a hello; false if the bytes are malformed or exceed the limits.  */
 bool csp_decode_hello (const void *bytes, size_t size_bytes,
                        csp_hello_t *hello);
 
 typedef struct csp_roster csp_roster_t;
 
-/* self is never taken for a peer.  */
+/* Datagrams and gossip about self are ignored.  */
 csp_roster_t *csp_create_roster (csp_peer_address_t self, uint64_t boot,
                                  uint32_t data_centre, uint64_t seed);
 void csp_destroy_roster (csp_roster_t *roster);
 
-/* What this host tells of itself.  capacity: what its processor and its link
-   can carry, in thousandths of a core; 0: not known.  */
+/* Sets what this host reports about itself.  capacity: what its processor and
+   its link can carry, in thousandths of a core; 0: unknown.  */
 void csp_set_roster_self (csp_roster_t *roster, uint32_t capacity,
                           int64_t started_ms);
 
-/* Whether this host stops, can't reach the platform, or reads it now and is
-   answered.  */
+/* Sets whether this host is stopping, can't reach the platform, or reads it
+   successfully.  */
 void csp_set_roster_leaving (csp_roster_t *roster);
-void csp_set_roster_blind (csp_roster_t *roster, bool blind);
-void csp_set_roster_sighted (csp_roster_t *roster, bool sighted);
+void csp_set_roster_blind (csp_roster_t *roster, bool unreachable);
+void csp_set_roster_sighted (csp_roster_t *roster, bool reads);
 
-/* Fill in what a datagram tells of this host itself.  */
+/* Fills in the fields of a hello that describe this host.  */
 void csp_describe_self (const csp_roster_t *roster, csp_hello_t *hello,
                         int64_t now_ms);
 
-/* Somebody named a host; it becomes live when it is heard.  */
+/* Adds an address; the host becomes live when a datagram or gossip about it
+   arrives.  */
 void csp_learn_peer (csp_roster_t *roster, csp_peer_address_t address);
 
-/* A datagram came.  False where it is from this host itself, late, or of a
-   boot that has been replaced.  */
+/* Handles a received hello.  False if it is from this host itself, out of
+   order, or of a replaced boot.  */
 bool csp_hear_peer (csp_roster_t *roster, csp_peer_address_t from,
                     const csp_hello_t *hello, int64_t now_ms);
 
-/* Let go what fell silent.  True where the loads changed.  Call it a few
-   times a second: what is asked below is as of the last call.  */
+/* Expires silent hosts and their loads.  True if the loads changed.  Call it a
+   few times a second: the functions below use the state of the last call.  */
 bool csp_expire_peers (csp_roster_t *roster, int64_t now_ms);
 
-/* Hosts that ask this one for places, and all that are remembered, dead or
-   alive, this one counted in both; and data centres that are heard, the own
-   one counted in.  */
+/* The number of hosts that use this one as decider; of all known hosts, live
+   or not; and of data centres with hosts that are reported to live.  Each
+   includes this host or its own data centre.  */
 size_t csp_count_askers (const csp_roster_t *roster);
 size_t csp_count_known_hosts (const csp_roster_t *roster);
 size_t csp_count_heard_data_centres (const csp_roster_t *roster);
 
-/* Whom to greet now: one host of each other data centre and some of the own,
-   drawn by lot, and addresses that were never heard.  Returns how many were
-   written; each counts as greeted.  */
+/* Chooses the hosts that get a hello now: a random one of each other data
+   centre and of this one when those are due, and addresses that never
+   answered.  Returns how many were written; each is recorded as sent.  */
 size_t csp_list_due_peers (csp_roster_t *roster, int64_t now_ms,
                            csp_peer_address_t *addresses, size_t room);
 
-/* How often some host of another data centre is greeted, in ms.  */
+/* How often a host of each other data centre gets a hello, in ms.  */
 uint32_t csp_greeting_period_ms (const csp_roster_t *roster);
 
-/* All hosts that were heard lately, by themselves or through others.  */
+/* All live hosts, known directly or through others.  */
 size_t csp_list_live_peers (const csp_roster_t *roster,
                             csp_peer_address_t *addresses, size_t room);
 size_t csp_count_live_peers (const csp_roster_t *roster);
 
-/* Some live hosts drawn by lot.  */
+/* Some random live hosts.  */
 size_t csp_draw_peers (csp_roster_t *roster, csp_peer_address_t *addresses,
                        size_t room);
 
-/* What to name to a host: those that rank first, for each duty, and others
-   drawn by lot.  Returns how many were written.  */
+/* Chooses the hosts to name in a hello: those that rank first for each duty,
+   and random others.  Returns how many were written.  */
 size_t csp_name_known_hosts (csp_roster_t *roster, csp_peer_address_t to,
                              csp_known_host_t *hosts, size_t room,
                              int64_t now_ms);
 
-/* The host that gives places at engines for all hosts.  Hosts with more
-   capacity come first, as each ask and each change of load comes to it; then
-   an order by hash.  One that has just started waits until the others have
-   told it their loads.  */
+/* Returns the host that decides on placements for all hosts.  Hosts with more
+   capacity come first, as each ask and each change of load goes to the
+   decider; then a hash decides.  A host that has just started comes last until
+   the others have reported their loads to it.  */
 csp_peer_address_t csp_pick_decider (const csp_roster_t *roster);
 
-/* Who is told all loads: the host that decides; the one that would decide
-   next, so that it knows all when it has to; and the first of this data
-   centre, so that one that is cut off is whole at once.  This host itself
-   isn't listed.  Returns how many were written.  */
+/* Lists the hosts that get load reports: the decider; the next one in the
+   order, so that it knows all loads when it takes over; and the first of this
+   data centre, so that a data centre that is cut off has a decider at once.
+   This host itself isn't listed.  Returns how many were written.  */
 size_t csp_list_deciders (const csp_roster_t *roster,
                           csp_peer_address_t hosts[CSP_DECIDERS_MAX]);
 
-/* A host that was asked for a place says nothing: another one is picked for a
+/* A decider didn't answer an ask: another host decides for this host for a
    while.  */
 void csp_avoid_decider (csp_roster_t *roster, csp_peer_address_t host,
                         int64_t now_ms);
 
-/* Hosts that may read the platform for others, best first, this one counted
-   in: of this data centre, and of all.  Hosts that see others alive may choose
-   differently for a moment, which costs a few calls more.  */
+/* Hosts that may read the platform for others, best first, this one included:
+   of this data centre, and of the fleet.  Hosts with different views of who is
+   live may rank differently for a moment, which costs a few more calls.  */
 typedef struct
 {
   csp_peer_address_t self;
@@ -295,21 +299,23 @@
   csp_peer_address_t near[CSP_READERS_NEAR_MAX];
   size_t fleet_count;
   csp_peer_address_t fleet[CSP_READERS_FLEET_MAX];
-  size_t hosts;       /* live ones, this one counted in */
-  size_t blind_hosts; /* that can't reach the platform, of those */
-  bool outage;        /* many can't, and nobody is known who can */
+  size_t hosts;       /* live ones, including this host */
+  size_t blind_hosts; /* those of them that can't reach the platform */
+  bool outage; /* many can't reach the platform, and no host is known to read
+                  it */
 } csp_reader_ranks_t;
 
 void csp_rank_readers (const csp_roster_t *roster, csp_reader_ranks_t *ranks);
 
-/* Each load of each live host.  */
-typedef void (*csp_take_load_t) (void *state, csp_peer_address_t peer,
-                                 const csp_peer_load_t *load);
-void csp_each_peer_load (const csp_roster_t *roster, csp_take_load_t take,
+/* Calls take for each load of each host.  */
+typedef void (*csp_load_visitor_t) (void *state, csp_peer_address_t peer,
+                                    const csp_peer_load_t *load);
+void csp_each_peer_load (const csp_roster_t *roster, csp_load_visitor_t take,
                          void *state);
 
-/* Each load of one host; none where it isn't known.  */
+/* Calls take for each load of one host; does nothing if the host is
+   unknown.  */
 void csp_each_load_of_peer (csp_roster_t *roster, csp_peer_address_t address,
-                            csp_take_load_t take, void *state);
+                            csp_load_visitor_t take, void *state);
 
 #endif
--- a/source/roster/hello-codec.c
+++ b/source/roster/hello-codec.c
@@ -9,7 +9,7 @@
   PORT_MAX = 65535
 };
 
-/* Rows of a message while it is packed.  */
+/* Storage for the repeated fields of a message while it is packed.  */
 typedef struct
 {
   CspHello__Load loads[CSP_HELLO_LOADS_MAX];
@@ -29,7 +29,7 @@
   uint64_t left[CSP_HELLO_LEFT_MAX];
   CspHello__Suspect suspects[CSP_HELLO_SUSPECTS_MAX];
   CspHello__Suspect *suspect_rows[CSP_HELLO_SUSPECTS_MAX];
-  csp_suspect_t told_suspects[CSP_HELLO_SUSPECTS_MAX];
+  csp_suspect_t suspect_copies[CSP_HELLO_SUSPECTS_MAX];
   uint64_t cleared[CSP_HELLO_SUSPECTS_MAX];
 } rows_t;
 
@@ -147,18 +147,18 @@
 {
   size_t i;
 
-  memcpy (rows->told_suspects, hello->suspects, sizeof rows->told_suspects);
+  memcpy (rows->suspect_copies, hello->suspects, sizeof rows->suspect_copies);
   memcpy (rows->cleared, hello->cleared, sizeof rows->cleared);
   for (i = 0; i < hello->suspect_count; i++)
     {
       CspHello__Suspect *row = &rows->suspects[i];
 
       csp_hello__suspect__init (row);
-      row->request = rows->told_suspects[i].request;
-      row->n_targets = rows->told_suspects[i].strike_count;
-      row->targets = rows->told_suspects[i].targets;
-      row->age_ms = rows->told_suspects[i].age_ms;
-      row->trials = rows->told_suspects[i].trials;
+      row->request = rows->suspect_copies[i].request;
+      row->n_targets = rows->suspect_copies[i].strike_count;
+      row->targets = rows->suspect_copies[i].targets;
+      row->age_ms = rows->suspect_copies[i].age_ms;
+      row->trials = rows->suspect_copies[i].trials;
       rows->suspect_rows[i] = row;
     }
 }
@@ -215,7 +215,8 @@
                             csp_hello__hello__pack (&message, packed));
 }
 
-/* There is no list where it is empty.  Returns its length.  */
+/* An empty list is a null pointer, so memcpy isn't used.  Returns the
+   length.  */
 static size_t
 copy_hashes (const uint64_t *from, size_t count, uint64_t *to)
 {
@@ -324,14 +325,14 @@
 {
   CspHello__Hello *message
       = csp_hello__hello__unpack (NULL, size_bytes, bytes);
-  bool good = message != NULL && message->n_loads <= CSP_HELLO_LOADS_MAX
-              && message->n_known <= CSP_HELLO_KNOWN_MAX
-              && message->n_wants <= CSP_HELLO_LEASES_MAX
-              && message->n_leases <= CSP_HELLO_LEASES_MAX;
+  bool valid = message != NULL && message->n_loads <= CSP_HELLO_LOADS_MAX
+               && message->n_known <= CSP_HELLO_KNOWN_MAX
+               && message->n_wants <= CSP_HELLO_LEASES_MAX
+               && message->n_leases <= CSP_HELLO_LEASES_MAX;
   size_t i;
 
   memset (hello, 0, sizeof *hello);
-  for (i = 0; good && i < message->n_loads; i++)
+  for (i = 0; valid && i < message->n_loads; i++)
     {
       hello->loads[i].target = message->loads[i]->target;
       hello->loads[i].requests = message->loads[i]->requests;
@@ -340,11 +341,11 @@
       hello->loads[i].reading_tokens = message->loads[i]->reading_tokens;
       hello->loads[i].movable_tokens = message->loads[i]->movable_tokens;
     }
-  for (i = 0; good && i < message->n_known; i++)
+  for (i = 0; valid && i < message->n_known; i++)
     {
       const CspHello__Address *row = message->known[i];
 
-      good = row->port <= PORT_MAX;
+      valid = row->port <= PORT_MAX;
       hello->known[i]
           = (csp_known_host_t){ .address = { row->ip, (uint16_t)row->port },
                                 .data_centre = row->data_centre,
@@ -355,9 +356,9 @@
                                 .blind = row->blind,
                                 .sighted = row->sighted };
     }
-  good = good && decode_asks (message, hello)
-         && decode_suspects (message, hello);
-  if (good)
+  valid = valid && decode_asks (message, hello)
+          && decode_suspects (message, hello);
+  if (valid)
     {
       hello->boot = message->boot;
       hello->sequence = message->sequence;
@@ -379,5 +380,5 @@
     }
   if (message != NULL)
     csp_hello__hello__free_unpacked (message, NULL);
-  return good;
+  return valid;
 }
--- a/source/roster/peer-address.c
+++ b/source/roster/peer-address.c
@@ -33,8 +33,8 @@
   return address;
 }
 
-/* Neighbouring addresses are often one rack; a multiplicative hash spreads
-   the order over them.  */
+/* Neighbouring addresses are often in one rack; a multiplicative hash spreads
+   the order over the racks.  */
 uint64_t
 csp_order_peer (csp_peer_address_t peer, uint64_t salt)
 {
--- a/source/roster/roster-greet.c
+++ b/source/roster/roster-greet.c
@@ -2,47 +2,50 @@
 
 #include <string.h>
 
-/* Whom a host greets, and whom it names.
+/* Chooses the hosts that get a hello, and the hosts that are named in it.
 
-   What it costs a host doesn't grow with the fleet: a greeting in half a
-   second to some host of each other data centre, two a second in its own, each
-   answered, and a dozen hosts named in each.  What has to be known everywhere
-   soon is who ranks first; those are named in each greeting, so that within a
-   second or so each host has heard from somebody that they live.  */
+   The cost per host doesn't grow with the fleet: a hello in half a second to
+   some host of each other data centre, two a second in its own, each answered,
+   and a dozen hosts named in each.  What must be known everywhere soon is
+   which hosts rank first; those are named in each hello, so that each host
+   learns within about a second that they live.  */
 
 enum
 {
-  /* A data centre that says nothing counts as cut off after three greetings
-     and a half.  */
-  GREET_FAR_MS = 500,
-  /* Beyond ten data centres greetings come more rarely, so that there are no
-     more than 20 a second.  */
-  GREET_FAR_EACH_MS = 50,
-  GREET_NEAR_MS = 500,
-  /* A host that has just started greets more often, for a while: until it has
-     heard who ranks first it can neither ask for places nor follow anybody. */
-  GREET_STARTING_MS = 150,
-  STARTS_FOR_MS = 1500,
-  /* Addresses that were never heard: seeds that are down.  */
-  GREET_UNHEARD_MS = 2000,
-  /* Data centres of the planned size are 28.  */
+  /* A data centre counts as cut off after three and a half unanswered
+     hellos.  */
+  REMOTE_HELLO_MS = 500,
+  /* Beyond ten data centres the interval grows, to send at most 20 hellos a
+     second.  */
+  REMOTE_HELLO_PER_DATA_CENTRE_MS = 50,
+  LOCAL_HELLO_MS = 500,
+  /* A host that has just started sends hellos more often for a while: until it
+     knows which hosts rank first it can neither ask for placements nor follow
+     a reader.  */
+  STARTUP_HELLO_MS = 150,
+  STARTUP_MS = 1500,
+  /* Interval for addresses that never answered: seeds that are down.  */
+  SEED_RETRY_MS = 2000,
+  /* The planned deployment has 28 data centres.  */
   DATA_CENTRES_MAX = 64,
-  /* Hosts named for a duty: who has it and who gets it next.  Some names stay
-     for others, drawn by lot; where all were
-     taken by those that rank first, small hosts knew nobody else, greeted
-     three hosts of a data centre in turns with two hundred others, and took it
-     for cut off whenever these were busy.  */
-  NAMED_FOR_DUTY = 2,
-  /* Of those that may read for all, also the ones that the store turns away:
-     that it does must be known as soon.  Named no more, a host that had been
-     first counted as first and able for 3.3 s longer, hosts followed it in
-     vain, and configurations reached 190 of 295 hosts three seconds late.  */
-  NAMED_FOR_READING = CSP_OUTAGE_HOSTS
+  /* Hosts named per duty: the current one and the next.  Some entries are left
+     for random others; if hosts that rank first took all of them, small hosts
+     would know nobody else, share the hellos to three hosts of a data centre
+     with two hundred others, and consider it cut off whenever those three were
+     busy.  */
+  NAMED_PER_DUTY = 2,
+  /* For the duty of reading, hosts that the store refuses are named as well,
+     since the refusal must be known soon.  When they weren't, a reader that
+     had been refused still ranked first for 3.3 s, other hosts followed it
+     without result, and configurations reached 190 of 295 hosts three seconds
+     late.  */
+  NAMED_RELAYS = CSP_OUTAGE_HOSTS
 };
 
-/* Other data centres, as many as are known; of those that are heard.  */
+/* Lists the other known data centres; reachable: only those with a host that
+   was reported lately.  */
 static size_t
-list_data_centres (const csp_roster_t *roster, bool heard,
+list_data_centres (const csp_roster_t *roster, bool reachable,
                    uint32_t data_centres[DATA_CENTRES_MAX])
 {
   size_t count = 0;
@@ -53,8 +56,9 @@
     {
       uint32_t data_centre = roster->peers[i].data_centre;
 
-      if (roster->peers[i].seen_ms == 0 || data_centre == roster->data_centre
-          || (heard && !roster->peers[i].current))
+      if (roster->peers[i].last_report_ms == 0
+          || data_centre == roster->data_centre
+          || (reachable && !roster->peers[i].current))
         continue;
       for (j = 0; j < count && data_centres[j] != data_centre; j++)
         continue;
@@ -78,24 +82,25 @@
   uint32_t data_centres[DATA_CENTRES_MAX];
   uint32_t period_ms
       = (uint32_t)list_data_centres (roster, false, data_centres)
-        * GREET_FAR_EACH_MS;
+        * REMOTE_HELLO_PER_DATA_CENTRE_MS;
 
-  return period_ms > GREET_FAR_MS ? period_ms : GREET_FAR_MS;
+  return period_ms > REMOTE_HELLO_MS ? period_ms : REMOTE_HELLO_MS;
 }
 
-/* Better to greet than another: one that answers, where there is one.  */
+/* Whether a is a better choice than b: live hosts come first, then those with
+   fewer unanswered hellos.  */
 static bool
-is_better_to_greet (const csp_roster_peer_t *a, const csp_roster_peer_t *b)
+is_better_hello_target (const csp_roster_peer_t *a, const csp_roster_peer_t *b)
 {
   if (a->live != b->live)
     return a->live;
-  return a->unanswered < b->unanswered;
+  return a->unanswered_hellos < b->unanswered_hellos;
 }
 
-/* A host of a data centre, drawn by lot among the best to greet.  Where none
-   lives the silent ones are greeted: a cut heals unannounced.  */
+/* Chooses a random one of the best hosts of a data centre.  If none is live,
+   silent hosts get hellos, since nothing announces the end of a partition.  */
 static csp_roster_peer_t *
-draw_of (csp_roster_t *roster, uint32_t data_centre)
+choose_peer_of (csp_roster_t *roster, uint32_t data_centre)
 {
   size_t first = csp_random_below (&roster->random, (uint32_t)roster->count);
   csp_roster_peer_t *best = NULL;
@@ -105,62 +110,64 @@
     {
       csp_roster_peer_t *peer = &roster->peers[(first + i) % roster->count];
 
-      if (peer->seen_ms != 0 && peer->data_centre == data_centre
-          && (best == NULL || is_better_to_greet (peer, best)))
+      if (peer->last_report_ms != 0 && peer->data_centre == data_centre
+          && (best == NULL || is_better_hello_target (peer, best)))
         best = peer;
     }
   return best;
 }
 
 static size_t
-add_due (csp_roster_peer_t *peer, int64_t now_ms,
-         csp_peer_address_t *addresses, size_t count, size_t room)
+add_hello_target (csp_roster_peer_t *peer, int64_t now_ms,
+                  csp_peer_address_t *addresses, size_t count, size_t room)
 {
   if (peer == NULL || count == room)
     return count;
-  peer->greeted_ms = now_ms;
-  peer->unanswered++;
+  peer->hello_sent_ms = now_ms;
+  peer->unanswered_hellos++;
   addresses[count] = peer->address;
   return count + 1;
 }
 
 static uint32_t
-pause_ms (const csp_roster_t *roster, int64_t now_ms, uint32_t usual_ms)
+hello_interval_ms (const csp_roster_t *roster, int64_t now_ms,
+                   uint32_t regular_ms)
 {
-  return now_ms - roster->started_ms < STARTS_FOR_MS ? GREET_STARTING_MS
-                                                     : usual_ms;
+  return now_ms - roster->started_ms < STARTUP_MS ? STARTUP_HELLO_MS
+                                                  : regular_ms;
 }
 
 static size_t
-add_far (csp_roster_t *roster, int64_t now_ms, csp_peer_address_t *addresses,
-         size_t count, size_t room)
+add_remote_targets (csp_roster_t *roster, int64_t now_ms,
+                    csp_peer_address_t *addresses, size_t count, size_t room)
 {
   uint32_t data_centres[DATA_CENTRES_MAX];
   size_t data_centre_count = list_data_centres (roster, false, data_centres);
   size_t i;
 
-  if (now_ms < roster->greet_far_at_ms)
+  if (now_ms < roster->next_remote_hello_ms)
     return count;
-  roster->greet_far_at_ms
-      = now_ms + pause_ms (roster, now_ms, csp_greeting_period_ms (roster));
+  roster->next_remote_hello_ms
+      = now_ms
+        + hello_interval_ms (roster, now_ms, csp_greeting_period_ms (roster));
   for (i = 0; i < data_centre_count; i++)
-    count = add_due (draw_of (roster, data_centres[i]), now_ms, addresses,
-                     count, room);
+    count = add_hello_target (choose_peer_of (roster, data_centres[i]), now_ms,
+                              addresses, count, room);
   return count;
 }
 
-/* All hosts of a fleet start within some tenths of a second, and a seed that
-   is not up yet hears no greeting.  A host that greets it again after two
-   seconds only is alone until then: each of 18 hosts read the store for itself
-   for 3 s behind a loss of power, and decided for itself.  */
+/* All hosts of a fleet start within some tenths of a second, and a hello to a
+   seed that isn't up yet is lost.  A host that retried only after two seconds
+   was alone until then: after a power failure each of 18 hosts read the store
+   and decided for itself for 3 s.  */
 static bool
-is_unheard_due (const csp_roster_t *roster, const csp_roster_peer_t *peer,
-                int64_t now_ms)
+is_seed_due (const csp_roster_t *roster, const csp_roster_peer_t *peer,
+             int64_t now_ms)
 {
-  return peer->seen_ms == 0
-         && (peer->greeted_ms == 0
-             || now_ms - peer->greeted_ms
-                    >= pause_ms (roster, now_ms, GREET_UNHEARD_MS));
+  return peer->last_report_ms == 0
+         && (peer->hello_sent_ms == 0
+             || now_ms - peer->hello_sent_ms
+                    >= hello_interval_ms (roster, now_ms, SEED_RETRY_MS));
 }
 
 size_t
@@ -173,14 +180,16 @@
   if (roster->count == 0)
     return 0;
   for (i = 0; i < roster->count; i++)
-    if (is_unheard_due (roster, &roster->peers[i], now_ms))
-      count = add_due (&roster->peers[i], now_ms, addresses, count, room);
-  count = add_far (roster, now_ms, addresses, count, room);
-  if (now_ms < roster->greet_near_at_ms)
+    if (is_seed_due (roster, &roster->peers[i], now_ms))
+      count = add_hello_target (&roster->peers[i], now_ms, addresses, count,
+                                room);
+  count = add_remote_targets (roster, now_ms, addresses, count, room);
+  if (now_ms < roster->next_local_hello_ms)
     return count;
-  roster->greet_near_at_ms = now_ms + pause_ms (roster, now_ms, GREET_NEAR_MS);
-  return add_due (draw_of (roster, roster->data_centre), now_ms, addresses,
-                  count, room);
+  roster->next_local_hello_ms
+      = now_ms + hello_interval_ms (roster, now_ms, LOCAL_HELLO_MS);
+  return add_hello_target (choose_peer_of (roster, roster->data_centre),
+                           now_ms, addresses, count, room);
 }
 
 size_t
@@ -188,21 +197,21 @@
                 size_t room)
 {
   size_t first = csp_random_below (&roster->random, (uint32_t)roster->count);
-  size_t drawn = 0;
+  size_t chosen = 0;
   size_t i;
 
-  for (i = 0; i < roster->count && drawn < room; i++)
+  for (i = 0; i < roster->count && chosen < room; i++)
     {
       const csp_roster_peer_t *peer
           = &roster->peers[(first + i) % roster->count];
 
       if (peer->live)
-        addresses[drawn++] = peer->address;
+        addresses[chosen++] = peer->address;
     }
-  return drawn;
+  return chosen;
 }
 
-/* Names being written.  */
+/* The list of named hosts while it is filled.  */
 typedef struct
 {
   const csp_roster_t *roster;
@@ -211,46 +220,48 @@
   size_t room;
   size_t count;
   int64_t now_ms;
-} names_t;
+} known_hosts_t;
 
-/* Name a peer once, and neither a host to itself nor one that isn't live.  */
+/* Adds a live peer unless it is already listed or is the receiver.  */
 static void
-add_name (names_t *names, const csp_roster_peer_t *peer)
+add_known_host (known_hosts_t *list, const csp_roster_peer_t *peer)
 {
   size_t i;
 
-  if (names->count == names->room || !peer->live
-      || csp_is_same_peer (peer->address, names->to))
+  if (list->count == list->room || !peer->live
+      || csp_is_same_peer (peer->address, list->to))
     return;
-  for (i = 0; i < names->count; i++)
-    if (csp_is_same_peer (names->hosts[i].address, peer->address))
+  for (i = 0; i < list->count; i++)
+    if (csp_is_same_peer (list->hosts[i].address, peer->address))
       return;
-  names->hosts[names->count++] = (csp_known_host_t){
+  list->hosts[list->count++] = (csp_known_host_t){
     .address = peer->address,
     .data_centre = peer->data_centre,
     .capacity = peer->capacity,
-    .age_ms = (uint32_t)(names->now_ms - peer->seen_ms),
-    .up_ms = csp_told_up_ms (peer->seen_ms - peer->started_ms),
+    .age_ms = (uint32_t)(list->now_ms - peer->last_report_ms),
+    .up_ms = csp_clamp_up_ms (peer->last_report_ms - peer->started_ms),
     .leaving = peer->leaving,
-    .blind = peer->blind,
-    .sighted = peer->sighted
+    .blind = peer->platform_unreachable,
+    .sighted = peer->platform_read
   };
 }
 
 static void
-add_ranked (names_t *names, csp_duty_t duty, bool near, size_t most)
+add_ranked_hosts (known_hosts_t *list, csp_duty_t duty, bool local_only,
+                  size_t max_count)
 {
-  csp_candidate_t ranked[NAMED_FOR_READING];
-  size_t count = csp_rank_hosts (names->roster, duty, near, ranked, most);
+  csp_rank_candidate_t ranked[NAMED_RELAYS];
+  size_t count
+      = csp_rank_hosts (list->roster, duty, local_only, ranked, max_count);
   size_t i;
 
   for (i = 0; i < count; i++)
     {
       const csp_roster_peer_t *peer
-          = csp_find_roster_peer (names->roster, ranked[i].address);
+          = csp_find_roster_peer (list->roster, ranked[i].address);
 
       if (peer != NULL)
-        add_name (names, peer);
+        add_known_host (list, peer);
     }
 }
 
@@ -259,19 +270,19 @@
                       csp_known_host_t *hosts, size_t room, int64_t now_ms)
 {
   size_t first = csp_random_below (&roster->random, (uint32_t)roster->count);
-  names_t names = {
+  known_hosts_t list = {
     .roster = roster, .to = to, .hosts = hosts, .room = room, .now_ms = now_ms
   };
   size_t i;
 
   if (roster->count == 0)
     return 0;
-  add_ranked (&names, CSP_DUTY_DECIDE, false, NAMED_FOR_DUTY);
-  add_ranked (&names, CSP_DUTY_RELAY, false, NAMED_FOR_READING);
-  add_ranked (&names, CSP_DUTY_READ, false, NAMED_FOR_DUTY);
-  add_ranked (&names, CSP_DUTY_DECIDE, true, NAMED_FOR_DUTY);
-  add_ranked (&names, CSP_DUTY_RELAY, true, NAMED_FOR_DUTY);
-  for (i = 0; i < roster->count && names.count < room; i++)
-    add_name (&names, &roster->peers[(first + i) % roster->count]);
-  return names.count;
+  add_ranked_hosts (&list, CSP_DUTY_DECIDE, false, NAMED_PER_DUTY);
+  add_ranked_hosts (&list, CSP_DUTY_RELAY, false, NAMED_RELAYS);
+  add_ranked_hosts (&list, CSP_DUTY_READ, false, NAMED_PER_DUTY);
+  add_ranked_hosts (&list, CSP_DUTY_DECIDE, true, NAMED_PER_DUTY);
+  add_ranked_hosts (&list, CSP_DUTY_RELAY, true, NAMED_PER_DUTY);
+  for (i = 0; i < roster->count && list.count < room; i++)
+    add_known_host (&list, &roster->peers[(first + i) % roster->count]);
+  return list.count;
 }
--- a/source/roster/roster-imp.h
+++ b/source/roster/roster-imp.h
@@ -5,32 +5,34 @@
 
 /* Parts of the roster:
 
-     roster.c        the table: hearing hosts, letting go of silent ones, loads
-     roster-greet.c  whom to greet, and which hosts to name to it
-     roster-rank.c   which host does what for the others  */
+     roster.c        the table of hosts: received hellos, expiry, loads
+     roster-greet.c  which hosts get a hello, and which are named in it
+     roster-rank.c   which host performs which duty for the others  */
 
 typedef struct
 {
   csp_peer_address_t address;
   uint64_t boot;
   uint64_t sequence;
-  bool live;    /* heard of lately, by whatever way */
-  bool current; /* so lately that it may do something for others */
+  bool live;    /* reported lately, directly or through others */
+  bool current; /* reported so lately that it may perform a duty */
   bool leaving;
-  bool blind;
-  bool sighted;
+  bool platform_unreachable;
+  bool platform_read;
   uint32_t data_centre;
   uint32_t capacity;
   int64_t started_ms;
-  int64_t heard_ms;       /* its own last datagram; 0: none */
-  int64_t seen_ms;        /* its last word, by whatever way; 0: none */
-  int64_t greeted_ms;     /* 0: never */
-  uint32_t unanswered;    /* greetings in a row */
-  int64_t avoid_until_ms; /* it doesn't decide before */
-  bool asks_here;         /* for places, when it last said whom it asks */
-  int64_t loads_ms;       /* when it last told loads */
+  int64_t last_hello_ms;  /* its last own datagram; 0: none */
+  int64_t last_report_ms; /* the last report of it, direct or through others;
+                             0: none */
+  int64_t hello_sent_ms;  /* last hello sent to it; 0: never */
+  uint32_t unanswered_hellos; /* consecutive hellos without an answer */
+  int64_t avoid_until_ms;     /* not chosen as decider before */
+  bool uses_this_decider;     /* its last hello that named a decider named this
+                                 host */
+  int64_t loads_reported_ms;  /* when it last reported loads */
   size_t load_count;
-  size_t load_room;
+  size_t loads_allocated;
   csp_peer_load_t *loads;
 } csp_roster_peer_t;
 
@@ -42,48 +44,48 @@
   uint32_t capacity;
   int64_t started_ms;
   bool leaving;
-  bool blind;
-  bool sighted;
-  int64_t now_ms; /* of the last call that said so */
-  int64_t greet_near_at_ms;
-  int64_t greet_far_at_ms;
+  bool platform_unreachable;
+  bool platform_read;
+  int64_t now_ms; /* as of the last call with a time */
+  int64_t next_local_hello_ms;
+  int64_t next_remote_hello_ms;
   csp_random_t random;
   size_t count;
-  size_t room;
+  size_t peers_allocated;
   csp_roster_peer_t *peers;
 };
 
-/* NULL where it isn't known.  */
+/* Returns NULL if the address is unknown.  */
 csp_roster_peer_t *csp_find_roster_peer (const csp_roster_t *roster,
                                          csp_peer_address_t address);
 
-/* A time since a start as hosts tell it.  */
-uint32_t csp_told_up_ms (int64_t up_ms);
+/* Clamps an uptime to the range that hosts report.  */
+uint32_t csp_clamp_up_ms (int64_t up_ms);
 
-/* What orders of hosts look at, of this host and of others.  */
+/* The properties by which hosts are ranked, for this host and for peers.  */
 typedef struct
 {
   csp_peer_address_t address;
   uint32_t data_centre;
   uint32_t capacity;
   int64_t up_ms;
-  bool blind;
-  bool sighted;
+  bool platform_unreachable;
+  bool platform_read;
   bool avoided;
-} csp_candidate_t;
+} csp_rank_candidate_t;
 
-/* Candidate number index of those who may do something for others: 0 is this
-   host, the rest are peers.  False where there is none of that number, or
-   where it can't.  */
-bool csp_get_candidate (const csp_roster_t *roster, size_t index,
-                        csp_candidate_t *candidate);
+/* Returns the host with this index as a candidate: 0 is this host, the rest
+   are peers.  False if the host may perform no duty, as it is leaving or
+   silent.  */
+bool csp_get_rank_candidate (const csp_roster_t *roster, size_t index,
+                             csp_rank_candidate_t *candidate);
 
-/* The ones that rank first for a duty, best first.  */
+/* Duties of hosts that rank first, best first.  */
 typedef enum
 {
   CSP_DUTY_DECIDE,
-  CSP_DUTY_READ, /* the store, for all */
-  CSP_DUTY_RELAY /* what another host has read, to a data centre */
+  CSP_DUTY_READ, /* read the store, for all hosts */
+  CSP_DUTY_RELAY /* relay what another host has read, within a data centre */
 } csp_duty_t;
 
 enum
@@ -91,8 +93,10 @@
   CSP_RANKED_MAX = 4
 };
 
-/* near: of this data centre alone.  Returns how many were written.  */
-size_t csp_rank_hosts (const csp_roster_t *roster, csp_duty_t duty, bool near,
-                       csp_candidate_t *ranked, size_t room);
+/* Ranks the hosts for a duty.  local_only: only hosts of this data centre.
+   Returns how many were written.  */
+size_t csp_rank_hosts (const csp_roster_t *roster, csp_duty_t duty,
+                       bool local_only, csp_rank_candidate_t *ranked,
+                       size_t room);
 
 #endif
--- a/source/roster/roster-rank.c
+++ b/source/roster/roster-rank.c
@@ -2,86 +2,90 @@
 
 #include <string.h>
 
-/* Which hosts do something for the others: decide about places, and read the
-   platform.  Each host works the order out by itself from what it has heard.
+/* Assigns the duties that one host performs for the others: to decide on
+   placements, and to read the platform.  Each host computes the order from
+   what it knows.
 
-   Load pattern: all asks and all changes of load come to the host that
-   decides, and most hosts of a fleet may be small ones; 160 asks a second and
-   what belongs to them are a quarter of what a link of 20 Mbit/s and an eighth
-   of a core can do, and it is the host's callers that notice.  So the order is
-   by capacity first.
+   Load pattern: all asks and all changes of load go to the decider, and most
+   hosts of a fleet may be small.  160 asks a second and their load reports
+   take a quarter of a link of 20 Mbit/s and an eighth of a core, which the
+   callers of that host notice.  So capacity comes first in the order.
 
-   Failure: the first in the order ends and is back at once.  Taken for the one
-   that decides before it has been told what runs where, it fills engines that
-   are full, whose runs are thrown out.  So a host that started lately comes
-   behind those that did not.  Where all have started lately nobody waits.  */
+   Failure: the first host in the order restarts at once.  If it decided before
+   the others have reported their loads to it, it would assign requests to full
+   engines, which then preempt runs.  So hosts that started lately come after
+   the others.  If all have started lately there is no delay.  */
 
 enum
 {
-  /* The salts of the two orders; they differ so that not the same host does
-     both.  */
+  /* Salts of the two orders; they differ so that different hosts perform the
+     two duties.  */
   DECIDING_SALT = 0,
   READING_SALT = 0x2545f491,
-  /* All hosts tell their loads each second; one datagram may be lost.  */
+  /* All hosts report their loads each second; one datagram may be lost.  */
   SETTLED_AFTER_MS = 2500,
-  /* Hosts that started that close to each other know equally much.  All hosts
-     of a deployment start within 0.3 s, and some take longer until they are
-     heard.  */
+  /* Hosts that started within this time of each other count as equally old.
+     All hosts of a deployment start within 0.3 s, and some take longer to
+     become known.  */
   SAME_START_MS = 1000,
-  /* A host that said nothing is asked again behind that: one that was paused
-     is back by then, and in a cut it costs one ask 0.17 s.  */
+  /* How long a host that didn't answer isn't asked again: a paused host is
+     back by then, and in a partition the next attempt costs one ask 0.17
+     s.  */
   AVOID_MS = 2000,
-  /* Two hosts in a row that say nothing are behind a cut, and so are probably
-     all but those of the own data centre.  */
-  CUT_AVOIDED = 2
+  /* If this many consecutive hosts don't answer, a partition is assumed that
+     has cut off all other data centres.  */
+  PARTITION_AVOIDED = 2
 };
 
 bool
-csp_get_candidate (const csp_roster_t *roster, size_t index,
-                   csp_candidate_t *candidate)
+csp_get_rank_candidate (const csp_roster_t *roster, size_t index,
+                        csp_rank_candidate_t *candidate)
 {
   const csp_roster_peer_t *peer;
 
   if (index == 0)
     {
-      *candidate
-          = (csp_candidate_t){ .address = roster->self,
-                               .data_centre = roster->data_centre,
-                               .capacity = roster->capacity,
-                               .up_ms = roster->now_ms - roster->started_ms,
-                               .blind = roster->blind,
-                               .sighted = roster->sighted };
+      *candidate = (csp_rank_candidate_t){
+        .address = roster->self,
+        .data_centre = roster->data_centre,
+        .capacity = roster->capacity,
+        .up_ms = roster->now_ms - roster->started_ms,
+        .platform_unreachable = roster->platform_unreachable,
+        .platform_read = roster->platform_read
+      };
       return !roster->leaving;
     }
   peer = &roster->peers[index - 1];
-  *candidate
-      = (csp_candidate_t){ .address = peer->address,
-                           .data_centre = peer->data_centre,
-                           .capacity = peer->capacity,
-                           .up_ms = roster->now_ms - peer->started_ms,
-                           .blind = peer->blind,
-                           .sighted = peer->sighted,
-                           .avoided = roster->now_ms < peer->avoid_until_ms };
+  *candidate = (csp_rank_candidate_t){
+    .address = peer->address,
+    .data_centre = peer->data_centre,
+    .capacity = peer->capacity,
+    .up_ms = roster->now_ms - peer->started_ms,
+    .platform_unreachable = peer->platform_unreachable,
+    .platform_read = peer->platform_read,
+    .avoided = roster->now_ms < peer->avoid_until_ms
+  };
   return peer->current && !peer->leaving;
 }
 
-/* How long a host must have been up to be as good as any.  */
+/* The uptime from which on a host ranks as well as any.  */
 static int64_t
 settled_up_ms (const csp_roster_t *roster)
 {
   int64_t most_ms = 0;
-  csp_candidate_t candidate;
+  csp_rank_candidate_t candidate;
   size_t i;
 
   for (i = 0; i <= roster->count; i++)
-    if (csp_get_candidate (roster, i, &candidate) && candidate.up_ms > most_ms)
+    if (csp_get_rank_candidate (roster, i, &candidate)
+        && candidate.up_ms > most_ms)
       most_ms = candidate.up_ms;
   most_ms -= SAME_START_MS;
   return most_ms < SETTLED_AFTER_MS ? most_ms : SETTLED_AFTER_MS;
 }
 
-/* Hosts of about the same capacity are equal: which of them decides says
-   nothing about them, and small differences aren't worth a change.  */
+/* Hosts whose capacity differs by less than a factor of two rank equally, as
+   small differences aren't worth a change of the decider.  */
 static uint32_t
 capacity_class (uint32_t capacity)
 {
@@ -96,7 +100,7 @@
 }
 
 static uint64_t
-order_of (const csp_candidate_t *candidate, csp_duty_t duty)
+order_of (const csp_rank_candidate_t *candidate, csp_duty_t duty)
 {
   return csp_order_peer (candidate->address, duty == CSP_DUTY_DECIDE
                                                  ? DECIDING_SALT
@@ -104,7 +108,7 @@
 }
 
 static bool
-ranks_before (const csp_candidate_t *a, const csp_candidate_t *b,
+ranks_before (const csp_rank_candidate_t *a, const csp_rank_candidate_t *b,
               csp_duty_t duty, int64_t settled_ms)
 {
   bool a_settled = a->up_ms >= settled_ms;
@@ -112,15 +116,16 @@
   uint32_t a_class = capacity_class (a->capacity);
   uint32_t b_class = capacity_class (b->capacity);
 
-  /* One that reads now goes on: where the store turns a third of the hosts
-     away, the next in the order may be one of those, and so may the next.  A
-     reader that the store turns away would be named again and again by those
-     who follow it.  Where all are blind one of them still watches for the
-     return.  */
-  if (duty == CSP_DUTY_READ && a->sighted != b->sighted)
-    return a->sighted;
-  if (duty == CSP_DUTY_READ && a->blind != b->blind)
-    return b->blind;
+  /* A host that reads the store now stays the reader: if the store refuses a
+     third of the hosts, the next hosts in the order may be refused too.
+     Refused hosts come last, since the hosts that follow a refused reader get
+     nothing from it.  If all are refused, one of them still polls until the
+     store is back.  */
+  if (duty == CSP_DUTY_READ && a->platform_read != b->platform_read)
+    return a->platform_read;
+  if (duty == CSP_DUTY_READ
+      && a->platform_unreachable != b->platform_unreachable)
+    return b->platform_unreachable;
   if (a_settled != b_settled)
     return a_settled;
   if (a_class != b_class)
@@ -128,37 +133,40 @@
   return order_of (a, duty) < order_of (b, duty);
 }
 
-/* Put a candidate where it belongs; what falls out at the end is dropped.  */
+/* Inserts a candidate at its rank; the last one is dropped if the list is
+   full.  */
 static size_t
-insert_ranked (csp_candidate_t *ranked, size_t count, size_t room,
-               const csp_candidate_t *candidate, csp_duty_t duty,
+insert_ranked (csp_rank_candidate_t *ranked, size_t count, size_t room,
+               const csp_rank_candidate_t *candidate, csp_duty_t duty,
                int64_t settled_ms)
 {
-  size_t at = count;
+  size_t position = count;
 
-  while (at > 0 && ranks_before (candidate, &ranked[at - 1], duty, settled_ms))
-    at--;
-  if (at == room)
+  while (position > 0
+         && ranks_before (candidate, &ranked[position - 1], duty, settled_ms))
+    position--;
+  if (position == room)
     return count;
   if (count < room)
     count++;
-  memmove (&ranked[at + 1], &ranked[at], (count - at - 1) * sizeof *ranked);
-  ranked[at] = *candidate;
+  memmove (&ranked[position + 1], &ranked[position],
+           (count - position - 1) * sizeof *ranked);
+  ranked[position] = *candidate;
   return count;
 }
 
 size_t
-csp_rank_hosts (const csp_roster_t *roster, csp_duty_t duty, bool near,
-                csp_candidate_t *ranked, size_t room)
+csp_rank_hosts (const csp_roster_t *roster, csp_duty_t duty, bool local_only,
+                csp_rank_candidate_t *ranked, size_t room)
 {
   int64_t settled_ms = settled_up_ms (roster);
-  csp_candidate_t candidate;
+  csp_rank_candidate_t candidate;
   size_t count = 0;
   size_t i;
 
   for (i = 0; i <= roster->count; i++)
-    if (csp_get_candidate (roster, i, &candidate)
-        && !(near && candidate.data_centre != roster->data_centre)
+    if (csp_get_rank_candidate (roster, i, &candidate)
+        && !(local_only && candidate.data_centre != roster->data_centre)
         && !(duty == CSP_DUTY_DECIDE && candidate.avoided))
       count
           = insert_ranked (ranked, count, room, &candidate, duty, settled_ms);
@@ -168,22 +176,23 @@
 static size_t
 count_avoided (const csp_roster_t *roster)
 {
-  csp_candidate_t candidate;
+  csp_rank_candidate_t candidate;
   size_t avoided = 0;
   size_t i;
 
   for (i = 1; i <= roster->count; i++)
-    avoided += csp_get_candidate (roster, i, &candidate) && candidate.avoided;
+    avoided
+        += csp_get_rank_candidate (roster, i, &candidate) && candidate.avoided;
   return avoided;
 }
 
 csp_peer_address_t
 csp_pick_decider (const csp_roster_t *roster)
 {
-  bool cut = count_avoided (roster) >= CUT_AVOIDED;
-  csp_candidate_t best;
+  bool partitioned = count_avoided (roster) >= PARTITION_AVOIDED;
+  csp_rank_candidate_t best;
 
-  if (csp_rank_hosts (roster, CSP_DUTY_DECIDE, cut, &best, 1) == 0)
+  if (csp_rank_hosts (roster, CSP_DUTY_DECIDE, partitioned, &best, 1) == 0)
     return roster->self;
   return best.address;
 }
@@ -215,13 +224,14 @@
   return count + 1;
 }
 
-/* The order as it would be if nobody were avoided or had just started: who
-   will decide in a moment has to be told now.  */
+/* Also lists the hosts that would decide if none were avoided or had just
+   started, since they may become the decider in a moment and need the loads by
+   then.  */
 size_t
 csp_list_deciders (const csp_roster_t *roster,
                    csp_peer_address_t hosts[CSP_DECIDERS_MAX])
 {
-  csp_candidate_t ranked[2];
+  csp_rank_candidate_t ranked[2];
   size_t count = add_decider (roster, hosts, 0, csp_pick_decider (roster));
   size_t ranked_count
       = csp_rank_hosts (roster, CSP_DUTY_DECIDE, false, ranked, 2);
@@ -235,42 +245,42 @@
 }
 
 static void
-judge_outage (const csp_roster_t *roster, csp_reader_ranks_t *ranks)
+detect_outage (const csp_roster_t *roster, csp_reader_ranks_t *ranks)
 {
-  csp_candidate_t candidate;
-  bool sighted = false;
+  csp_rank_candidate_t candidate;
+  bool any_host_reads = false;
   size_t i;
 
   for (i = 0; i <= roster->count; i++)
     {
-      if (!csp_get_candidate (roster, i, &candidate))
+      if (!csp_get_rank_candidate (roster, i, &candidate))
         continue;
-      ranks->blind_hosts += candidate.blind;
-      sighted = sighted || candidate.sighted;
+      ranks->blind_hosts += candidate.platform_unreachable;
+      any_host_reads = any_host_reads || candidate.platform_read;
     }
-  ranks->outage = !sighted && ranks->blind_hosts >= CSP_OUTAGE_HOSTS;
+  ranks->outage = !any_host_reads && ranks->blind_hosts >= CSP_OUTAGE_HOSTS;
 }
 
-/* Where the store is away for all, the hosts that tried to read it are all
-   blind.  Taken for worse than the others, each would hand its place to one
-   that has not tried yet, and that one tries: 107 hosts in one absence of six
+/* While the store is down for all, the hosts that tried to read it are
+   refused.  If they ranked last, each would pass the duty to a host that
+   hasn't tried yet, which then tries too: 107 hosts did in one outage of six
    seconds.
 
-   The first host of a data centre may be blind all the same: it follows a host
-   elsewhere that isn't.  Were it passed over, and the other large hosts there,
-   the next would be one of dozens of small ones, about which hosts don't
-   agree, as they don't hear of each every second; they would follow each other
-   in vain, and send by a configuration of four seconds ago.  */
+   The local ranks ignore refusals: the first host of a data centre may be
+   refused and follow a reader elsewhere.  If refused large hosts were skipped,
+   the next would be one of dozens of small ones, about which hosts disagree,
+   as they don't get reports of each every second; they would follow each other
+   without result, and use a configuration four seconds old.  */
 void
 csp_rank_readers (const csp_roster_t *roster, csp_reader_ranks_t *ranks)
 {
-  csp_candidate_t ranked[CSP_RANKED_MAX];
+  csp_rank_candidate_t ranked[CSP_RANKED_MAX];
   csp_duty_t duty = CSP_DUTY_READ;
   size_t i;
 
   memset (ranks, 0, sizeof *ranks);
   ranks->self = roster->self;
-  judge_outage (roster, ranks);
+  detect_outage (roster, ranks);
   if (ranks->outage)
     duty = CSP_DUTY_RELAY;
   ranks->near_count = csp_rank_hosts (roster, CSP_DUTY_RELAY, true, ranked,
--- a/source/roster/roster.c
+++ b/source/roster/roster.c
@@ -5,18 +5,18 @@
 
 enum
 {
-  /* Three greetings may be lost on a link that drops packets.  */
-  SILENT_AFTER_MS = 3300,
-  /* In a large fleet the word of one host of many takes longer to come round:
-     a host hears some 25 datagrams a second, each of which names a few hosts
-     by lot.  */
-  LIVE_FOR_EACH_MS = 40,
-  /* Datagrams take milliseconds, and half a second on a full link; a boot that
-     lives greets every second.  */
-  BOOT_SILENT_MS = 1500,
-  /* A machine that is away that long has another address or none.  */
-  FORGET_AFTER_MS = 600000,
-  FIRST_ROOM = 16
+  /* Tolerates the loss of three hellos on a link that drops packets.  */
+  HELLO_TIMEOUT_MS = 3300,
+  /* In a large fleet gossip about one host takes longer to arrive: a host
+     receives some 25 datagrams a second, each of which names a few random
+     hosts.  */
+  LIVENESS_TIMEOUT_PER_HOST_MS = 40,
+  /* Datagrams take milliseconds, and half a second on a congested link; a
+     running boot sends hellos every second.  */
+  BOOT_TIMEOUT_MS = 1500,
+  /* A machine that was away for that long has another address or none.  */
+  PEER_RETENTION_MS = 600000,
+  INITIAL_CAPACITY = 16
 };
 
 csp_roster_t *
@@ -63,19 +63,19 @@
 }
 
 void
-csp_set_roster_blind (csp_roster_t *roster, bool blind)
+csp_set_roster_blind (csp_roster_t *roster, bool unreachable)
 {
-  roster->blind = blind;
+  roster->platform_unreachable = unreachable;
 }
 
 void
-csp_set_roster_sighted (csp_roster_t *roster, bool sighted)
+csp_set_roster_sighted (csp_roster_t *roster, bool reads)
 {
-  roster->sighted = sighted;
+  roster->platform_read = reads;
 }
 
 uint32_t
-csp_told_up_ms (int64_t up_ms)
+csp_clamp_up_ms (int64_t up_ms)
 {
   if (up_ms < 0)
     return 0;
@@ -88,11 +88,11 @@
 {
   hello->boot = roster->boot;
   hello->leaving = roster->leaving;
-  hello->blind = roster->blind;
-  hello->sighted = roster->sighted;
+  hello->blind = roster->platform_unreachable;
+  hello->sighted = roster->platform_read;
   hello->data_centre = roster->data_centre;
   hello->capacity = roster->capacity;
-  hello->up_ms = csp_told_up_ms (now_ms - roster->started_ms);
+  hello->up_ms = csp_clamp_up_ms (now_ms - roster->started_ms);
 }
 
 csp_roster_peer_t *
@@ -113,15 +113,18 @@
 
   if (roster->count == CSP_ROSTER_MAX)
     return NULL;
-  if (roster->count == roster->room)
+  if (roster->count == roster->peers_allocated)
     {
-      size_t room = roster->room == 0 ? FIRST_ROOM : roster->room * 2;
-      csp_roster_peer_t *grown = realloc (roster->peers, room * sizeof *grown);
+      size_t allocated = roster->peers_allocated == 0
+                             ? INITIAL_CAPACITY
+                             : roster->peers_allocated * 2;
+      csp_roster_peer_t *grown
+          = realloc (roster->peers, allocated * sizeof *grown);
 
       if (grown == NULL)
         return NULL;
       roster->peers = grown;
-      roster->room = room;
+      roster->peers_allocated = allocated;
     }
   peer = &roster->peers[roster->count++];
   memset (peer, 0, sizeof *peer);
@@ -148,56 +151,62 @@
         peer->loads[i] = *load;
         return;
       }
-  if (peer->load_count == peer->load_room)
+  if (peer->load_count == peer->loads_allocated)
     {
-      size_t room = peer->load_room == 0 ? FIRST_ROOM : peer->load_room * 2;
-      csp_peer_load_t *grown = realloc (peer->loads, room * sizeof *grown);
-
-      /* Without memory the load goes uncounted until the next whole one.  */
+      size_t allocated = peer->loads_allocated == 0
+                             ? INITIAL_CAPACITY
+                             : peer->loads_allocated * 2;
+      csp_peer_load_t *grown
+          = realloc (peer->loads, allocated * sizeof *grown);
+
+      /* If memory allocation fails the load isn't counted until the next full
+         report.  */
       if (grown == NULL)
         return;
       peer->loads = grown;
-      peer->load_room = room;
+      peer->loads_allocated = allocated;
     }
   peer->loads[peer->load_count++] = *load;
 }
 
-/* Boots are start times with some random bits, so a lower one is mostly a
-   datagram that was long on its way.  But a host whose calendar was stepped
-   back before it started again has a lower one too; were it not heard, its
-   load would go uncounted, and the host that decides fill engines twice.  The
-   boot before is silent by then.  */
+/* Boot numbers are start times with some random bits, so a lower number
+   usually means a delayed datagram of an earlier boot.  But a host whose clock
+   was stepped back before it restarted has a lower number too; if its hellos
+   were dropped, its load would go uncounted and the decider would overcommit
+   engines.  So a lower boot is accepted once the previous boot has timed
+   out.  */
 static bool
-is_replaced_boot (const csp_roster_peer_t *peer, uint64_t boot, int64_t now_ms)
+is_stale_boot (const csp_roster_peer_t *peer, uint64_t boot, int64_t now_ms)
 {
-  return boot < peer->boot && now_ms - peer->heard_ms < BOOT_SILENT_MS;
+  return boot < peer->boot && now_ms - peer->last_hello_ms < BOOT_TIMEOUT_MS;
 }
 
-/* How long a host counts as live behind its last word.  */
+/* How long a host counts as live after the last report of it.  */
 static int64_t
-live_for_ms (const csp_roster_t *roster)
+liveness_timeout_ms (const csp_roster_t *roster)
 {
-  int64_t for_ms = (int64_t)roster->count * LIVE_FOR_EACH_MS;
+  int64_t for_ms = (int64_t)roster->count * LIVENESS_TIMEOUT_PER_HOST_MS;
 
-  return for_ms > SILENT_AFTER_MS ? for_ms : SILENT_AFTER_MS;
+  return for_ms > HELLO_TIMEOUT_MS ? for_ms : HELLO_TIMEOUT_MS;
 }
 
 static void
-judge_life (const csp_roster_t *roster, csp_roster_peer_t *peer,
-            int64_t now_ms)
+update_liveness (const csp_roster_t *roster, csp_roster_peer_t *peer,
+                 int64_t now_ms)
 {
-  int64_t silent_ms = now_ms - peer->seen_ms;
+  int64_t age_ms = now_ms - peer->last_report_ms;
 
-  peer->live = peer->seen_ms != 0 && silent_ms < live_for_ms (roster);
-  peer->current = peer->seen_ms != 0 && silent_ms < SILENT_AFTER_MS;
+  peer->live
+      = peer->last_report_ms != 0 && age_ms < liveness_timeout_ms (roster);
+  peer->current = peer->last_report_ms != 0 && age_ms < HELLO_TIMEOUT_MS;
 }
 
-/* Another host names one.  Its word counts where it is newer than what is
-   known.  */
+/* Applies gossip about a host if it is newer than what is known.  */
 static void
-hear_of (csp_roster_t *roster, const csp_known_host_t *host, int64_t now_ms)
+apply_gossip (csp_roster_t *roster, const csp_known_host_t *host,
+              int64_t now_ms)
 {
-  int64_t seen_ms = now_ms - (int64_t)host->age_ms;
+  int64_t last_report_ms = now_ms - (int64_t)host->age_ms;
   csp_roster_peer_t *peer;
 
   if (csp_is_same_peer (host->address, roster->self))
@@ -205,34 +214,34 @@
   peer = csp_find_roster_peer (roster, host->address);
   if (peer == NULL)
     peer = add_peer (roster, host->address);
-  if (peer == NULL || seen_ms <= peer->seen_ms)
+  if (peer == NULL || last_report_ms <= peer->last_report_ms)
     return;
-  peer->seen_ms = seen_ms;
+  peer->last_report_ms = last_report_ms;
   peer->data_centre = host->data_centre;
   peer->capacity = host->capacity;
-  peer->started_ms = seen_ms - (int64_t)host->up_ms;
+  peer->started_ms = last_report_ms - (int64_t)host->up_ms;
   peer->leaving = host->leaving;
-  peer->blind = host->blind;
-  peer->sighted = host->sighted;
-  judge_life (roster, peer, now_ms);
+  peer->platform_unreachable = host->blind;
+  peer->platform_read = host->sighted;
+  update_liveness (roster, peer, now_ms);
 }
 
 static void
-hear_itself (csp_roster_t *roster, csp_roster_peer_t *peer,
+apply_hello (csp_roster_t *roster, csp_roster_peer_t *peer,
              const csp_hello_t *hello, int64_t now_ms)
 {
   peer->boot = hello->boot;
   peer->sequence = hello->sequence;
   peer->leaving = hello->leaving;
-  peer->blind = hello->blind;
-  peer->sighted = hello->sighted;
+  peer->platform_unreachable = hello->blind;
+  peer->platform_read = hello->sighted;
   peer->data_centre = hello->data_centre;
   peer->capacity = hello->capacity;
   peer->started_ms = now_ms - (int64_t)hello->up_ms;
-  peer->heard_ms = now_ms;
-  peer->seen_ms = now_ms;
-  peer->unanswered = 0;
-  judge_life (roster, peer, now_ms);
+  peer->last_hello_ms = now_ms;
+  peer->last_report_ms = now_ms;
+  peer->unanswered_hellos = 0;
+  update_liveness (roster, peer, now_ms);
 }
 
 bool
@@ -250,30 +259,31 @@
     peer = add_peer (roster, from);
   if (peer == NULL)
     return false;
-  if (is_replaced_boot (peer, hello->boot, now_ms)
+  if (is_stale_boot (peer, hello->boot, now_ms)
       || (hello->boot == peer->boot && hello->sequence <= peer->sequence))
     return false;
   if (hello->boot != peer->boot || hello->whole)
     peer->load_count = 0;
   if (hello->whole || hello->load_count > 0)
-    peer->loads_ms = now_ms;
+    peer->loads_reported_ms = now_ms;
   if (hello->decider != 0)
-    peer->asks_here = hello->decider == csp_pack_peer (roster->self);
-  hear_itself (roster, peer, hello, now_ms);
+    peer->uses_this_decider = hello->decider == csp_pack_peer (roster->self);
+  apply_hello (roster, peer, hello, now_ms);
   for (i = 0; i < hello->load_count; i++)
     set_load (peer, &hello->loads[i]);
   for (i = 0; i < hello->known_count; i++)
-    hear_of (roster, &hello->known[i], now_ms);
+    apply_gossip (roster, &hello->known[i], now_ms);
   return true;
 }
 
-/* A host tells its loads each second where this one may have to decide.  What
-   it told before that is old: it has ended, is cut off, or tells others by
-   now.  */
+/* A host reports its loads each second to hosts that may have to decide.
+   Older reports are invalid: the host has stopped, is cut off, or now reports
+   to others.  */
 static bool
-drop_old_loads (csp_roster_peer_t *peer, int64_t now_ms)
+expire_loads (csp_roster_peer_t *peer, int64_t now_ms)
 {
-  if (peer->load_count == 0 || now_ms - peer->loads_ms < SILENT_AFTER_MS)
+  if (peer->load_count == 0
+      || now_ms - peer->loads_reported_ms < HELLO_TIMEOUT_MS)
     return false;
   peer->load_count = 0;
   return true;
@@ -291,9 +301,10 @@
     {
       csp_roster_peer_t peer = roster->peers[i];
 
-      judge_life (roster, &peer, now_ms);
-      changed = drop_old_loads (&peer, now_ms) || changed;
-      if (peer.seen_ms != 0 && now_ms - peer.seen_ms >= FORGET_AFTER_MS)
+      update_liveness (roster, &peer, now_ms);
+      changed = expire_loads (&peer, now_ms) || changed;
+      if (peer.last_report_ms != 0
+          && now_ms - peer.last_report_ms >= PEER_RETENTION_MS)
         free (peer.loads);
       else
         roster->peers[kept++] = peer;
@@ -308,7 +319,8 @@
   return roster->count + 1;
 }
 
-/* One that is silent may have asked another host meanwhile.  */
+/* Hosts that are silent may have chosen another decider meanwhile and aren't
+   counted.  */
 size_t
 csp_count_askers (const csp_roster_t *roster)
 {
@@ -316,8 +328,9 @@
   size_t i;
 
   for (i = 0; i < roster->count; i++)
-    askers += roster->peers[i].asks_here
-              && roster->now_ms - roster->peers[i].loads_ms < SILENT_AFTER_MS;
+    askers += roster->peers[i].uses_this_decider
+              && roster->now_ms - roster->peers[i].loads_reported_ms
+                     < HELLO_TIMEOUT_MS;
   return askers;
 }
 
@@ -346,7 +359,7 @@
 }
 
 void
-csp_each_peer_load (const csp_roster_t *roster, csp_take_load_t take,
+csp_each_peer_load (const csp_roster_t *roster, csp_load_visitor_t take,
                     void *state)
 {
   size_t i;
@@ -359,7 +372,7 @@
 
 void
 csp_each_load_of_peer (csp_roster_t *roster, csp_peer_address_t address,
-                       csp_take_load_t take, void *state)
+                       csp_load_visitor_t take, void *state)
 {
   const csp_roster_peer_t *peer = csp_find_roster_peer (roster, address);
   size_t i;
--- a/tests/roster/roster-test.c
+++ b/tests/roster/roster-test.c
@@ -10,8 +10,8 @@
 {
   SELF_BOOT = 100,
   OTHER_BOOT = 200,
-  HERE = 7,
-  ELSEWHERE = 8
+  THIS_DATA_CENTRE = 7,
+  OTHER_DATA_CENTRE = 8
 };
 
 static const csp_peer_address_t self = { 1, 10 };
@@ -23,7 +23,7 @@
 static void
 set_up (void)
 {
-  roster = csp_create_roster (self, SELF_BOOT, HERE, 1);
+  roster = csp_create_roster (self, SELF_BOOT, THIS_DATA_CENTRE, 1);
   ck_assert_ptr_nonnull (roster);
 }
 
@@ -64,7 +64,8 @@
   return sum;
 }
 
-/* Datagrams of one host, and what is counted for it then.  */
+/* Hellos received from one host, and the requests that are counted for it
+   then.  */
 static const struct
 {
   const char *what;
@@ -74,66 +75,66 @@
     uint64_t sequence;
     bool whole;
     uint32_t requests;
-    bool taken;
-  } heard[3];
+    bool accepted;
+  } received[3];
   size_t count;
   uint32_t requests;
-} stories[] = {
+} cases[] = {
   { "one", { { OTHER_BOOT, 1, true, 4, true } }, 1, 4 },
   { "a change",
     { { OTHER_BOOT, 1, true, 4, true }, { OTHER_BOOT, 2, false, 7, true } },
     2,
     7 },
-  { "a late one",
+  { "one out of order",
     { { OTHER_BOOT, 2, true, 4, true }, { OTHER_BOOT, 1, true, 7, false } },
     2,
     4 },
-  { "a whole one without load",
+  { "a full report without load",
     { { OTHER_BOOT, 1, true, 4, true }, { OTHER_BOOT, 2, true, 0, true } },
     2,
     0 },
-  { "a greeting that names no change",
+  { "a hello without changes",
     { { OTHER_BOOT, 1, true, 4, true }, { OTHER_BOOT, 2, false, 0, true } },
     2,
     4 },
-  { "a new boot starts from nothing",
+  { "a new boot starts without load",
     { { OTHER_BOOT, 9, true, 4, true },
       { OTHER_BOOT + 1, 1, false, 0, true } },
     2,
     0 },
-  { "an old boot is over",
+  { "an older boot is ignored",
     { { OTHER_BOOT, 1, true, 4, true },
       { OTHER_BOOT - 1, 9, true, 7, false } },
     2,
     4 },
-  { "our own, come back another way",
+  { "this host's own, from another address",
     { { SELF_BOOT, 1, true, 4, false } },
     1,
     0 },
 };
 
-START_TEST (the_newest_word_of_a_host_counts)
+START_TEST (the_newest_hello_of_a_host_counts)
 {
   size_t i;
 
-  for (i = 0; i < stories[_i].count; i++)
+  for (i = 0; i < cases[_i].count; i++)
     {
       csp_hello_t hello = hello_of (
-          stories[_i].heard[i].boot, stories[_i].heard[i].sequence,
-          stories[_i].heard[i].whole, stories[_i].heard[i].requests);
+          cases[_i].received[i].boot, cases[_i].received[i].sequence,
+          cases[_i].received[i].whole, cases[_i].received[i].requests);
 
       ck_assert_msg (csp_hear_peer (roster, other, &hello, 1000)
-                         == stories[_i].heard[i].taken,
-                     "%s", stories[_i].what);
+                         == cases[_i].received[i].accepted,
+                     "%s", cases[_i].what);
     }
-  ck_assert_msg (requests () == stories[_i].requests, "%s: %u",
-                 stories[_i].what, requests ());
+  ck_assert_msg (requests () == cases[_i].requests, "%s: %u", cases[_i].what,
+                 requests ());
 }
 END_TEST
 
-/* A host dies or is cut off.  Its requests end with it, or go on where we
-   can't count them.  */
-START_TEST (a_silent_host_counts_no_more)
+/* A host fails or is cut off: its requests end with it, or go on without being
+   counted.  */
+START_TEST (the_load_of_a_silent_host_expires)
 {
   csp_hello_t hello = hello_of (OTHER_BOOT, 1, true, 4);
 
@@ -146,9 +147,9 @@
 }
 END_TEST
 
-/* All seeds but one were stale: a host that another names is found through it,
-   and greeted when it has said nothing yet by itself.  */
-START_TEST (hosts_are_found_through_others)
+/* All seeds but one were stale: a host that is named by another is discovered
+   through it, and gets a hello if it hasn't sent one itself yet.  */
+START_TEST (hosts_are_discovered_through_others)
 {
   csp_peer_address_t due[4];
   csp_hello_t hello = hello_of (OTHER_BOOT, 1, true, 0);
@@ -159,10 +160,10 @@
   ck_assert_uint_eq (csp_list_due_peers (roster, 1999, due, 4), 0);
   ck_assert_uint_eq (csp_list_due_peers (roster, 2010, due, 4), 1);
   ck_assert_uint_eq (due[0].ip, other.ip);
-  hello.data_centre = HERE;
+  hello.data_centre = THIS_DATA_CENTRE;
   hello.known_count = 2;
   hello.known[0] = (csp_known_host_t){ .address = third,
-                                       .data_centre = ELSEWHERE,
+                                       .data_centre = OTHER_DATA_CENTRE,
                                        .age_ms = 100 };
   hello.known[1] = (csp_known_host_t){ .address = self };
   csp_hear_peer (roster, other, &hello, 2100);
@@ -174,14 +175,14 @@
 }
 END_TEST
 
-/* A cut heals unannounced, so hosts that fell silent are greeted all the
-   same, and those that live before them.  */
-START_TEST (silent_hosts_are_greeted_where_none_lives)
+/* Guards against a partition that is never detected to have ended: silent
+   hosts still get hellos, but live ones are preferred.  */
+START_TEST (silent_hosts_get_hellos_if_none_is_live)
 {
   csp_peer_address_t due[4];
   csp_hello_t hello = hello_of (OTHER_BOOT, 1, true, 0);
 
-  hello.data_centre = ELSEWHERE;
+  hello.data_centre = OTHER_DATA_CENTRE;
   csp_hear_peer (roster, other, &hello, 1000);
   csp_hear_peer (roster, third, &hello, 1000);
   csp_expire_peers (roster, 60000);
@@ -194,10 +195,10 @@
 }
 END_TEST
 
-/* Word of a host that comes through others late says less than what is known:
-   a host that died isn't alive again, and one that was heard a moment ago
-   isn't older for it.  */
-START_TEST (old_word_of_a_host_changes_nothing)
+/* Guards against delayed gossip that overrides newer state: a failed host must
+   not become live again, and a host that sent a hello a moment ago must not
+   count as older.  */
+START_TEST (outdated_gossip_is_ignored)
 {
   csp_hello_t itself = hello_of (OTHER_BOOT, 1, true, 0);
   csp_hello_t hello = hello_of (OTHER_BOOT + 1, 1, false, 0);
@@ -220,7 +221,7 @@
 }
 END_TEST
 
-/* A host of a table of ranks.  */
+/* A host in a test of ranks.  */
 typedef struct
 {
   csp_peer_address_t address;
@@ -232,8 +233,8 @@
 } ranked_host_t;
 
 static void
-hear_host (csp_roster_t *by, const ranked_host_t *host, uint64_t sequence,
-           int64_t now_ms)
+receive_hello_of (csp_roster_t *by, const ranked_host_t *host,
+                  uint64_t sequence, int64_t now_ms)
 {
   csp_hello_t hello = { .boot = OTHER_BOOT + host->address.ip,
                         .sequence = sequence,
@@ -246,29 +247,29 @@
   csp_hear_peer (by, host->address, &hello, now_ms);
 }
 
-/* Who decides among this host, with 100 thousandths of a core and up for 60 s,
-   and two others.  ip 0: this one.  */
+/* The decider among this host, with 100 thousandths of a core and up for 60 s,
+   and two others.  */
 static const struct
 {
   const char *what;
   ranked_host_t hosts[2];
   uint32_t decider_ip;
-} deciders[] = {
-  { "the one that can carry most",
-    { { { 2, 10 }, ELSEWHERE, 500, 10000, false, false },
-      { { 3, 10 }, HERE, 200, 10000, false, false } },
+} decider_cases[] = {
+  { "the one with the most capacity",
+    { { { 2, 10 }, OTHER_DATA_CENTRE, 500, 10000, false, false },
+      { { 3, 10 }, THIS_DATA_CENTRE, 200, 10000, false, false } },
     2 },
-  { "one that has just started knows nothing yet",
-    { { { 2, 10 }, ELSEWHERE, 500, 900, false, false },
-      { { 3, 10 }, HERE, 200, 10000, false, false } },
+  { "one that has just started doesn't",
+    { { { 2, 10 }, OTHER_DATA_CENTRE, 500, 900, false, false },
+      { { 3, 10 }, THIS_DATA_CENTRE, 200, 10000, false, false } },
     3 },
   { "one that stops doesn't",
-    { { { 2, 10 }, ELSEWHERE, 500, 10000, false, true },
-      { { 3, 10 }, HERE, 200, 10000, false, true } },
+    { { { 2, 10 }, OTHER_DATA_CENTRE, 500, 10000, false, true },
+      { { 3, 10 }, THIS_DATA_CENTRE, 200, 10000, false, true } },
     1 },
-  { "one that doesn't reach the platform does",
-    { { { 2, 10 }, ELSEWHERE, 500, 10000, true, false },
-      { { 3, 10 }, HERE, 50, 10000, false, false } },
+  { "one that can't reach the platform does",
+    { { { 2, 10 }, OTHER_DATA_CENTRE, 500, 10000, true, false },
+      { { 3, 10 }, THIS_DATA_CENTRE, 50, 10000, false, false } },
     2 },
 };
 
@@ -278,44 +279,46 @@
 
   csp_set_roster_self (roster, 100, -60000);
   for (i = 0; i < 2; i++)
-    hear_host (roster, &deciders[_i].hosts[i], 1, 1000);
-  ck_assert_msg (csp_pick_decider (roster).ip == deciders[_i].decider_ip,
-                 "%s: %u", deciders[_i].what, csp_pick_decider (roster).ip);
+    receive_hello_of (roster, &decider_cases[_i].hosts[i], 1, 1000);
+  ck_assert_msg (csp_pick_decider (roster).ip == decider_cases[_i].decider_ip,
+                 "%s: %u", decider_cases[_i].what,
+                 csp_pick_decider (roster).ip);
 }
 END_TEST
 
-/* All hosts were without power for a second and start at once.  Nobody waits
-   for somebody who has been up for longer.  */
-START_TEST (where_all_have_just_started_one_decides_at_once)
+/* After a power failure all hosts start at once, and none has been up for
+   longer.  A decider must be chosen without delay.  */
+START_TEST (hosts_that_all_just_started_have_a_decider)
 {
-  ranked_host_t large = { { 2, 10 }, ELSEWHERE, 500, 100, false, false };
+  ranked_host_t large
+      = { { 2, 10 }, OTHER_DATA_CENTRE, 500, 100, false, false };
 
   csp_set_roster_self (roster, 100, 0);
-  hear_host (roster, &large, 1, 300);
+  receive_hello_of (roster, &large, 1, 300);
   ck_assert_uint_eq (csp_pick_decider (roster).ip, 2);
 }
 END_TEST
 
-/* The host that decides is paused or cut off and says nothing.  The next one
-   is asked, behind that the own data centre's, and a while later the first one
-   again.  All three have been told the loads.  */
-START_TEST (a_host_that_says_nothing_decides_no_more_for_a_while)
+/* The decider is paused or cut off and doesn't answer.  The next host is
+   asked, then the first of this data centre, and after a while the first one
+   again.  All three get load reports.  */
+START_TEST (an_unresponsive_decider_is_avoided_for_a_while)
 {
   static const ranked_host_t hosts[]
-      = { { { 2, 10 }, ELSEWHERE, 900, 10000, false, false },
-          { { 3, 10 }, ELSEWHERE, 400, 10000, false, false },
-          { { 4, 10 }, ELSEWHERE, 200, 10000, false, false },
-          { { 5, 10 }, HERE, 100, 10000, false, false } };
-  csp_peer_address_t told[CSP_DECIDERS_MAX];
+      = { { { 2, 10 }, OTHER_DATA_CENTRE, 900, 10000, false, false },
+          { { 3, 10 }, OTHER_DATA_CENTRE, 400, 10000, false, false },
+          { { 4, 10 }, OTHER_DATA_CENTRE, 200, 10000, false, false },
+          { { 5, 10 }, THIS_DATA_CENTRE, 100, 10000, false, false } };
+  csp_peer_address_t load_receivers[CSP_DECIDERS_MAX];
   size_t i;
 
   csp_set_roster_self (roster, 10, -60000);
   for (i = 0; i < 4; i++)
-    hear_host (roster, &hosts[i], 1, 1000);
-  ck_assert_uint_eq (csp_list_deciders (roster, told), 3);
-  ck_assert_uint_eq (told[0].ip, 2);
-  ck_assert_uint_eq (told[1].ip, 3);
-  ck_assert_uint_eq (told[2].ip, 5);
+    receive_hello_of (roster, &hosts[i], 1, 1000);
+  ck_assert_uint_eq (csp_list_deciders (roster, load_receivers), 3);
+  ck_assert_uint_eq (load_receivers[0].ip, 2);
+  ck_assert_uint_eq (load_receivers[1].ip, 3);
+  ck_assert_uint_eq (load_receivers[2].ip, 5);
   csp_avoid_decider (roster, hosts[0].address, 1100);
   ck_assert_uint_eq (csp_pick_decider (roster).ip, 3);
   csp_avoid_decider (roster, hosts[1].address, 1300);
@@ -338,19 +341,20 @@
     ck_assert (csp_is_same_peer (a->fleet[i], b->fleet[i]));
 }
 
-/* One host reads the platform for the others: hosts agree on the order, and
-   one that stops, dies or doesn't reach the platform isn't first.  */
-START_TEST (hosts_agree_on_who_reads)
+/* One host reads the platform for the others: hosts agree on the order, and a
+   host that stops, fails or can't reach the platform isn't first.  */
+START_TEST (hosts_agree_on_the_readers)
 {
   ranked_host_t hosts[]
-      = { { { 2, 10 }, HERE, 100, 10000, false, false },
-          { { 3, 10 }, HERE, 100, 10000, false, false },
-          { { 4, 10 }, HERE, 100, 10000, false, false },
-          { { 5, 10 }, ELSEWHERE, 900, 10000, false, false } };
-  ranked_host_t itself = { { 1, 10 }, HERE, 100, 10000, false, false };
+      = { { { 2, 10 }, THIS_DATA_CENTRE, 100, 10000, false, false },
+          { { 3, 10 }, THIS_DATA_CENTRE, 100, 10000, false, false },
+          { { 4, 10 }, THIS_DATA_CENTRE, 100, 10000, false, false },
+          { { 5, 10 }, OTHER_DATA_CENTRE, 900, 10000, false, false } };
+  ranked_host_t itself
+      = { { 1, 10 }, THIS_DATA_CENTRE, 100, 10000, false, false };
   csp_reader_ranks_t ranks;
-  csp_reader_ranks_t theirs;
-  csp_roster_t *seen;
+  csp_reader_ranks_t other_ranks;
+  csp_roster_t *other_roster;
   size_t first = 0;
   size_t i;
   size_t j;
@@ -360,7 +364,7 @@
   ck_assert_uint_eq (ranks.near_count, 1);
   ck_assert_uint_eq (ranks.fleet[0].ip, self.ip);
   for (i = 0; i < 4; i++)
-    hear_host (roster, &hosts[i], 1, 1000);
+    receive_hello_of (roster, &hosts[i], 1, 1000);
   csp_rank_readers (roster, &ranks);
   ck_assert_uint_eq (ranks.near_count, 4);
   ck_assert_uint_eq (ranks.fleet_count, 3);
@@ -368,57 +372,57 @@
   ck_assert_uint_eq (ranks.hosts, 5);
   for (i = 0; i < 3; i++)
     {
-      seen
-          = csp_create_roster (hosts[i].address, OTHER_BOOT + 90 + i, HERE, 1);
-      csp_set_roster_self (seen, 100, -60000);
-      hear_host (seen, &itself, 1, 1000);
+      other_roster = csp_create_roster (hosts[i].address, OTHER_BOOT + 90 + i,
+                                        THIS_DATA_CENTRE, 1);
+      csp_set_roster_self (other_roster, 100, -60000);
+      receive_hello_of (other_roster, &itself, 1, 1000);
       for (j = 0; j < 4; j++)
         if (j != i)
-          hear_host (seen, &hosts[j], 1, 1000);
-      csp_rank_readers (seen, &theirs);
-      check_same_order (&theirs, &ranks);
-      csp_destroy_roster (seen);
+          receive_hello_of (other_roster, &hosts[j], 1, 1000);
+      csp_rank_readers (other_roster, &other_ranks);
+      check_same_order (&other_ranks, &ranks);
+      csp_destroy_roster (other_roster);
       if (hosts[i].address.ip == ranks.near[0].ip)
         first = i;
     }
-  /* The store turns away the one that reads for all, which is elsewhere, and
-     the first of this data centre, which goes on telling what others read.  */
+  /* The store refuses the fleet's reader, which is elsewhere, and the first
+     host of this data centre, which still relays what others read.  */
   hosts[3].blind = true;
   hosts[first].blind = true;
-  hear_host (roster, &hosts[3], 2, 1050);
-  hear_host (roster, &hosts[first], 2, 1050);
-  csp_rank_readers (roster, &theirs);
-  ck_assert_uint_ne (theirs.fleet[0].ip, 5);
-  ck_assert_uint_ne (theirs.fleet[0].ip, hosts[first].address.ip);
+  receive_hello_of (roster, &hosts[3], 2, 1050);
+  receive_hello_of (roster, &hosts[first], 2, 1050);
+  csp_rank_readers (roster, &other_ranks);
+  ck_assert_uint_ne (other_ranks.fleet[0].ip, 5);
+  ck_assert_uint_ne (other_ranks.fleet[0].ip, hosts[first].address.ip);
   for (i = 0; i < ranks.near_count; i++)
-    ck_assert (csp_is_same_peer (theirs.near[i], ranks.near[i]));
-  ck_assert_uint_eq (theirs.blind_hosts, 2);
-  /* All are: the order is as if none were.  */
+    ck_assert (csp_is_same_peer (other_ranks.near[i], ranks.near[i]));
+  ck_assert_uint_eq (other_ranks.blind_hosts, 2);
+  /* If all are refused, the order is as if none were.  */
   for (i = 0; i < 4; i++)
     {
       hosts[i].blind = true;
-      hear_host (roster, &hosts[i], 3, 1060);
+      receive_hello_of (roster, &hosts[i], 3, 1060);
     }
   csp_set_roster_blind (roster, true);
-  csp_rank_readers (roster, &theirs);
-  check_same_order (&theirs, &ranks);
+  csp_rank_readers (roster, &other_ranks);
+  check_same_order (&other_ranks, &ranks);
   hosts[3].leaving = true;
-  hear_host (roster, &hosts[3], 4, 1070);
-  csp_rank_readers (roster, &theirs);
-  ck_assert_uint_ne (theirs.fleet[0].ip, 5);
+  receive_hello_of (roster, &hosts[3], 4, 1070);
+  csp_rank_readers (roster, &other_ranks);
+  ck_assert_uint_ne (other_ranks.fleet[0].ip, 5);
   csp_expire_peers (roster, 9000);
-  csp_rank_readers (roster, &theirs);
-  ck_assert_uint_eq (theirs.near_count, 1);
+  csp_rank_readers (roster, &other_ranks);
+  ck_assert_uint_eq (other_ranks.near_count, 1);
 }
 END_TEST
 
-/* Leases are lent by how many hosts ask this one: those that said so lately,
-   and no more when they ask another or fall silent.  */
-START_TEST (hosts_that_ask_here_are_counted)
+/* Leases depend on the number of hosts that use this one as decider: hosts
+   that said so lately, until they choose another or time out.  */
+START_TEST (hosts_that_use_this_decider_are_counted)
 {
   csp_hello_t hello = hello_of (OTHER_BOOT, 1, true, 0);
 
-  hello.data_centre = ELSEWHERE;
+  hello.data_centre = OTHER_DATA_CENTRE;
   hello.decider = csp_pack_peer (self);
   csp_hear_peer (roster, other, &hello, 1000);
   hello.decider = csp_pack_peer (other);
@@ -439,15 +443,15 @@
 }
 END_TEST
 
-/* The store turns a third of the hosts away, more than make an outage, and
-   some hosts read it all the same.  Those are followed, whatever their rank:
-   taken for an outage, as all who tried by then were turned away, 81 of 295
+/* The store refuses a third of the hosts, more than make an outage, but some
+   hosts can read it.  Those are followed, whatever their rank.  When it was
+   treated as an outage, as all that had tried by then were refused, 81 of 295
    hosts had no configuration for nine seconds.  */
 START_TEST (a_host_that_reads_ends_an_outage)
 {
   csp_hello_t hello = { .boot = 9,
                         .sequence = 1,
-                        .data_centre = ELSEWHERE,
+                        .data_centre = OTHER_DATA_CENTRE,
                         .capacity = 90,
                         .up_ms = 10000,
                         .sighted = true };
@@ -457,10 +461,10 @@
   csp_set_roster_self (roster, 100, -60000);
   for (i = 0; i < 3 * CSP_OUTAGE_HOSTS; i++)
     {
-      ranked_host_t host
-          = { { 10 + i, 10 }, HERE, 900, 10000, i > CSP_OUTAGE_HOSTS, false };
+      ranked_host_t host = { { 10 + i, 10 }, THIS_DATA_CENTRE,     900,
+                             10000,          i > CSP_OUTAGE_HOSTS, false };
 
-      hear_host (roster, &host, 1, 1000);
+      receive_hello_of (roster, &host, 1, 1000);
     }
   csp_rank_readers (roster, &ranks);
   ck_assert (ranks.outage);
@@ -476,10 +480,10 @@
 }
 END_TEST
 
-/* The store turns the first readers away.  That they are is named with them,
-   as long as they would be first otherwise; forgotten instead, they count as
-   first and able until they have been silent for three seconds.  */
-START_TEST (readers_that_are_turned_away_are_named)
+/* Guards against refused readers that are dropped from gossip: they would rank
+   first until they have been silent for three seconds.  They stay named, as
+   refused, as long as they would rank first otherwise.  */
+START_TEST (refused_readers_are_named)
 {
   csp_known_host_t names[CSP_HELLO_KNOWN_MAX];
   size_t blind = 0;
@@ -489,24 +493,25 @@
   csp_set_roster_self (roster, 100, -60000);
   for (i = 0; i < 60; i++)
     {
-      ranked_host_t host = { { 2 + i, 10 }, ELSEWHERE, i < 3 ? 900 : 90,
-                             10000,         i < 3,     false };
+      ranked_host_t host
+          = { { 2 + i, 10 }, OTHER_DATA_CENTRE, i < 3 ? 900 : 90, 10000, i < 3,
+              false };
 
-      hear_host (roster, &host, 1, 1000);
+      receive_hello_of (roster, &host, 1, 1000);
     }
   count
       = csp_name_known_hosts (roster, third, names, CSP_HELLO_KNOWN_MAX, 1010);
   for (i = 0; i < count; i++)
     blind += names[i].blind;
-  /* All but the one to whom they are named.  */
+  /* The receiver itself isn't named.  */
   ck_assert_uint_eq (blind, 2);
 }
 END_TEST
 
-/* Two hundred hosts, of which a dozen rank first for some duty.  Were only
-   those named to others, small hosts would know nobody else; so a third of the
-   names are others, and over some greetings all come.  */
-START_TEST (hosts_that_rank_first_leave_room_for_others)
+/* Two hundred hosts, a dozen of which rank first for some duty.  If only those
+   were named, small hosts would know no others; so a third of the entries are
+   random others, and all hosts are named over some hellos.  */
+START_TEST (gossip_names_random_hosts_too)
 {
   enum
   {
@@ -515,21 +520,22 @@
   };
   csp_known_host_t names[CSP_HELLO_KNOWN_MAX];
   bool named[MANY + 2] = { false };
-  size_t all = 0;
+  size_t named_count = 0;
   uint32_t i;
   size_t j;
 
   csp_set_roster_self (roster, 100, -60000);
   for (i = 0; i < MANY; i++)
     {
-      ranked_host_t host = { { 2 + i, 10 },
-                             i % 4 == 0 ? HERE : ELSEWHERE + i % 4,
-                             i < LARGE ? 900 : 90,
-                             10000,
-                             false,
-                             false };
-
-      hear_host (roster, &host, 1, 1000);
+      ranked_host_t host
+          = { { 2 + i, 10 },
+              i % 4 == 0 ? THIS_DATA_CENTRE : OTHER_DATA_CENTRE + i % 4,
+              i < LARGE ? 900 : 90,
+              10000,
+              false,
+              false };
+
+      receive_hello_of (roster, &host, 1, 1000);
     }
   for (i = 0; i < 300; i++)
     {
@@ -541,17 +547,17 @@
         named[names[j].address.ip] = true;
     }
   for (i = 2; i < MANY + 2; i++)
-    all += named[i];
-  /* All but the one to whom they are named.  */
-  ck_assert_uint_eq (all, MANY - 1);
+    named_count += named[i];
+  /* The receiver itself isn't named.  */
+  ck_assert_uint_eq (named_count, MANY - 1);
 }
 END_TEST
 
-/* The store turns all large hosts of a data centre away.  The others there go
-   on following the same one, which follows a host elsewhere; else each would
-   pick another of forty small ones, of which it happened to hear, and they
-   would hear of no change for four seconds.  */
-START_TEST (a_data_centre_follows_a_host_that_the_store_turns_away)
+/* The store refuses all large hosts of a data centre.  The others there still
+   follow the same host, which follows a reader elsewhere; otherwise each would
+   choose another of forty small hosts, and changes would arrive four seconds
+   late.  */
+START_TEST (a_data_centre_follows_a_refused_host)
 {
   csp_reader_ranks_t before;
   csp_reader_ranks_t ranks;
@@ -560,16 +566,18 @@
   csp_set_roster_self (roster, 100, -60000);
   for (i = 0; i < 3; i++)
     {
-      ranked_host_t host = { { 2 + i, 10 }, HERE, 900, 10000, false, false };
+      ranked_host_t host
+          = { { 2 + i, 10 }, THIS_DATA_CENTRE, 900, 10000, false, false };
 
-      hear_host (roster, &host, 1, 1000);
+      receive_hello_of (roster, &host, 1, 1000);
     }
   csp_rank_readers (roster, &before);
   for (i = 0; i < 3; i++)
     {
-      ranked_host_t host = { { 2 + i, 10 }, HERE, 900, 10000, true, false };
+      ranked_host_t host
+          = { { 2 + i, 10 }, THIS_DATA_CENTRE, 900, 10000, true, false };
 
-      hear_host (roster, &host, 2, 1010);
+      receive_hello_of (roster, &host, 2, 1010);
     }
   csp_rank_readers (roster, &ranks);
   ck_assert (csp_is_same_peer (ranks.near[0], before.near[0]));
@@ -577,10 +585,11 @@
 }
 END_TEST
 
-/* The store is away for all for six seconds.  Whoever reads for the others is
-   turned away, and the next one tries, and the next: 107 hosts did.  Once so
-   many were turned away that it can't be they, the first one reads on.  */
-START_TEST (an_outage_of_the_store_makes_no_host_a_worse_reader)
+/* Guards against an outage of the store for all hosts, six seconds long, in
+   which each refused reader passes the duty to the next host: 107 hosts tried.
+   Once enough hosts are refused to indicate an outage, the first one stays the
+   reader.  */
+START_TEST (an_outage_of_the_store_keeps_the_reader)
 {
   csp_reader_ranks_t ranks;
   uint32_t i;
@@ -589,62 +598,64 @@
   for (i = 0; i < CSP_OUTAGE_HOSTS; i++)
     {
       ranked_host_t host
-          = { { 2 + i, 10 }, ELSEWHERE, 900, 10000, true, false };
+          = { { 2 + i, 10 }, OTHER_DATA_CENTRE, 900, 10000, true, false };
 
-      hear_host (roster, &host, 1, 1000);
+      receive_hello_of (roster, &host, 1, 1000);
       csp_rank_readers (roster, &ranks);
       ck_assert_uint_eq (ranks.blind_hosts, i + 1);
       ck_assert_msg ((ranks.fleet[0].ip == self.ip)
                          == (i + 1 < CSP_OUTAGE_HOSTS),
-                     "%u hosts are turned away", i + 1);
+                     "%u hosts are refused", i + 1);
     }
 }
 END_TEST
 
-/* All hosts lose power and start again together.  A seed that is not up yet
-   hears no greeting; a host that waited two seconds for the next one read the
-   store and gave places by itself meanwhile, as did each of the others.  */
-START_TEST (a_seed_that_is_not_up_yet_is_greeted_soon_again)
+/* All hosts lose power and start again together, and a hello to a seed that
+   isn't up yet is lost.  A host that waited two seconds before the next one
+   read the store and decided on placements by itself meanwhile, as did all
+   others.  */
+START_TEST (a_seed_that_is_not_up_yet_is_retried_soon)
 {
   csp_peer_address_t due[4];
-  size_t greeted = 0;
+  size_t hello_count = 0;
   int64_t now_ms;
 
   csp_set_roster_self (roster, 100, 1000);
   csp_learn_peer (roster, other);
   for (now_ms = 1000; now_ms < 2000; now_ms += 50)
-    greeted += csp_list_due_peers (roster, now_ms, due, 4);
-  ck_assert_uint_ge (greeted, 6);
+    hello_count += csp_list_due_peers (roster, now_ms, due, 4);
+  ck_assert_uint_ge (hello_count, 6);
 }
 END_TEST
 
-/* All hosts start at once, and none can ask for a place or follow anybody
-   until it has heard who ranks first.  So a host greets often at first.  */
-START_TEST (a_host_that_starts_greets_often)
+/* All hosts start at once, and none can ask for a placement or follow a reader
+   until it knows which hosts rank first.  So a host sends hellos often at
+   first.  */
+START_TEST (a_starting_host_sends_hellos_often)
 {
   csp_hello_t hello = hello_of (OTHER_BOOT, 1, true, 0);
   csp_peer_address_t due[4];
-  size_t greeted = 0;
+  size_t hello_count = 0;
   int64_t now_ms;
 
   csp_set_roster_self (roster, 100, 1000);
-  hello.data_centre = ELSEWHERE;
+  hello.data_centre = OTHER_DATA_CENTRE;
   csp_hear_peer (roster, other, &hello, 1000);
   for (now_ms = 1000; now_ms < 2000; now_ms += 50)
-    greeted += csp_list_due_peers (roster, now_ms, due, 4);
-  ck_assert_uint_ge (greeted, 6);
-  for (greeted = 0, now_ms = 4000; now_ms < 5000; now_ms += 50)
-    greeted += csp_list_due_peers (roster, now_ms, due, 4);
-  ck_assert_uint_eq (greeted, 2);
+    hello_count += csp_list_due_peers (roster, now_ms, due, 4);
+  ck_assert_uint_ge (hello_count, 6);
+  for (hello_count = 0, now_ms = 4000; now_ms < 5000; now_ms += 50)
+    hello_count += csp_list_due_peers (roster, now_ms, due, 4);
+  ck_assert_uint_eq (hello_count, 2);
 }
 END_TEST
 
-START_TEST (a_datagram_survives_its_codec)
+START_TEST (a_hello_survives_its_codec)
 {
   csp_hello_t hello = hello_of (OTHER_BOOT, 3, true, 0);
   csp_hello_t back;
   csp_buffer_t bytes = { 0 };
-  size_t cut;
+  size_t size_bytes;
   size_t i;
 
   hello.load_count = CSP_HELLO_LOADS_MAX;
@@ -705,15 +716,16 @@
   ck_assert_uint_le (bytes.size_bytes, CSP_HELLO_MAX_BYTES);
   ck_assert (csp_decode_hello (bytes.data, bytes.size_bytes, &back));
   ck_assert_mem_eq (&hello, &back, sizeof hello);
-  /* Pieces of it never read past their end; what is no datagram is none.  */
-  for (cut = 0; cut < bytes.size_bytes; cut++)
-    csp_decode_hello (bytes.data, cut, &back);
+  /* Truncated datagrams must not be read past their end; malformed bytes are
+     rejected.  */
+  for (size_bytes = 0; size_bytes < bytes.size_bytes; size_bytes++)
+    csp_decode_hello (bytes.data, size_bytes, &back);
   ck_assert (!csp_decode_hello ("\xff\xff\xff", 3, &back));
   csp_clear_buffer (&bytes);
 }
 END_TEST
 
-START_TEST (an_ask_that_leaves_targets_out_survives_its_codec)
+START_TEST (an_ask_with_backoffs_survives_its_codec)
 {
   csp_hello_t hello = { .boot = 1, .sequence = 2, .ask_count = 1 };
   csp_buffer_t bytes = { 0 };
@@ -732,8 +744,8 @@
 }
 END_TEST
 
-/* Guards against a greeting that names suspects and doesn't fit a frame.  */
-START_TEST (a_full_greeting_with_suspects_fits_a_frame)
+/* Guards against a hello with suspects that doesn't fit into a frame.  */
+START_TEST (a_full_hello_with_suspects_fits_a_frame)
 {
   csp_hello_t hello = { .boot = UINT64_MAX,
                         .sequence = UINT64_MAX,
@@ -771,10 +783,10 @@
 }
 END_TEST
 
-/* A host's calendar is stepped back by a minute and its process killed.  The
-   new boot has a lower number than the one that is known, and its load must
-   count all the same, once the old one has been silent.  */
-START_TEST (a_boot_behind_a_calendar_that_stepped_back_is_heard)
+/* A host's clock is stepped back by a minute and its process is killed.  The
+   new boot has a lower number than the known one; its load must still be
+   counted once the old boot has timed out.  */
+START_TEST (a_lower_boot_after_a_clock_step_is_accepted)
 {
   csp_hello_t old = hello_of (OTHER_BOOT, 9, true, 4);
   csp_hello_t late = hello_of (OTHER_BOOT - 1, 1, true, 7);
@@ -796,30 +808,29 @@
   TCase *tcase = tcase_create ("roster");
 
   tcase_add_checked_fixture (tcase, set_up, tear_down);
-  tcase_add_loop_test (tcase, the_newest_word_of_a_host_counts, 0,
-                       sizeof stories / sizeof stories[0]);
-  tcase_add_test (tcase, a_silent_host_counts_no_more);
-  tcase_add_test (tcase, hosts_are_found_through_others);
-  tcase_add_test (tcase, silent_hosts_are_greeted_where_none_lives);
-  tcase_add_test (tcase, old_word_of_a_host_changes_nothing);
+  tcase_add_loop_test (tcase, the_newest_hello_of_a_host_counts, 0,
+                       sizeof cases / sizeof cases[0]);
+  tcase_add_test (tcase, the_load_of_a_silent_host_expires);
+  tcase_add_test (tcase, hosts_are_discovered_through_others);
+  tcase_add_test (tcase, silent_hosts_get_hellos_if_none_is_live);
+  tcase_add_test (tcase, outdated_gossip_is_ignored);
   tcase_add_loop_test (tcase, the_host_with_most_capacity_decides, 0,
-                       sizeof deciders / sizeof deciders[0]);
-  tcase_add_test (tcase, where_all_have_just_started_one_decides_at_once);
-  tcase_add_test (tcase, a_host_that_says_nothing_decides_no_more_for_a_while);
-  tcase_add_test (tcase, hosts_agree_on_who_reads);
-  tcase_add_test (tcase, hosts_that_ask_here_are_counted);
-  tcase_add_test (tcase, hosts_that_rank_first_leave_room_for_others);
-  tcase_add_test (tcase, readers_that_are_turned_away_are_named);
+                       sizeof decider_cases / sizeof decider_cases[0]);
+  tcase_add_test (tcase, hosts_that_all_just_started_have_a_decider);
+  tcase_add_test (tcase, an_unresponsive_decider_is_avoided_for_a_while);
+  tcase_add_test (tcase, hosts_agree_on_the_readers);
+  tcase_add_test (tcase, hosts_that_use_this_decider_are_counted);
+  tcase_add_test (tcase, gossip_names_random_hosts_too);
+  tcase_add_test (tcase, refused_readers_are_named);
   tcase_add_test (tcase, a_host_that_reads_ends_an_outage);
-  tcase_add_test (tcase,
-                  a_data_centre_follows_a_host_that_the_store_turns_away);
-  tcase_add_test (tcase, an_outage_of_the_store_makes_no_host_a_worse_reader);
-  tcase_add_test (tcase, a_host_that_starts_greets_often);
-  tcase_add_test (tcase, a_seed_that_is_not_up_yet_is_greeted_soon_again);
-  tcase_add_test (tcase, a_datagram_survives_its_codec);
-  tcase_add_test (tcase, a_full_greeting_with_suspects_fits_a_frame);
-  tcase_add_test (tcase, an_ask_that_leaves_targets_out_survives_its_codec);
-  tcase_add_test (tcase, a_boot_behind_a_calendar_that_stepped_back_is_heard);
+  tcase_add_test (tcase, a_data_centre_follows_a_refused_host);
+  tcase_add_test (tcase, an_outage_of_the_store_keeps_the_reader);
+  tcase_add_test (tcase, a_starting_host_sends_hellos_often);
+  tcase_add_test (tcase, a_seed_that_is_not_up_yet_is_retried_soon);
+  tcase_add_test (tcase, a_hello_survives_its_codec);
+  tcase_add_test (tcase, a_full_hello_with_suspects_fits_a_frame);
+  tcase_add_test (tcase, an_ask_with_backoffs_survives_its_codec);
+  tcase_add_test (tcase, a_lower_boot_after_a_clock_step_is_accepted);
   suite_add_tcase (suite, tcase);
   return run_suite (suite);
 }
