--- a/include/cowslipspoke/host-ref.h
+++ b/include/cowslipspoke/host-ref.h
@@ -6,16 +6,16 @@
 
 #include "cowslipspoke/names.h"
 
-/* One life of a host.  A process that is restarted under the same name and
-   address has lost its memory, so it counts as another: its incarnation is
-   higher.  */
+/* One incarnation of a host.  A process that restarts under the same name and
+   address has lost its memory, so it counts as another host, with a higher
+   incarnation.  */
 typedef struct
 {
   char name[CSP_HOST_NAME_BYTES];
   uint64_t incarnation;
 } csp_host_ref_t;
 
-/* Whether both are the same life of the same host.  */
+/* Whether both are the same incarnation of the same host.  */
 bool csp_same_host (const csp_host_ref_t *a, const csp_host_ref_t *b);
 
 #endif
--- a/source/membership/membership-imp.h
+++ b/source/membership/membership-imp.h
@@ -6,60 +6,62 @@
 
 enum
 {
-  CSP_MEMBER_EVENTS = 64,
-  CSP_WITNESSES = 16,
+  CSP_MAX_MEMBER_EVENTS = 64,
+  CSP_MAX_WITNESSES = 16,
   CSP_MAX_DATA_CENTRES = 128,
-  /* Unanswered asks that make a host of another data centre silent; it is
-     asked too seldom to count time.  */
+  /* Lost heartbeats that make a host of another data centre silent; it gets
+     heartbeats too rarely for a timeout.  */
   CSP_REMOTE_LOSSES = 2,
-  /* A silent host is still asked this often, so that it is found again.  */
-  CSP_SILENT_ASK_MS = 5000,
-  /* Several times what it takes all others to notice a death.  */
+  /* Interval of heartbeats to a silent host, so that its return is
+     noticed.  */
+  CSP_SILENT_HEARTBEAT_MS = 5000,
+  /* Several times what it takes all other hosts to detect a failed host.  */
   CSP_GIVE_UP_MS = 60000
 };
 
-/* Another host of our data centre that reported a host as silent.  */
+/* A host of this data centre that reported another as silent.  */
 typedef struct
 {
   char witness[CSP_HOST_NAME_BYTES];
-  int64_t said_ms;
+  int64_t reported_ms;
 } csp_witness_t;
 
 typedef struct
 {
   csp_host_view_t view;
-  /* Place among the hosts of its data centre: csp_hash_pair of both names. */
+  /* Orders the hosts of its data centre: csp_hash_pair of both names.  */
   uint64_t order;
   bool local;
   bool neighbour;
-  /* The list's word, which its own heartbeats do not take back.  */
+  /* The list says that it leaves; its own heartbeats don't revoke that.  */
   bool listed_leaving;
-  /* Its answers carry our incarnation: it has our address.  */
+  /* Its replies name this host's incarnation: it has this host's address.  */
   bool knows_us;
-  /* When the last answered ask was sent; -1 is never.  */
+  /* When the last answered heartbeat was sent; -1 is never.  */
   int64_t confirmed_ms;
-  /* The same for judging silence: moved on by our own pauses.  */
-  int64_t silence_base_ms;
+  /* The same as a base of the silence timeout: shifted by pauses of this
+     process.  */
+  int64_t silent_since_ms;
   int64_t known_since_ms;
-  int64_t heard_ms;
-  int64_t view_until_ms;
-  int64_t promise_until_ms;
-  /* It has promised something since it came into the view.  */
-  bool promised;
+  int64_t last_message_ms;
+  int64_t in_view_until_ms;
+  int64_t lease_until_ms;
+  /* It has granted a lease since it came into the view.  */
+  bool has_granted_lease;
   int64_t unlisted_ms;
-  /* The ask that is out; sequence 0 is none.  */
-  uint64_t open_sequence;
-  int64_t open_sent_ms;
-  int64_t next_ask_ms;
-  uint32_t losses;
+  /* The pending heartbeat; sequence 0 is none.  */
+  uint64_t pending_sequence;
+  int64_t pending_sent_ms;
+  int64_t next_heartbeat_ms;
+  uint32_t lost_heartbeats;
   size_t witness_count;
-  csp_witness_t witnesses[CSP_WITNESSES];
+  csp_witness_t witnesses[CSP_MAX_WITNESSES];
 } csp_peer_t;
 
 typedef struct
 {
   char name[CSP_HOST_NAME_BYTES];
-  /* Its hosts are by_order[first] on.  */
+  /* Its hosts start at by_order[first].  */
   size_t first;
   size_t count;
   bool has_summary;
@@ -74,25 +76,26 @@
   csp_local_state_t local;
   csp_random_t random;
   int64_t created_ms;
-  /* Created, or woken from a pause.  */
+  /* When it was created or resumed after a pause.  */
   int64_t started_ms;
   bool was_listed;
   int64_t last_tick_ms;
   int64_t list_version;
   uint64_t last_sequence;
-  uint64_t view_number;
-  uint64_t view_mark;
+  uint64_t view_version;
+  uint64_t view_hash;
   int64_t interval_ms;
-  /* Too many hosts here for everyone to ask everyone.  */
+  /* Too many hosts in this data centre for each to send heartbeats to
+     each.  */
   bool large;
-  /* Neighbours have to be chosen again at the next tick.  */
-  bool rearrange;
-  int64_t next_cross_ms;
-  size_t next_cross;
+  /* Neighbours must be chosen again at the next tick.  */
+  bool must_rearrange;
+  int64_t next_remote_heartbeat_ms;
+  size_t next_remote_data_centre;
   size_t next_summary;
   size_t next_suspect;
   size_t next_peer;
-  /* By name, and by data centre and then order.  */
+  /* Sorted by name; and by data centre, then order.  */
   size_t peer_count;
   csp_peer_t *by_name[CSP_MAX_HOSTS];
   csp_peer_t *by_order[CSP_MAX_HOSTS];
@@ -101,48 +104,49 @@
   csp_data_centre_t data_centres[CSP_MAX_DATA_CENTRES];
   size_t event_first;
   size_t event_count;
-  csp_member_event_t events[CSP_MEMBER_EVENTS];
+  csp_member_event_t events[CSP_MAX_MEMBER_EVENTS];
   uint64_t results[CSP_HEARTBEAT_RESULT_COUNT];
 };
 
 /* membership-peers.c: the table of hosts.  */
 csp_peer_t *csp_find_peer (const csp_membership_t *membership,
                            const char *name);
-/* A new host; NULL where the table is full of hosts that still count.  */
+/* Adds a host; NULL if the table is full of hosts that can't be removed.  */
 csp_peer_t *csp_add_peer (csp_membership_t *membership, const char *name,
                           const char *data_centre, int64_t now_ms);
-void csp_forget_peers (csp_membership_t *membership, int64_t now_ms);
-/* Sort hosts into data centres and choose neighbours.  */
+void csp_remove_old_peers (csp_membership_t *membership, int64_t now_ms);
+/* Groups hosts by data centre and chooses neighbours.  */
 void csp_arrange_peers (csp_membership_t *membership);
 csp_data_centre_t *csp_find_data_centre (csp_membership_t *membership,
                                          const char *name);
 
-/* membership-judge.c: who is alive.  */
-void csp_judge_peers (csp_membership_t *membership, int64_t now_ms);
-bool csp_in_view (const csp_peer_t *peer, int64_t now_ms);
+/* membership-judge.c: which hosts are alive.  */
+void csp_update_liveness (csp_membership_t *membership, int64_t now_ms);
+bool csp_is_in_view (const csp_peer_t *peer, int64_t now_ms);
 int64_t csp_grace_ms (const csp_membership_t *membership);
-/* How long from now we go on to count a peer as an owner.  */
-uint32_t csp_promise_ms (const csp_membership_t *membership,
-                         const csp_peer_t *peer, int64_t now_ms);
-void csp_hear_suspects (csp_membership_t *membership,
-                        const csp_heartbeat_t *heard, int64_t now_ms);
-void csp_fill_suspects (csp_membership_t *membership, csp_heartbeat_t *said,
+/* How long from now this host will count a peer as an owner of targets.  */
+uint32_t csp_granted_lease_ms (const csp_membership_t *membership,
+                               const csp_peer_t *peer, int64_t now_ms);
+void csp_apply_suspects (csp_membership_t *membership,
+                         const csp_heartbeat_t *message, int64_t now_ms);
+void csp_fill_suspects (csp_membership_t *membership, csp_heartbeat_t *message,
                         int64_t now_ms);
-/* Drop what witnesses of an earlier incarnation said.  */
+/* Removes the reports of witnesses about an earlier incarnation.  */
 void csp_clear_witnesses (csp_peer_t *peer);
 
-/* membership-summary.c: talk between data centres.  */
+/* membership-summary.c: messages between data centres.  */
 bool csp_is_relay (const csp_membership_t *membership, int64_t now_ms);
-void csp_hear_summaries (csp_membership_t *membership,
-                         const csp_heartbeat_t *heard, int64_t now_ms);
+void csp_apply_summaries (csp_membership_t *membership,
+                          const csp_heartbeat_t *message, int64_t now_ms);
 void csp_fill_summaries (csp_membership_t *membership, const csp_peer_t *to,
-                         csp_heartbeat_t *said, int64_t now_ms);
+                         csp_heartbeat_t *message, int64_t now_ms);
 
 /* membership-ask.c */
 void csp_fill_heartbeat (const csp_membership_t *membership,
-                         const csp_peer_t *to, csp_heartbeat_t *said);
-/* Notice that this process was paused; every entry with a time does so.  */
-void csp_notice_pause (csp_membership_t *membership, int64_t now_ms);
+                         const csp_peer_t *to, csp_heartbeat_t *message);
+/* Detects that this process was paused; every entry point with a time calls
+   it.  */
+void csp_detect_pause (csp_membership_t *membership, int64_t now_ms);
 
 /* membership.c */
 void csp_add_member_event (csp_membership_t *membership,
--- a/source/membership/membership-peers.c
+++ b/source/membership/membership-peers.c
@@ -6,9 +6,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Where a name stands in by_name, or would.  */
+/* Returns the index of a name in by_name, or where it would be inserted.  */
 static size_t
-find_place (const csp_membership_t *membership, const char *name, bool *found)
+find_name_index (const csp_membership_t *membership, const char *name,
+                 bool *found)
 {
   size_t low = 0;
   size_t high = membership->peer_count;
@@ -37,79 +38,83 @@
 csp_find_peer (const csp_membership_t *membership, const char *name)
 {
   bool found;
-  size_t place = find_place (membership, name, &found);
+  size_t index_of_name = find_name_index (membership, name, &found);
 
-  return found ? membership->by_name[place] : NULL;
+  return found ? membership->by_name[index_of_name] : NULL;
 }
 
 static void
-remove_peer (csp_membership_t *membership, size_t place)
+remove_peer (csp_membership_t *membership, size_t index_of_name)
 {
-  free (membership->by_name[place]);
+  free (membership->by_name[index_of_name]);
   membership->peer_count--;
-  memmove (&membership->by_name[place], &membership->by_name[place + 1],
-           (membership->peer_count - place) * sizeof (csp_peer_t *));
+  memmove (&membership->by_name[index_of_name],
+           &membership->by_name[index_of_name + 1],
+           (membership->peer_count - index_of_name) * sizeof (csp_peer_t *));
 }
 
-/* The host that can be missed most: unlisted the longest; SIZE_MAX where all
-   are listed or in the view.  */
+/* Returns the host to remove when the table is full, the one that was unlisted
+   first; SIZE_MAX if all are listed or in the view.  */
 static size_t
-find_least_needed (const csp_membership_t *membership, int64_t now_ms)
+find_removable_peer (const csp_membership_t *membership, int64_t now_ms)
 {
-  size_t least = SIZE_MAX;
+  size_t removable = SIZE_MAX;
   const csp_peer_t *peer;
   size_t i;
 
   for (i = 0; i < membership->peer_count; i++)
     {
       peer = membership->by_name[i];
-      if (!peer->view.self && !peer->view.listed && !csp_in_view (peer, now_ms)
-          && (least == SIZE_MAX
-              || peer->unlisted_ms < membership->by_name[least]->unlisted_ms))
-        least = i;
+      if (!peer->view.self && !peer->view.listed
+          && !csp_is_in_view (peer, now_ms)
+          && (removable == SIZE_MAX
+              || peer->unlisted_ms
+                     < membership->by_name[removable]->unlisted_ms))
+        removable = i;
     }
-  return least;
+  return removable;
 }
 
 csp_peer_t *
 csp_add_peer (csp_membership_t *membership, const char *name,
               const char *data_centre, int64_t now_ms)
 {
-  size_t least = SIZE_MAX;
+  size_t removable = SIZE_MAX;
   csp_peer_t *peer;
-  size_t place;
+  size_t index_of_name;
   bool found;
 
   if (membership->peer_count == CSP_MAX_HOSTS)
     {
-      least = find_least_needed (membership, now_ms);
-      if (least == SIZE_MAX)
+      removable = find_removable_peer (membership, now_ms);
+      if (removable == SIZE_MAX)
         return NULL;
     }
   peer = calloc (1, sizeof *peer);
   if (peer == NULL)
     return NULL;
-  if (least != SIZE_MAX)
-    remove_peer (membership, least);
-  place = find_place (membership, name, &found);
-  memmove (&membership->by_name[place + 1], &membership->by_name[place],
-           (membership->peer_count - place) * sizeof (csp_peer_t *));
-  membership->by_name[place] = peer;
+  if (removable != SIZE_MAX)
+    remove_peer (membership, removable);
+  index_of_name = find_name_index (membership, name, &found);
+  memmove (&membership->by_name[index_of_name + 1],
+           &membership->by_name[index_of_name],
+           (membership->peer_count - index_of_name) * sizeof (csp_peer_t *));
+  membership->by_name[index_of_name] = peer;
   membership->peer_count++;
   snprintf (peer->view.name, sizeof peer->view.name, "%s", name);
   snprintf (peer->view.data_centre, sizeof peer->view.data_centre, "%s",
             data_centre);
   peer->order = csp_hash_pair (data_centre, name);
   peer->confirmed_ms = -1;
-  peer->silence_base_ms = now_ms;
+  peer->silent_since_ms = now_ms;
   peer->known_since_ms = now_ms;
   peer->unlisted_ms = now_ms;
-  peer->promise_until_ms = INT64_MIN;
+  peer->lease_until_ms = INT64_MIN;
   return peer;
 }
 
 void
-csp_forget_peers (csp_membership_t *membership, int64_t now_ms)
+csp_remove_old_peers (csp_membership_t *membership, int64_t now_ms)
 {
   const csp_peer_t *peer;
   bool gone = false;
@@ -120,14 +125,14 @@
       peer = membership->by_name[i];
       if (peer->view.self || peer->view.listed
           || peer->view.liveness == CSP_PEER_ALIVE
-          || csp_in_view (peer, now_ms)
-          || now_ms - peer->unlisted_ms < CSP_FORGET_MS
-          || now_ms - peer->heard_ms < CSP_FORGET_MS)
+          || csp_is_in_view (peer, now_ms)
+          || now_ms - peer->unlisted_ms < CSP_PEER_RETENTION_MS
+          || now_ms - peer->last_message_ms < CSP_PEER_RETENTION_MS)
         continue;
       remove_peer (membership, i);
       gone = true;
     }
-  if (gone || membership->rearrange)
+  if (gone || membership->must_rearrange)
     csp_arrange_peers (membership);
 }
 
@@ -157,7 +162,7 @@
 }
 
 static csp_data_centre_t *
-claim_data_centre (csp_membership_t *membership, const char *name)
+find_or_add_data_centre (csp_membership_t *membership, const char *name)
 {
   csp_data_centre_t *found = csp_find_data_centre (membership, name);
 
@@ -170,19 +175,20 @@
   return found;
 }
 
-/* Gone from the list and silent for good.  Until then it is asked, and named
-   to others: those who have not seen it fall silent yet need our word.  */
+/* Whether a host is unlisted and has been silent for long.  Before that it
+   gets heartbeats and is reported to others: those that haven't found it
+   silent yet need this host's report.  */
 static bool
 is_given_up (const csp_membership_t *membership, const csp_peer_t *peer)
 {
   return !peer->view.listed && peer->view.liveness == CSP_PEER_SILENT
-         && membership->last_tick_ms - peer->silence_base_ms >= CSP_GIVE_UP_MS;
+         && membership->last_tick_ms - peer->silent_since_ms >= CSP_GIVE_UP_MS;
 }
 
-/* In a data centre of up to CSP_MAX_NEIGHBOURS + 1 hosts everyone asks
-   everyone.  In a larger one each asks the next ones in the ring, so that the
-   cost stays flat and each host has that many witnesses.  Hosts that are gone
-   from the list and silent take no place.  */
+/* In a data centre of up to CSP_MAX_NEIGHBOURS + 1 hosts each sends heartbeats
+   to each.  In a larger one each sends to the next ones in the ring, so that
+   the cost per host is constant and each host has that many witnesses.  Hosts
+   that have been given up aren't counted.  */
 static void
 choose_neighbours (csp_membership_t *membership)
 {
@@ -211,7 +217,7 @@
     }
   membership->large = counted > CSP_MAX_NEIGHBOURS;
   membership->interval_ms
-      = (int64_t)chosen * CSP_HEARTBEAT_MS / CSP_ASKS_PER_S;
+      = (int64_t)chosen * CSP_HEARTBEAT_MS / CSP_HEARTBEATS_PER_S;
   if (membership->interval_ms < CSP_HEARTBEAT_MS)
     membership->interval_ms = CSP_HEARTBEAT_MS;
 }
@@ -232,7 +238,8 @@
   for (i = 0; i < membership->peer_count; i++)
     {
       peer = membership->by_order[i];
-      data_centre = claim_data_centre (membership, peer->view.data_centre);
+      data_centre
+          = find_or_add_data_centre (membership, peer->view.data_centre);
       if (data_centre == NULL)
         continue;
       if (data_centre->count++ == 0)
@@ -245,5 +252,5 @@
       = csp_find_data_centre (membership, membership->self->view.data_centre);
   membership->home = (size_t)(data_centre - membership->data_centres);
   choose_neighbours (membership);
-  membership->rearrange = false;
+  membership->must_rearrange = false;
 }
--- a/source/membership/membership-spread.c
+++ b/source/membership/membership-spread.c
@@ -6,9 +6,9 @@
 
 enum
 {
-  /* A host elsewhere is asked now and then; its last word is used this long.
-   */
-  REMOTE_WORD_MS = 60000
+  /* A host of another data centre gets heartbeats only rarely; its last
+     message is used for this long.  */
+  REMOTE_STATE_TTL_MS = 60000
 };
 
 static void
@@ -44,7 +44,7 @@
     {
       peer = membership->by_order[i];
       if (!peer->local && peer->view.liveness == CSP_PEER_ALIVE
-          && now_ms - peer->heard_ms < REMOTE_WORD_MS)
+          && now_ms - peer->last_message_ms < REMOTE_STATE_TTL_MS)
         fill_peer (peer, &peers[count++]);
     }
   return count;
--- a/source/membership/membership-summary.c
+++ b/source/membership/membership-summary.c
@@ -5,12 +5,13 @@
 
 enum
 {
-  /* Older summaries are not passed on.  */
-  SUMMARY_MS = 60000
+  /* Older summaries aren't forwarded.  */
+  SUMMARY_TTL_MS = 60000
 };
 
-/* The first CSP_RELAYS hosts of the data centre, in the order that all share,
-   talk to other data centres.  Two, so that one death cuts nothing.  */
+/* The first CSP_RELAYS_MAX hosts of the data centre, in the order that all
+   hosts share, exchange heartbeats with other data centres.  There are two, so
+   that the failure of one cuts off no data centre.  */
 bool
 csp_is_relay (const csp_membership_t *membership, int64_t now_ms)
 {
@@ -23,29 +24,30 @@
     {
       peer = membership->by_order[home->first + i];
       if (peer->view.self)
-        return before < CSP_RELAYS;
-      before += csp_in_view (peer, now_ms);
+        return before < CSP_RELAYS_MAX;
+      before += csp_is_in_view (peer, now_ms);
     }
   return false;
 }
 
 static void
-consider_best (csp_summary_t *summary, const char *name,
-               int64_t headroom_tokens)
+insert_best_host (csp_summary_t *summary, const char *name,
+                  int64_t headroom_tokens)
 {
-  size_t at = CSP_SUMMARY_HOSTS;
+  size_t position = CSP_SUMMARY_HOSTS;
   size_t i;
 
-  while (at > 0
-         && (summary->best[at - 1].name[0] == '\0'
-             || summary->best[at - 1].headroom_tokens < headroom_tokens))
-    at--;
-  if (at == CSP_SUMMARY_HOSTS)
+  while (position > 0
+         && (summary->best[position - 1].name[0] == '\0'
+             || summary->best[position - 1].headroom_tokens < headroom_tokens))
+    position--;
+  if (position == CSP_SUMMARY_HOSTS)
     return;
-  for (i = CSP_SUMMARY_HOSTS - 1; i > at; i--)
+  for (i = CSP_SUMMARY_HOSTS - 1; i > position; i--)
     summary->best[i] = summary->best[i - 1];
-  snprintf (summary->best[at].name, sizeof summary->best[at].name, "%s", name);
-  summary->best[at].headroom_tokens = headroom_tokens;
+  snprintf (summary->best[position].name, sizeof summary->best[position].name,
+            "%s", name);
+  summary->best[position].headroom_tokens = headroom_tokens;
 }
 
 static void
@@ -56,7 +58,7 @@
   summary->headroom_tokens += headroom_tokens;
   if (revision > summary->revision)
     summary->revision = revision;
-  consider_best (summary, name, headroom_tokens);
+  insert_best_host (summary, name, headroom_tokens);
 }
 
 static void
@@ -82,8 +84,8 @@
 }
 
 static void
-keep_summary (csp_membership_t *membership, const csp_summary_t *summary,
-              int64_t now_ms)
+store_summary (csp_membership_t *membership, const csp_summary_t *summary,
+               int64_t now_ms)
 {
   csp_data_centre_t *data_centre
       = csp_find_data_centre (membership, summary->data_centre);
@@ -99,48 +101,48 @@
 }
 
 void
-csp_hear_summaries (csp_membership_t *membership, const csp_heartbeat_t *heard,
-                    int64_t now_ms)
+csp_apply_summaries (csp_membership_t *membership,
+                     const csp_heartbeat_t *message, int64_t now_ms)
 {
   uint8_t i;
 
-  for (i = 0; i < heard->summary_count; i++)
-    keep_summary (membership, &heard->summaries[i], now_ms);
+  for (i = 0; i < message->summary_count; i++)
+    store_summary (membership, &message->summaries[i], now_ms);
 }
 
 static void
-fill_stored (csp_membership_t *membership, const csp_peer_t *to,
-             csp_heartbeat_t *said, int64_t now_ms)
+fill_stored_summaries (csp_membership_t *membership, const csp_peer_t *to,
+                       csp_heartbeat_t *message, int64_t now_ms)
 {
   size_t count = membership->data_centre_count;
   const csp_data_centre_t *data_centre;
   size_t i;
 
-  for (i = 0; i < count && said->summary_count < CSP_MAX_SUMMARIES; i++)
+  for (i = 0; i < count && message->summary_count < CSP_MAX_SUMMARIES; i++)
     {
       data_centre
           = &membership->data_centres[membership->next_summary++ % count];
       if (!data_centre->has_summary
-          || now_ms - data_centre->summary_ms >= SUMMARY_MS
+          || now_ms - data_centre->summary_ms >= SUMMARY_TTL_MS
           || strcmp (data_centre->name, to->view.data_centre) == 0)
         continue;
-      said->summaries[said->summary_count] = data_centre->summary;
-      said->summaries[said->summary_count].age_ms
+      message->summaries[message->summary_count] = data_centre->summary;
+      message->summaries[message->summary_count].age_ms
           = (uint32_t)(now_ms - data_centre->summary_ms);
-      said->summary_count++;
+      message->summary_count++;
     }
 }
 
-/* A relay gives its own data centre in brief to others, and in turn what it
-   heard of third ones to everyone, a few with each message.  */
+/* A relay sends the summary of its own data centre to others, and forwards
+   those of third ones to all hosts, a few with each message.  */
 void
 csp_fill_summaries (csp_membership_t *membership, const csp_peer_t *to,
-                    csp_heartbeat_t *said, int64_t now_ms)
+                    csp_heartbeat_t *message, int64_t now_ms)
 {
   if (!to->local)
-    summarise_home (membership, &said->summaries[said->summary_count++]);
+    summarise_home (membership, &message->summaries[message->summary_count++]);
   if (csp_is_relay (membership, now_ms))
-    fill_stored (membership, to, said, now_ms);
+    fill_stored_summaries (membership, to, message, now_ms);
 }
 
 bool
--- a/source/membership/membership.c
+++ b/source/membership/membership.c
@@ -71,15 +71,15 @@
 {
   csp_member_event_t *event;
 
-  if (membership->event_count == CSP_MEMBER_EVENTS)
+  if (membership->event_count == CSP_MAX_MEMBER_EVENTS)
     {
       membership->event_first
-          = (membership->event_first + 1) % CSP_MEMBER_EVENTS;
+          = (membership->event_first + 1) % CSP_MAX_MEMBER_EVENTS;
       membership->event_count--;
     }
   event = &membership
                ->events[(membership->event_first + membership->event_count++)
-                        % CSP_MEMBER_EVENTS];
+                        % CSP_MAX_MEMBER_EVENTS];
   event->kind = kind;
   event->value = value;
   snprintf (event->peer, sizeof event->peer, "%s", peer);
@@ -91,16 +91,17 @@
   if (membership->event_count == 0)
     return false;
   *event = membership->events[membership->event_first];
-  membership->event_first = (membership->event_first + 1) % CSP_MEMBER_EVENTS;
+  membership->event_first
+      = (membership->event_first + 1) % CSP_MAX_MEMBER_EVENTS;
   membership->event_count--;
   return true;
 }
 
-/* The list's word on addresses counts until the host itself has spoken.  Its
-   word on leaving counts at once, for ourselves too.  */
+/* The list's address of a host counts until the host itself has sent a
+   message.  The list's leaving state counts at once, also for this host.  */
 static void
-note_listed (csp_membership_t *membership, const csp_listed_host_t *host,
-             int64_t now_ms)
+apply_listed_host (csp_membership_t *membership, const csp_listed_host_t *host,
+                   int64_t now_ms)
 {
   csp_peer_t *peer = csp_find_peer (membership, host->name);
 
@@ -117,7 +118,7 @@
       membership->was_listed = true;
       return;
     }
-  if (peer->heard_ms == 0 || peer->view.liveness == CSP_PEER_SILENT)
+  if (peer->last_message_ms == 0 || peer->view.liveness == CSP_PEER_SILENT)
     {
       memcpy (peer->view.region, host->region, sizeof peer->view.region);
       memcpy (peer->view.address, host->address, sizeof peer->view.address);
@@ -150,7 +151,7 @@
       peer->view.listed = false;
     }
   for (i = 0; i < list->host_count; i++)
-    note_listed (membership, &list->hosts[i], now_ms);
+    apply_listed_host (membership, &list->hosts[i], now_ms);
   csp_arrange_peers (membership);
   return CSP_LIST_TAKEN;
 }
@@ -163,7 +164,7 @@
 
   if (peer != NULL)
     return;
-  note_listed (membership, host, now_ms);
+  apply_listed_host (membership, host, now_ms);
   peer = csp_find_peer (membership, host->name);
   if (peer != NULL)
     peer->view.listed = false;
@@ -190,21 +191,21 @@
 uint64_t
 csp_view_number (const csp_membership_t *membership)
 {
-  return membership->view_number;
+  return membership->view_version;
 }
 
-/* A peer that just came back has not seen us yet and promises nothing; if that
-   stopped our grants, each host that flaps would stop its whole data centre.
-   Nothing is lost by not waiting for it: it was outside of the view before.
-   A host that starts or wakes up does wait, also for a host that was silent
-   when it fell asleep, as long as that has to answer and as its own lease may
-   last: it may have come back, taken over, and fallen asleep in turn.  */
+/* A peer that just came back may not know this host yet and grants no lease.
+   If that stopped this host's grants, each flapping host would stop its whole
+   data centre; ignoring it is safe, as it wasn't in the view before.  A host
+   that starts or resumes does wait, also for a host that was silent before its
+   pause, as long as that host may take to reply and its lease may last: it may
+   have come back, taken the targets, and been paused in turn.  */
 static int64_t
 lease_from_peer (const csp_membership_t *membership, const csp_peer_t *peer)
 {
   int64_t age_ms = membership->last_tick_ms - membership->started_ms;
   bool starting = age_ms < csp_silent_after_ms (membership);
-  bool asking = age_ms <= CSP_LEASE_CAP_MS;
+  bool asking = age_ms <= CSP_MAX_LEASE_MS;
 
   if (!peer->neighbour || peer->view.state == CSP_MEMBER_LEAVING)
     return INT64_MAX;
@@ -213,8 +214,9 @@
     case CSP_PEER_UNCONFIRMED:
       return starting ? INT64_MIN : INT64_MAX;
     case CSP_PEER_ALIVE:
-      return peer->promised || starting ? peer->promise_until_ms : INT64_MAX;
-    case CSP_PEER_CUT:
+      return peer->has_granted_lease || starting ? peer->lease_until_ms
+                                                 : INT64_MAX;
+    case CSP_PEER_UNREACHABLE:
     case CSP_PEER_SILENT:
       break;
     }
@@ -233,7 +235,7 @@
 csp_lease_until_ms (const csp_membership_t *membership)
 {
   const csp_data_centre_t *home = &membership->data_centres[membership->home];
-  int64_t until_ms = membership->last_tick_ms + CSP_LEASE_CAP_MS;
+  int64_t until_ms = membership->last_tick_ms + CSP_MAX_LEASE_MS;
   int64_t promised_ms;
   size_t i;
 
@@ -256,11 +258,11 @@
 }
 
 static void
-view_peer (const csp_peer_t *peer, int64_t now_ms, csp_host_view_t *view)
+copy_view (const csp_peer_t *peer, int64_t now_ms, csp_host_view_t *view)
 {
   *view = peer->view;
   view->knows_us = peer->knows_us;
-  view->in_view = csp_in_view (peer, now_ms);
+  view->in_view = csp_is_in_view (peer, now_ms);
   view->confirmed_age_ms
       = peer->confirmed_ms < 0 ? -1 : now_ms - peer->confirmed_ms;
   if (peer->view.self)
@@ -272,7 +274,7 @@
 csp_view_host (const csp_membership_t *membership, size_t index,
                int64_t now_ms, csp_host_view_t *view)
 {
-  view_peer (membership->by_name[index], now_ms, view);
+  copy_view (membership->by_name[index], now_ms, view);
 }
 
 bool
@@ -283,7 +285,7 @@
 
   if (peer == NULL)
     return false;
-  view_peer (peer, now_ms, view);
+  copy_view (peer, now_ms, view);
   return true;
 }
 
--- a/tests/membership/membership-test.c
+++ b/tests/membership/membership-test.c
@@ -50,7 +50,8 @@
   return found;
 }
 
-/* How many events of a kind a node has logged about a peer, taking all.  */
+/* Counts the events of a kind that a node has logged; takes all of its
+   events.  */
 static size_t
 count_events (fleet_t *fleet, size_t node, csp_member_event_kind_t kind)
 {
@@ -83,10 +84,10 @@
 };
 
 /* Heartbeats arrive from another deployment that was given the same address,
-   from a version that speaks another protocol, from a process that was
-   replaced and wakes up, and from a second host with our own name.  Were they
-   heard, that host would be given targets or requests of ours.  */
-START_TEST (strangers_are_refused)
+   from an unsupported protocol version, from a replaced process that resumes,
+   and from a second host with this host's name.  If they were accepted, that
+   host would be given targets or requests.  */
+START_TEST (invalid_heartbeats_are_refused)
 {
   const refusal_case_t *row = &refusal_cases[_i];
   fleet_t *fleet = start_fleet (3, 1, 1);
@@ -118,22 +119,22 @@
   size_t nodes;
   csp_peer_liveness_t liveness;
   bool in_view;
-} cut_case_t;
+} one_way_case_t;
 
-static const cut_case_t cut_cases[] = {
+static const one_way_case_t one_way_cases[] = {
   { 2, CSP_PEER_SILENT, false },
-  { 3, CSP_PEER_CUT, true },
-  { 6, CSP_PEER_CUT, true },
+  { 3, CSP_PEER_UNREACHABLE, true },
+  { 6, CSP_PEER_UNREACHABLE, true },
 };
 
-/* A link loses packets in one direction only: h0 still hears h1, and h1 hears
-   nothing from h0.  Did h0 take what it hears for life, it would hand work to
-   a host whose answers never come.  With other hosts there that still reach
-   both, the two stay in each other's view, so that one bad link moves no
-   target.  */
-START_TEST (one_direction_is_no_life)
+/* A link loses packets in one direction only: h0 still gets messages from h1,
+   and h1 gets none from h0.  If h0 took incoming messages as proof of life, it
+   would hand work to a host whose replies never arrive.  If other hosts still
+   reach both, the two stay in each other's view, so that one broken link moves
+   no target.  */
+START_TEST (one_way_messages_make_no_peer_alive)
 {
-  const cut_case_t *row = &cut_cases[_i];
+  const one_way_case_t *row = &one_way_cases[_i];
   fleet_t *fleet = start_fleet (row->nodes, 1, 3);
   csp_ownership_status_t owned;
   size_t i;
@@ -157,10 +158,10 @@
 }
 END_TEST
 
-/* A host is stopped for longer than its peers wait, and continues.  It has
-   heard from nobody for that long.  Did it believe its own clock, it would
-   find everyone dead, and take every target.  */
-START_TEST (a_host_that_wakes_up_does_not_bury_its_peers)
+/* A host is paused for longer than the silence timeout and resumes.  If it
+   judged its peers by its own clock, it would find all of them silent and take
+   every target.  */
+START_TEST (a_host_that_resumes_keeps_its_peers)
 {
   fleet_t *fleet = start_fleet (5, 1, (uint64_t)_i);
   int64_t pause_ms = 1000 + 7000 * _i;
@@ -181,10 +182,10 @@
 }
 END_TEST
 
-/* A process is killed and started again at the same address within a second,
-   faster than anyone notices silence.  Messages of the old one are still
-   under way.  The old one has to be dead at once, or its promises and its
-   streams would be taken for the new one's.  */
+/* A process is killed and restarted at the same address within a second,
+   before any timeout, while messages of the old one are still under way.  The
+   old incarnation must be dead at once, or its leases and its streams would be
+   taken for those of the new one.  */
 START_TEST (a_restart_ends_the_old_incarnation_at_once)
 {
   fleet_t *fleet = start_fleet (3, 1, (uint64_t)_i);
@@ -215,10 +216,10 @@
 }
 END_TEST
 
-/* The platform is away, and its last list still names a host that died since.
-   The others notice by themselves; what the list says brings nobody to life,
-   and the silent host stays known for those who must ask it.  */
-START_TEST (deaths_are_noticed_without_the_platform)
+/* The platform is down, and its last list still names a host that has failed
+   since.  The others detect the failure by themselves; the list makes no host
+   alive, and the silent host stays known to those that must ask it.  */
+START_TEST (failures_are_detected_without_the_platform)
 {
   fleet_t *fleet = start_fleet (5, 1, (uint64_t)_i);
   size_t i;
@@ -234,16 +235,16 @@
     }
   fleet_start (fleet, 4);
   fleet_run (fleet, 3000);
-  /* It reads no list; its peers, who ask it now and then, bring it in.  */
+  /* It reads no list; it is found through heartbeats of its peers.  */
   fleet_run (fleet, 10000);
   ck_assert (all_alive (fleet));
   fleet_destroy (fleet);
 }
 END_TEST
 
-/* The platform answers with an older list, in which a host that joined since
-   does not stand.  Taken, it would drop a healthy host.  */
-START_TEST (an_older_list_changes_nothing)
+/* The platform returns an older list that lacks a host that joined since.  If
+   it were applied, a healthy host would be dropped.  */
+START_TEST (an_older_list_is_ignored)
 {
   fleet_t *fleet = start_fleet (3, 1, 1);
   csp_host_list_t old = { .version = fleet->list_version - 1 };
@@ -272,9 +273,9 @@
 static const size_case_t size_cases[]
     = { { 9, 4 }, { 24, 2 }, { 60, 5 }, { 110, 10 }, { 60, 1 } };
 
-/* The fleet grows.  If each host talked to each, one host's messages would
-   grow with it; they stay within what a data centre of twelve needs.  */
-START_TEST (talk_stays_flat_as_the_fleet_grows)
+/* If each host sent heartbeats to each, a host's traffic would grow with the
+   fleet; it must stay within what a data centre of twelve hosts needs.  */
+START_TEST (traffic_per_host_is_constant)
 {
   fleet_t *fleet
       = start_fleet (size_cases[_i].nodes, size_cases[_i].data_centres, 2);
@@ -286,14 +287,15 @@
   fleet_run (fleet, 10000);
   for (i = 0; i < fleet->settings.nodes; i++)
     ck_assert_uint_le (fleet->nodes[i].messages - messages[i],
-                       10 * 2 * (CSP_ASKS_PER_S + 2));
+                       10 * 2 * (CSP_HEARTBEATS_PER_S + 2));
   fleet_destroy (fleet);
 }
 END_TEST
 
-/* A data centre of sixty hosts, where nobody can ask everybody.  Two hosts die
-   at once.  Hosts that never ask them learn it from those that do.  */
-START_TEST (deaths_are_noticed_in_a_large_data_centre)
+/* In a data centre of sixty hosts, too many for each to send heartbeats to
+   each, two fail at once.  Hosts that send them no heartbeats must learn it
+   from those that do.  */
+START_TEST (failures_are_detected_in_a_large_data_centre)
 {
   fleet_t *fleet = start_fleet (60, 1, (uint64_t)_i);
   size_t i;
@@ -314,8 +316,8 @@
 }
 END_TEST
 
-/* A host without headroom looks for one in another data centre that it never
-   talks to itself.  */
+/* A host without headroom looks for a host in another data centre with which
+   it never exchanges messages itself.  */
 START_TEST (summaries_reach_every_data_centre)
 {
   fleet_t *fleet = start_fleet (24, 6, 4);
@@ -350,19 +352,20 @@
   TCase *tcase = tcase_create ("membership");
 
   tcase_set_timeout (tcase, 120);
-  tcase_add_loop_test (tcase, strangers_are_refused, 0,
+  tcase_add_loop_test (tcase, invalid_heartbeats_are_refused, 0,
                        sizeof refusal_cases / sizeof *refusal_cases);
-  tcase_add_loop_test (tcase, one_direction_is_no_life, 0,
-                       sizeof cut_cases / sizeof *cut_cases);
-  tcase_add_loop_test (tcase, a_host_that_wakes_up_does_not_bury_its_peers, 0,
-                       6);
+  tcase_add_loop_test (tcase, one_way_messages_make_no_peer_alive, 0,
+                       sizeof one_way_cases / sizeof *one_way_cases);
+  tcase_add_loop_test (tcase, a_host_that_resumes_keeps_its_peers, 0, 6);
   tcase_add_loop_test (tcase, a_restart_ends_the_old_incarnation_at_once, 0,
                        5);
-  tcase_add_loop_test (tcase, deaths_are_noticed_without_the_platform, 0, 5);
-  tcase_add_test (tcase, an_older_list_changes_nothing);
-  tcase_add_loop_test (tcase, talk_stays_flat_as_the_fleet_grows, 0,
+  tcase_add_loop_test (tcase, failures_are_detected_without_the_platform, 0,
+                       5);
+  tcase_add_test (tcase, an_older_list_is_ignored);
+  tcase_add_loop_test (tcase, traffic_per_host_is_constant, 0,
                        sizeof size_cases / sizeof *size_cases);
-  tcase_add_loop_test (tcase, deaths_are_noticed_in_a_large_data_centre, 0, 3);
+  tcase_add_loop_test (tcase, failures_are_detected_in_a_large_data_centre, 0,
+                       3);
   tcase_add_test (tcase, summaries_reach_every_data_centre);
   suite_add_tcase (suite, tcase);
   return run_suite (suite);
