--- a/include/cowslipspoke/buffer.h
+++ b/include/cowslipspoke/buffer.h
@@ -4,27 +4,28 @@
 #include <stdbool.h>
 #include <stddef.h>
 
-/* Bytes that grow at their end and are taken from their front.  A zeroed
-   value is an empty buffer.  */
+/* A byte queue: bytes are appended at the end and consumed from the front.  A
+   zeroed value is an empty buffer.  */
 typedef struct
 {
   char *data;
   size_t size_bytes;
-  size_t room_bytes;
+  size_t capacity_bytes;
 } csp_buffer_t;
 
-/* Add bytes; false when memory fails, and the buffer is then as before.  */
+/* Appends bytes; false when memory allocation fails, and the buffer is then
+   unchanged.  */
 bool csp_append_buffer (csp_buffer_t *buffer, const void *data,
                         size_t size_bytes);
 
-/* Add text by a printf format; false when memory fails.  */
+/* Appends text by a printf format; false when memory allocation fails.  */
 bool csp_print_buffer (csp_buffer_t *buffer, const char *format, ...)
     __attribute__ ((format (printf, 2, 3)));
 
-/* Take bytes from the front; at most what is there.  */
+/* Removes bytes from the front, at most what the buffer holds.  */
 void csp_consume_buffer (csp_buffer_t *buffer, size_t size_bytes);
 
-/* Empty the buffer and give its memory back.  */
+/* Empties the buffer and frees its memory.  */
 void csp_clear_buffer (csp_buffer_t *buffer);
 
 #endif
--- a/include/cowslipspoke/clock.h
+++ b/include/cowslipspoke/clock.h
@@ -4,11 +4,11 @@
 #include <stdint.h>
 #include <time.h>
 
-/* Time as an interface, so that tests can stop it, move it and skip it.
+/* A clock interface, so that tests can stop and advance time.
 
-   steady is a clock that never steps back and that goes on while the process
-   or the machine is suspended; leases and deadlines are counted on it.  wall
-   is the calendar, for logs and for ages that callers state.  */
+   steady never steps back and keeps running while the process or the machine
+   is suspended; leases and deadlines use it.  wall is Unix time, for logs and
+   for ages that callers report.  */
 typedef struct
 {
   struct timespec (*steady) (void *state);
@@ -16,7 +16,7 @@
   void *state;
 } csp_clock_t;
 
-/* The machine's own clock.  */
+/* The clock of the operating system.  */
 csp_clock_t csp_system_clock (void);
 
 /* Steady time in whole milliseconds.  */
@@ -25,20 +25,20 @@
 /* Steady time in microseconds, for gaps between tokens.  */
 int64_t csp_now_us (const csp_clock_t *clock);
 
-/* Calendar time in milliseconds since 1970.  */
+/* Unix time in milliseconds.  */
 int64_t csp_wall_ms (const csp_clock_t *clock);
 
-/* A clock that stands still until it is moved; for tests and replays.  */
+/* A clock that changes only when it is advanced; for tests and replays.  */
 typedef struct
 {
   int64_t steady_ms;
   int64_t wall_ms;
 } csp_fake_clock_t;
 
-/* The interface of a fake clock, which must outlive it.  */
+/* The clock interface of a fake clock, which must outlive it.  */
 csp_clock_t csp_clock_of_fake (csp_fake_clock_t *fake);
 
-/* Move both times of a fake clock on.  */
+/* Advances both times of a fake clock.  */
 void csp_advance_fake_clock (csp_fake_clock_t *fake, int64_t ms);
 
 #endif
--- a/include/cowslipspoke/context.h
+++ b/include/cowslipspoke/context.h
@@ -6,8 +6,8 @@
 #include "cowslipspoke/metrics.h"
 #include "cowslipspoke/settings.h"
 
-/* What every part of a host is given: its settings, the time, and where it
-   writes events and counts.  It outlives all parts.  */
+/* The environment shared by all parts of a host: its settings, the clock, the
+   log and the metrics.  It outlives all parts.  */
 typedef struct
 {
   csp_settings_t settings;
--- a/include/cowslipspoke/faults.h
+++ b/include/cowslipspoke/faults.h
@@ -4,13 +4,13 @@
 #include <stddef.h>
 #include <stdio.h>
 
-/* Faults found in what people wrote: settings and declarations.  A reader
-   goes on after a fault, so that one run shows all of them.  */
+/* Errors found in settings and declarations.  Readers continue after an error,
+   so that one run reports all of them.  */
 typedef struct csp_faults csp_faults_t;
 
 /* One fault.  where is the file or the key, path the path inside it such as
    "limits.max_waiting" ("" for the whole), line the line or 0, and text names
-   the value found and what is allowed.  */
+   the value found and the allowed values.  */
 typedef struct
 {
   char *where;
@@ -21,28 +21,28 @@
 
 enum
 {
-  /* More than this are counted and not kept.  */
+  /* Faults beyond this are counted but not stored.  */
   CSP_FAULTS_KEPT = 1000
 };
 
-/* An empty list.  */
+/* Creates an empty list.  */
 csp_faults_t *csp_create_faults (void);
 void csp_destroy_faults (csp_faults_t *faults);
 
-/* Add a fault; text is a printf format.  faults may be NULL: then the fault
-   is dropped.  */
+/* Adds a fault; text is a printf format.  If faults is NULL the fault is
+   dropped.  */
 void csp_add_fault (csp_faults_t *faults, const char *where, const char *path,
                     int line, const char *text, ...)
     __attribute__ ((format (printf, 5, 6)));
 
-/* Number of faults found, also of those that were not kept.  */
+/* The number of faults, including those that weren't stored.  */
 size_t csp_count_faults (const csp_faults_t *faults);
 
 /* The fault at an index below the smaller of the count and CSP_FAULTS_KEPT.
-   It belongs to the list.  */
+   The list owns it.  */
 const csp_fault_t *csp_get_fault (const csp_faults_t *faults, size_t index);
 
-/* Print all faults, one a line: "WHERE:LINE: PATH: TEXT".  */
+/* Prints the stored faults, one per line: "WHERE:LINE: PATH: TEXT".  */
 void csp_print_faults (const csp_faults_t *faults, FILE *stream);
 
 #endif
--- a/include/cowslipspoke/intern.h
+++ b/include/cowslipspoke/intern.h
@@ -3,7 +3,8 @@
 
 #include <stdint.h>
 
-/* Small numbers for names, for tables that are indexed by organisation.  */
+/* Maps names to small numbers, for tables that are indexed by
+   organisation.  */
 typedef struct csp_intern csp_intern_t;
 
 enum
@@ -11,20 +12,22 @@
   CSP_INTERN_NONE = UINT32_MAX
 };
 
-/* A table of at most limit names.  NULL when memory fails.  */
+/* Creates a table of at most limit names; NULL when memory allocation
+   fails.  */
 csp_intern_t *csp_create_intern (uint32_t limit);
 
-/* Free a table; NULL is allowed.  */
+/* Frees a table; NULL is allowed.  */
 void csp_destroy_intern (csp_intern_t *intern);
 
-/* The number of a name, from 0; a new name gets the next one.  When the table
-   is full or memory fails, CSP_INTERN_NONE.  */
+/* Returns the number of a name, from 0; a new name gets the next number.
+   CSP_INTERN_NONE when the table is full or memory allocation fails.  */
 uint32_t csp_intern_name (csp_intern_t *intern, const char *name);
 
-/* The name of a number that the table gave.  */
-const char *csp_interned_name (const csp_intern_t *intern, uint32_t number);
+/* Returns the name with this number; NULL if there is none.  */
+const char *csp_get_interned_name (const csp_intern_t *intern,
+                                   uint32_t number);
 
-/* How many names there are.  */
+/* The number of names.  */
 uint32_t csp_count_interned (const csp_intern_t *intern);
 
 #endif
--- a/include/cowslipspoke/names.h
+++ b/include/cowslipspoke/names.h
@@ -1,16 +1,16 @@
 #ifndef COWSLIPSPOKE_NAMES_H
 #define COWSLIPSPOKE_NAMES_H
 
-/* Sizes and bounds that every slice shares.  */
+/* Sizes and limits that all modules share.  */
 enum
 {
-  /* Any declared name, with its closing nul.  */
+  /* Any declared name, with its terminating null.  */
   CSP_NAME_BYTES = 64,
   CSP_HOST_NAME_BYTES = CSP_NAME_BYTES,
   CSP_DATA_CENTRE_NAME_BYTES = CSP_NAME_BYTES,
-  /* An IP number as text, with its closing nul.  */
+  /* An IP address as text, with its terminating null.  */
   CSP_ADDRESS_BYTES = 48,
-  /* Priorities run from 0, first to give way, to 9.  */
+  /* Priorities range from 0, the first to be preempted, to this.  */
   CSP_PRIORITY_MAX = 9
 };
 
--- a/include/cowslipspoke/text.h
+++ b/include/cowslipspoke/text.h
@@ -4,12 +4,12 @@
 #include <stdbool.h>
 #include <stddef.h>
 
-/* Copy a text into a field of room_bytes, cut at its size.  For names whose
-   length was checked where they came in.  */
-void csp_copy_text (char *field, size_t room_bytes, const char *text);
+/* Copies a text into a field of field_bytes and truncates it to fit.  For
+   names whose length was checked on input.  */
+void csp_copy_text (char *field, size_t field_bytes, const char *text);
 
-/* Whether bytes are UTF-8 as RFC 3629 has it: no overlong forms, surrogates
-   or numbers behind U+10FFFF, which readers take for different texts.  */
+/* Whether bytes are valid UTF-8 by RFC 3629: no overlong forms, surrogates or
+   code points above U+10FFFF, which other decoders read differently.  */
 bool csp_is_utf8 (const char *text, size_t size_bytes);
 
 #endif
--- a/include/cowslipspoke/verdict.h
+++ b/include/cowslipspoke/verdict.h
@@ -3,11 +3,11 @@
 
 #include <stdint.h>
 
-/* What is known about a request that did not end well.
+/* Whether a request that failed was executed.
 
-   NOT_RUN is a promise: no byte that could start work has left, or the
-   target itself said that it started nothing.  Code that is unsure says
-   MAY_HAVE_RUN.  */
+   NOT_RUN is a guarantee: no byte that could start work was sent, or the
+   target itself reported that it started nothing.  If that is uncertain the
+   verdict is MAY_HAVE_RUN.  */
 typedef enum
 {
   CSP_VERDICT_NOT_RUN,
@@ -15,8 +15,8 @@
   CSP_VERDICT_MAY_HAVE_RUN
 } csp_verdict_t;
 
-/* Why a request was turned away or ended.  The codes that callers see are
-   stable; see csp_reason_code.  */
+/* Why a request was refused or ended.  The codes that callers get are stable;
+   see csp_reason_code.  */
 typedef enum
 {
   CSP_REASON_NONE,
@@ -50,8 +50,8 @@
   CSP_ERROR_DETAIL_BYTES = 160
 };
 
-/* The error that travels from any slice to the caller.  retry_after_ms is 0
-   where coming back does not help.  */
+/* The error that any module returns to the caller.  retry_after_ms is 0 if a
+   retry doesn't help.  */
 typedef struct
 {
   csp_verdict_t verdict;
@@ -60,16 +60,16 @@
   char detail[CSP_ERROR_DETAIL_BYTES];
 } csp_error_t;
 
-/* Name of a verdict as callers see it: "not run", "ran", "may have run".  */
+/* Name of a verdict as callers get it: "not run", "ran", "may have run".  */
 const char *csp_verdict_name (csp_verdict_t verdict);
 
-/* Stable code of a reason as callers see it, such as "queue_full".  */
+/* Stable code of a reason as callers get it, such as "queue_full".  */
 const char *csp_reason_code (csp_reason_t reason);
 
-/* HTTP status that a reason is answered with before any byte was sent.  */
+/* HTTP status of the response to a reason if no byte has been sent yet.  */
 uint16_t csp_reason_status (csp_reason_t reason);
 
-/* Fill an error; detail is a printf format and is cut at its size.  */
+/* Fills in an error; detail is a printf format and is truncated to fit.  */
 void csp_set_error (csp_error_t *error, csp_verdict_t verdict,
                     csp_reason_t reason, uint32_t retry_after_ms,
                     const char *detail, ...)
--- a/source/base/buffer.c
+++ b/source/base/buffer.c
@@ -7,27 +7,27 @@
 
 enum
 {
-  /* Most heads and small bodies fit without growing twice.  */
-  FIRST_ROOM_BYTES = 512
+  /* Most headers and small bodies fit without growing twice.  */
+  INITIAL_CAPACITY_BYTES = 512
 };
 
 static bool
 reserve (csp_buffer_t *buffer, size_t more_bytes)
 {
   size_t needed_bytes = buffer->size_bytes + more_bytes;
-  size_t room_bytes
-      = buffer->room_bytes == 0 ? FIRST_ROOM_BYTES : buffer->room_bytes;
+  size_t capacity_bytes = buffer->capacity_bytes == 0 ? INITIAL_CAPACITY_BYTES
+                                                      : buffer->capacity_bytes;
   char *data;
 
-  if (needed_bytes <= buffer->room_bytes)
+  if (needed_bytes <= buffer->capacity_bytes)
     return true;
-  while (room_bytes < needed_bytes)
-    room_bytes *= 2;
-  data = realloc (buffer->data, room_bytes);
+  while (capacity_bytes < needed_bytes)
+    capacity_bytes *= 2;
+  data = realloc (buffer->data, capacity_bytes);
   if (data == NULL)
     return false;
   buffer->data = data;
-  buffer->room_bytes = room_bytes;
+  buffer->capacity_bytes = capacity_bytes;
   return true;
 }
 
--- a/source/base/clock.c
+++ b/source/base/clock.c
@@ -18,8 +18,8 @@
 }
 
 /* CLOCK_BOOTTIME also counts while the machine is suspended.  With
-   CLOCK_MONOTONIC a host that was suspended past its lease would wake up and
-   still believe in it.  */
+   CLOCK_MONOTONIC a host that was suspended for longer than its lease would
+   resume and still use the lease.  */
 static struct timespec
 read_steady (void *state)
 {
--- a/source/base/faults.c
+++ b/source/base/faults.c
@@ -39,7 +39,7 @@
 }
 
 static void
-keep_fault (csp_faults_t *faults, csp_fault_t fault)
+store_fault (csp_faults_t *faults, csp_fault_t fault)
 {
   size_t size_bytes = (faults->kept_count + 1) * sizeof fault;
   csp_fault_t *kept = realloc (faults->kept, size_bytes);
@@ -70,7 +70,7 @@
   fault.where = strdup (where);
   fault.path = strdup (path);
   fault.line = line;
-  keep_fault (faults, fault);
+  store_fault (faults, fault);
 }
 
 size_t
--- a/source/base/hash.c
+++ b/source/base/hash.c
@@ -5,8 +5,8 @@
 #include <string.h>
 
 static void
-digest_two (const void *first, size_t first_bytes, const void *second,
-            size_t second_bytes, unsigned char digest[EVP_MAX_MD_SIZE])
+hash_two_parts (const void *first, size_t first_bytes, const void *second,
+                size_t second_bytes, unsigned char digest[EVP_MAX_MD_SIZE])
 {
   EVP_MD_CTX *md = EVP_MD_CTX_new ();
 
@@ -26,7 +26,7 @@
   unsigned char digest[EVP_MAX_MD_SIZE];
   size_t i;
 
-  digest_two (data, size_bytes, "", 0, digest);
+  hash_two_parts (data, size_bytes, "", 0, digest);
   for (i = 0; i < CSP_SHA256_HEX_BYTES / 2; i++)
     {
       hex[2 * i] = digits[digest[i] >> 4];
@@ -42,7 +42,8 @@
   uint64_t hash = 0;
   size_t i;
 
-  digest_two (first, strlen (first) + 1, second, strlen (second) + 1, digest);
+  hash_two_parts (first, strlen (first) + 1, second, strlen (second) + 1,
+                  digest);
   for (i = 0; i < sizeof hash; i++)
     hash = hash << 8 | digest[i];
   return hash;
--- a/source/base/index.c
+++ b/source/base/index.c
@@ -34,8 +34,8 @@
 }
 
 static void
-put_node (csp_index_node_t **buckets, size_t bucket_count,
-          csp_index_node_t *node)
+insert_node (csp_index_node_t **buckets, size_t bucket_count,
+             csp_index_node_t *node)
 {
   csp_index_node_t **bucket = &buckets[node->hash & (bucket_count - 1)];
 
@@ -43,7 +43,8 @@
   *bucket = node;
 }
 
-/* Without memory for more buckets the chains grow longer, nothing else.  */
+/* If memory allocation fails the index keeps its buckets, and the chains get
+   longer.  */
 static void
 grow_index (csp_index_t *index)
 {
@@ -60,7 +61,7 @@
     for (node = index->buckets[i]; node != NULL; node = next)
       {
         next = node->next;
-        put_node (buckets, bucket_count, node);
+        insert_node (buckets, bucket_count, node);
       }
   free (index->buckets);
   index->buckets = buckets;
@@ -73,7 +74,7 @@
   if (index->count >= index->bucket_count)
     grow_index (index);
   node->hash = hash;
-  put_node (index->buckets, index->bucket_count, node);
+  insert_node (index->buckets, index->bucket_count, node);
   index->count++;
 }
 
@@ -90,7 +91,7 @@
 }
 
 static csp_index_node_t *
-skip_to_hash (csp_index_node_t *node, uint64_t hash)
+find_hash_in_chain (csp_index_node_t *node, uint64_t hash)
 {
   while (node != NULL && node->hash != hash)
     node = node->next;
@@ -100,13 +101,14 @@
 csp_index_node_t *
 csp_find_in_index (const csp_index_t *index, uint64_t hash)
 {
-  return skip_to_hash (index->buckets[hash & (index->bucket_count - 1)], hash);
+  return find_hash_in_chain (index->buckets[hash & (index->bucket_count - 1)],
+                             hash);
 }
 
 csp_index_node_t *
 csp_find_next_in_index (const csp_index_node_t *node)
 {
-  return skip_to_hash (node->next, node->hash);
+  return find_hash_in_chain (node->next, node->hash);
 }
 
 uint64_t
--- a/source/base/intern.c
+++ b/source/base/intern.c
@@ -68,7 +68,7 @@
 }
 
 const char *
-csp_interned_name (const csp_intern_t *intern, uint32_t number)
+csp_get_interned_name (const csp_intern_t *intern, uint32_t number)
 {
   return number < intern->count ? intern->names[number] : NULL;
 }
--- a/tests/base/verdict-test.c
+++ b/tests/base/verdict-test.c
@@ -7,7 +7,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Callers branch on the codes, so each reason needs one of its own.  */
+/* Callers branch on the codes, so each reason needs its own.  */
 START_TEST (every_reason_has_its_own_code)
 {
   int a;
@@ -23,7 +23,7 @@
 }
 END_TEST
 
-START_TEST (long_details_are_cut)
+START_TEST (long_details_are_truncated)
 {
   csp_error_t error;
 
@@ -49,7 +49,7 @@
   TCase *tcase = tcase_create ("base");
 
   tcase_add_test (tcase, every_reason_has_its_own_code);
-  tcase_add_test (tcase, long_details_are_cut);
+  tcase_add_test (tcase, long_details_are_truncated);
   tcase_add_test (tcase, sha256_matches_the_standard);
   suite_add_tcase (suite, tcase);
   return run_suite (suite);
