--- a/include/cowslipspoke/retry.h
+++ b/include/cowslipspoke/retry.h
@@ -31,7 +31,7 @@
    each of 330 hosts are a third of a second's requests.
    hedge_share, hedge_max: 0.02 is the share of requests beyond the p98 of
    time to first token, which is the delay that hedge_after should have.
-   max_attempts: for one request, the first attempt included.  */
+   attempts_max: for one request, the first attempt included.  */
 typedef struct
 {
   double retry_share;
@@ -39,7 +39,7 @@
   double retry_start;
   double hedge_share;
   double hedge_max;
-  uint32_t max_attempts;
+  uint32_t attempts_max;
 } csp_retry_policy_t;
 
 csp_retry_policy_t csp_default_retry_policy (void);
--- a/source/retry/retry.c
+++ b/source/retry/retry.c
@@ -14,7 +14,7 @@
                                 .retry_start = 10,
                                 .hedge_share = 0.02,
                                 .hedge_max = 4,
-                                .max_attempts = 3 };
+                                .attempts_max = 3 };
 
   return policy;
 }
@@ -79,7 +79,7 @@
     return deny (budget, CSP_RETRY_TOKENS_SENT);
   if (!facts->idempotent && facts->verdict != CSP_VERDICT_NOT_RUN)
     return deny (budget, CSP_RETRY_MAY_HAVE_RUN);
-  if (facts->attempts >= budget->policy.max_attempts)
+  if (facts->attempts >= budget->policy.attempts_max)
     return deny (budget, CSP_RETRY_ATTEMPTS);
   if (facts->left_ms <= facts->needs_ms)
     return deny (budget, CSP_RETRY_DEADLINE);
--- a/tests/retry/lease-test.c
+++ b/tests/retry/lease-test.c
@@ -117,7 +117,7 @@
 /* Guards against a paused host that uses its lease after it has expired.  */
 START_TEST (an_expired_lease_is_not_used)
 {
-  csp_retry_policy_t no_retries = { .max_attempts = 3 };
+  csp_retry_policy_t no_retries = { .attempts_max = 3 };
   csp_retry_facts_t facts = refused;
   csp_retry_budget_t budget;
 
@@ -199,7 +199,7 @@
 {
   host_t *host = &sim->hosts[index];
   csp_retry_policy_t own_policy
-      = { .retry_share = retry_share, .retry_most = 1, .max_attempts = 3 };
+      = { .retry_share = retry_share, .retry_most = 1, .attempts_max = 3 };
 
   memset (host, 0, sizeof *host);
   csp_open_retry_budget (&host->budget, &own_policy);
