--- a/include/cowslipspoke/fleet.h
+++ b/include/cowslipspoke/fleet.h
@@ -155,10 +155,11 @@
 uint32_t csp_service_backoff_ms (const csp_fleet_t *fleet, const char *service,
                                  int64_t now_ms);
 
-/* Writes the hashes of a service's backed-off targets, at most room of them;
+/* Writes the hashes of a service's backed-off targets, at most max_count;
    returns how many were written.  */
 size_t csp_list_backed_off (const csp_fleet_t *fleet, const char *service,
-                            int64_t now_ms, uint64_t *targets, size_t room);
+                            int64_t now_ms, uint64_t *targets,
+                            size_t max_count);
 
 /* Whether all targets that serve a service are cordoned; false if there are
    none.  */
--- a/include/cowslipspoke/roster.h
+++ b/include/cowslipspoke/roster.h
@@ -251,24 +251,24 @@
    centre and of this one when those are due, and addresses that never
    answered.  Returns how many were written; each is recorded as sent.  */
 size_t csp_list_due_peers (csp_roster_t *roster, int64_t now_ms,
-                           csp_peer_address_t *addresses, size_t room);
+                           csp_peer_address_t *addresses, size_t max_count);
 
 /* How often a host of each other data centre gets a hello, in ms.  */
 uint32_t csp_greeting_period_ms (const csp_roster_t *roster);
 
 /* All live hosts, known directly or through others.  */
 size_t csp_list_live_peers (const csp_roster_t *roster,
-                            csp_peer_address_t *addresses, size_t room);
+                            csp_peer_address_t *addresses, size_t max_count);
 size_t csp_count_live_peers (const csp_roster_t *roster);
 
 /* Some random live hosts.  */
 size_t csp_draw_peers (csp_roster_t *roster, csp_peer_address_t *addresses,
-                       size_t room);
+                       size_t max_count);
 
 /* Chooses the hosts to name in a hello: those that rank first for each duty,
    and random others.  Returns how many were written.  */
 size_t csp_name_known_hosts (csp_roster_t *roster, csp_peer_address_t to,
-                             csp_known_host_t *hosts, size_t room,
+                             csp_known_host_t *hosts, size_t max_count,
                              int64_t now_ms);
 
 /* Returns the host that decides on placements for all hosts.  Hosts with more
--- a/source/fleet/fleet-limits.c
+++ b/source/fleet/fleet-limits.c
@@ -198,13 +198,13 @@
 
 size_t
 csp_list_backed_off (const csp_fleet_t *fleet, const char *service,
-                     int64_t now_ms, uint64_t *targets, size_t room)
+                     int64_t now_ms, uint64_t *targets, size_t max_count)
 {
   size_t listed = 0;
   size_t i;
 
-  for (i = 0;
-       now_ms < fleet->backoff_until_ms && i < fleet->count && listed < room;
+  for (i = 0; now_ms < fleet->backoff_until_ms && i < fleet->count
+              && listed < max_count;
        i++)
     if (csp_is_backed_off (fleet->targets[i], now_ms)
         && csp_takes_new_work (fleet->targets[i])
--- a/source/roster/roster-greet.c
+++ b/source/roster/roster-greet.c
@@ -119,9 +119,10 @@
 
 static size_t
 add_hello_target (csp_roster_peer_t *peer, int64_t now_ms,
-                  csp_peer_address_t *addresses, size_t count, size_t room)
+                  csp_peer_address_t *addresses, size_t count,
+                  size_t max_count)
 {
-  if (peer == NULL || count == room)
+  if (peer == NULL || count == max_count)
     return count;
   peer->hello_sent_ms = now_ms;
   peer->unanswered_hellos++;
@@ -139,7 +140,8 @@
 
 static size_t
 add_remote_targets (csp_roster_t *roster, int64_t now_ms,
-                    csp_peer_address_t *addresses, size_t count, size_t room)
+                    csp_peer_address_t *addresses, size_t count,
+                    size_t max_count)
 {
   uint32_t data_centres[DATA_CENTRES_MAX];
   size_t data_centre_count = list_data_centres (roster, false, data_centres);
@@ -152,7 +154,7 @@
         + hello_interval_ms (roster, now_ms, csp_greeting_period_ms (roster));
   for (i = 0; i < data_centre_count; i++)
     count = add_hello_target (choose_peer_of (roster, data_centres[i]), now_ms,
-                              addresses, count, room);
+                              addresses, count, max_count);
   return count;
 }
 
@@ -172,7 +174,7 @@
 
 size_t
 csp_list_due_peers (csp_roster_t *roster, int64_t now_ms,
-                    csp_peer_address_t *addresses, size_t room)
+                    csp_peer_address_t *addresses, size_t max_count)
 {
   size_t count = 0;
   size_t i;
@@ -182,25 +184,25 @@
   for (i = 0; i < roster->count; i++)
     if (is_seed_due (roster, &roster->peers[i], now_ms))
       count = add_hello_target (&roster->peers[i], now_ms, addresses, count,
-                                room);
-  count = add_remote_targets (roster, now_ms, addresses, count, room);
+                                max_count);
+  count = add_remote_targets (roster, now_ms, addresses, count, max_count);
   if (now_ms < roster->next_local_hello_ms)
     return count;
   roster->next_local_hello_ms
       = now_ms + hello_interval_ms (roster, now_ms, LOCAL_HELLO_MS);
   return add_hello_target (choose_peer_of (roster, roster->data_centre),
-                           now_ms, addresses, count, room);
+                           now_ms, addresses, count, max_count);
 }
 
 size_t
 csp_draw_peers (csp_roster_t *roster, csp_peer_address_t *addresses,
-                size_t room)
+                size_t max_count)
 {
   size_t first = csp_random_below (&roster->random, (uint32_t)roster->count);
   size_t chosen = 0;
   size_t i;
 
-  for (i = 0; i < roster->count && chosen < room; i++)
+  for (i = 0; i < roster->count && chosen < max_count; i++)
     {
       const csp_roster_peer_t *peer
           = &roster->peers[(first + i) % roster->count];
@@ -217,7 +219,7 @@
   const csp_roster_t *roster;
   csp_peer_address_t to;
   csp_known_host_t *hosts;
-  size_t room;
+  size_t max_count;
   size_t count;
   int64_t now_ms;
 } known_hosts_t;
@@ -228,7 +230,7 @@
 {
   size_t i;
 
-  if (list->count == list->room || !peer->live
+  if (list->count == list->max_count || !peer->live
       || csp_is_same_peer (peer->address, list->to))
     return;
   for (i = 0; i < list->count; i++)
@@ -267,12 +269,15 @@
 
 size_t
 csp_name_known_hosts (csp_roster_t *roster, csp_peer_address_t to,
-                      csp_known_host_t *hosts, size_t room, int64_t now_ms)
+                      csp_known_host_t *hosts, size_t max_count,
+                      int64_t now_ms)
 {
   size_t first = csp_random_below (&roster->random, (uint32_t)roster->count);
-  known_hosts_t list = {
-    .roster = roster, .to = to, .hosts = hosts, .room = room, .now_ms = now_ms
-  };
+  known_hosts_t list = { .roster = roster,
+                         .to = to,
+                         .hosts = hosts,
+                         .max_count = max_count,
+                         .now_ms = now_ms };
   size_t i;
 
   if (roster->count == 0)
@@ -282,7 +287,7 @@
   add_ranked_hosts (&list, CSP_DUTY_READ, false, NAMED_PER_DUTY);
   add_ranked_hosts (&list, CSP_DUTY_DECIDE, true, NAMED_PER_DUTY);
   add_ranked_hosts (&list, CSP_DUTY_RELAY, true, NAMED_PER_DUTY);
-  for (i = 0; i < roster->count && list.count < room; i++)
+  for (i = 0; i < roster->count && list.count < max_count; i++)
     add_known_host (&list, &roster->peers[(first + i) % roster->count]);
   return list.count;
 }
--- a/source/roster/roster-imp.h
+++ b/source/roster/roster-imp.h
@@ -97,6 +97,6 @@
    Returns how many were written.  */
 size_t csp_rank_hosts (const csp_roster_t *roster, csp_duty_t duty,
                        bool local_only, csp_rank_candidate_t *ranked,
-                       size_t room);
+                       size_t max_count);
 
 #endif
--- a/source/roster/roster-rank.c
+++ b/source/roster/roster-rank.c
@@ -136,7 +136,7 @@
 /* Inserts a candidate at its rank; the last one is dropped if the list is
    full.  */
 static size_t
-insert_ranked (csp_rank_candidate_t *ranked, size_t count, size_t room,
+insert_ranked (csp_rank_candidate_t *ranked, size_t count, size_t max_count,
                const csp_rank_candidate_t *candidate, csp_duty_t duty,
                int64_t settled_ms)
 {
@@ -145,9 +145,9 @@
   while (position > 0
          && ranks_before (candidate, &ranked[position - 1], duty, settled_ms))
     position--;
-  if (position == room)
+  if (position == max_count)
     return count;
-  if (count < room)
+  if (count < max_count)
     count++;
   memmove (&ranked[position + 1], &ranked[position],
            (count - position - 1) * sizeof *ranked);
@@ -157,7 +157,7 @@
 
 size_t
 csp_rank_hosts (const csp_roster_t *roster, csp_duty_t duty, bool local_only,
-                csp_rank_candidate_t *ranked, size_t room)
+                csp_rank_candidate_t *ranked, size_t max_count)
 {
   int64_t settled_ms = settled_up_ms (roster);
   csp_rank_candidate_t candidate;
@@ -168,8 +168,8 @@
     if (csp_get_rank_candidate (roster, i, &candidate)
         && !(local_only && candidate.data_centre != roster->data_centre)
         && !(duty == CSP_DUTY_DECIDE && candidate.avoided))
-      count
-          = insert_ranked (ranked, count, room, &candidate, duty, settled_ms);
+      count = insert_ranked (ranked, count, max_count, &candidate, duty,
+                             settled_ms);
   return count;
 }
 
--- a/source/roster/roster.c
+++ b/source/roster/roster.c
@@ -336,12 +336,12 @@
 
 size_t
 csp_list_live_peers (const csp_roster_t *roster, csp_peer_address_t *addresses,
-                     size_t room)
+                     size_t max_count)
 {
   size_t listed = 0;
   size_t i;
 
-  for (i = 0; i < roster->count && listed < room; i++)
+  for (i = 0; i < roster->count && listed < max_count; i++)
     if (roster->peers[i].live)
       addresses[listed++] = roster->peers[i].address;
   return listed;
