--- a/source/order/order-choose.c
+++ b/source/order/order-choose.c
@@ -4,8 +4,8 @@
 
 #include <string.h>
 
-/* What the choice goes through; state is why the last candidate was not
-   taken.  */
+/* Inputs and outputs of the search for the next order.  state is why the last
+   candidate was rejected.  */
 typedef struct
 {
   csp_order_engine_t *engine;
@@ -22,9 +22,10 @@
   return op == CSP_ORDER_LOAD_MODEL || op == CSP_ORDER_LOAD_ADAPTER;
 }
 
-/* The number is that of the wanted state, or the engine's own where that is
-   higher but not beyond what we know: then the engine came from another pool,
-   and ours is at least as new.  */
+/* The fencing number is the revision of the wanted state, or the engine's own
+   number where that is higher.  The caller has checked that the engine's
+   number is not beyond this host's revision; a higher number then comes from
+   another pool that the engine was in.  */
 static void
 fill_order (const choice_t *choice, csp_order_op_t op, const char *name,
             const char *version)
@@ -44,11 +45,11 @@
 offer (choice_t *choice, csp_order_op_t op, const char *name,
        const char *version)
 {
-  const csp_order_note_t *note;
+  const csp_order_record_t *record;
 
   fill_order (choice, op, name, version);
-  note = csp_find_order_note (choice->engine, choice->order);
-  if (note != NULL && choice->now_ms < note->next_ms)
+  record = csp_find_order_record (choice->engine, choice->order);
+  if (record != NULL && choice->now_ms < record->next_ms)
     {
       choice->state = CSP_ORDER_PAUSED;
       return false;
@@ -62,12 +63,13 @@
   return true;
 }
 
-/* Raise the engine's number before anything else.  Loads wait for the weight
-   store, and a state that is already as wanted needs no order at all; an older
-   owner could order until the first of ours came, and the engine would go back
-   to an older configuration.  Setting the role that it has costs nothing.  */
+/* Raises the engine's fencing number before any other order.  Loads wait for
+   the weight store, and an engine that is already as wanted gets no other
+   order.  Until the number is raised, an owner with an older configuration
+   could still order the engine back to it.  Setting the role that the engine
+   already has costs nothing.  */
 static bool
-offer_fence (choice_t *choice)
+try_raise_fence (choice_t *choice)
 {
   const csp_order_facts_t *facts = choice->facts;
   const char *role = facts->wanted->has_role
@@ -89,29 +91,32 @@
   return false;
 }
 
-/* Every request that came before the unload was first wanted may use it.  */
+/* Requests that arrived before the unload was first wanted may still use the
+   model.  */
 static bool
 may_unload (choice_t *choice, csp_order_op_t op, const char *name)
 {
   const csp_order_facts_t *facts = choice->facts;
-  csp_order_note_t *note;
+  csp_order_record_t *record;
 
   fill_order (choice, op, name, "");
-  note = csp_take_order_note (choice->engine, choice->order, choice->now_ms);
-  if (note == NULL || is_routed (facts, name))
+  record = csp_find_or_add_order_record (choice->engine, choice->order,
+                                         choice->now_ms);
+  if (record == NULL || is_routed (facts, name))
     {
-      if (note != NULL)
-        note->since_ms = choice->now_ms;
+      if (record != NULL)
+        record->unload_wanted_ms = choice->now_ms;
       return false;
     }
-  return !facts->foreign_streams && facts->oldest_stream_ms > note->since_ms;
+  return !facts->foreign_streams
+         && facts->oldest_stream_ms > record->unload_wanted_ms;
 }
 
-/* A list that declares nothing is not managed.  */
+/* An empty wanted list means that this kind of object is not managed.  */
 static bool
-offer_unload (choice_t *choice, csp_order_op_t op,
-              const csp_versioned_t *reported, size_t reported_count,
-              const csp_versioned_t *wanted, size_t wanted_count)
+try_unload (choice_t *choice, csp_order_op_t op,
+            const csp_versioned_t *reported, size_t reported_count,
+            const csp_versioned_t *wanted, size_t wanted_count)
 {
   size_t i;
 
@@ -129,15 +134,15 @@
 }
 
 static bool
-offer_load (choice_t *choice, csp_order_op_t op, const csp_versioned_t *wanted,
-            size_t wanted_count)
+try_load (choice_t *choice, csp_order_op_t op, const csp_versioned_t *wanted,
+          size_t wanted_count)
 {
   size_t i;
 
   for (i = 0; i < wanted_count; i++)
     {
       fill_order (choice, op, wanted[i].name, wanted[i].version);
-      if (!csp_order_met (choice->order, choice->facts->report)
+      if (!csp_is_order_satisfied (choice->order, choice->facts->report)
           && offer (choice, op, wanted[i].name, wanted[i].version))
         return true;
     }
@@ -145,7 +150,7 @@
 }
 
 static bool
-offer_role (choice_t *choice)
+try_role (choice_t *choice)
 {
   const csp_wanted_t *wanted = choice->facts->wanted;
   const char *role = csp_role_name (wanted->role);
@@ -153,11 +158,11 @@
   if (!wanted->has_role)
     return false;
   fill_order (choice, CSP_ORDER_SET_ROLE, role, "");
-  return !csp_order_met (choice->order, choice->facts->report)
+  return !csp_is_order_satisfied (choice->order, choice->facts->report)
          && offer (choice, CSP_ORDER_SET_ROLE, role, "");
 }
 
-/* Unloads go first, since loads need their memory.  */
+/* Unloads come before loads, which need the freed memory.  */
 csp_order_state_t
 csp_choose_order (csp_order_engine_t *engine, const csp_order_facts_t *facts,
                   csp_order_pace_t *pace, int64_t now_ms, csp_order_t *order)
@@ -171,18 +176,17 @@
   const csp_wanted_t *wanted = facts->wanted;
   const csp_order_report_t *report = facts->report;
 
-  if (offer_fence (&choice)
-      || offer_unload (&choice, CSP_ORDER_UNLOAD_ADAPTER, report->adapters,
-                       report->adapter_count, wanted->adapters,
-                       wanted->adapter_count)
-      || offer_unload (&choice, CSP_ORDER_UNLOAD_MODEL, report->models,
-                       report->model_count, wanted->models,
-                       wanted->model_count)
-      || offer_load (&choice, CSP_ORDER_LOAD_MODEL, wanted->models,
-                     wanted->model_count)
-      || offer_load (&choice, CSP_ORDER_LOAD_ADAPTER, wanted->adapters,
+  if (try_raise_fence (&choice)
+      || try_unload (&choice, CSP_ORDER_UNLOAD_ADAPTER, report->adapters,
+                     report->adapter_count, wanted->adapters,
                      wanted->adapter_count)
-      || offer_role (&choice))
+      || try_unload (&choice, CSP_ORDER_UNLOAD_MODEL, report->models,
+                     report->model_count, wanted->models, wanted->model_count)
+      || try_load (&choice, CSP_ORDER_LOAD_MODEL, wanted->models,
+                   wanted->model_count)
+      || try_load (&choice, CSP_ORDER_LOAD_ADAPTER, wanted->adapters,
+                   wanted->adapter_count)
+      || try_role (&choice))
     return CSP_ORDER_SENT;
   return choice.state;
 }
--- a/source/order/order-decide.c
+++ b/source/order/order-decide.c
@@ -41,15 +41,15 @@
 {
   if (engine == NULL)
     return;
-  free (engine->notes);
+  free (engine->records);
   free (engine);
 }
 
-/* An engine that started anew counts its reports from the start, and has
-   forgotten the highest number.  Without this its lost models would look like
-   the work of another owner and be put right late.  */
+/* A restarted engine numbers its reports from the start again and has lost its
+   fencing number.  If the restart went unnoticed, its missing models would
+   look like another owner's unload and be loaded again only after a pause.  */
 static bool
-follow_restart (csp_order_engine_t *engine, const csp_order_report_t *report,
+detect_restart (csp_order_engine_t *engine, const csp_order_report_t *report,
                 csp_order_action_t *action)
 {
   bool restarted
@@ -63,16 +63,16 @@
     engine->highest_fence = report->fence;
   if (!restarted)
     return false;
-  /* An answer that is still to come must not be taken for the next order's. */
+  /* A late answer must not be taken for the next order's.  */
   if (engine->answered)
-    engine->open = false;
+    engine->pending = false;
   engine->status.restarts++;
   action->events |= CSP_ORDER_SAW_RESTART;
   return true;
 }
 
 static void
-follow_grant (csp_order_engine_t *engine, bool granted, int64_t now_ms)
+update_grant (csp_order_engine_t *engine, bool granted, int64_t now_ms)
 {
   if (granted && !engine->granted)
     engine->granted_ms = now_ms;
@@ -80,17 +80,17 @@
 }
 
 static void
-follow_revision (csp_order_engine_t *engine, int64_t wanted_revision)
+update_wanted_revision (csp_order_engine_t *engine, int64_t wanted_revision)
 {
   if (engine->wanted_revision == wanted_revision)
     return;
   engine->wanted_revision = wanted_revision;
-  engine->note_count = 0;
+  engine->record_count = 0;
 }
 
-/* The reports lag, so an order that was started is not at once seen.  It has
-   failed when an idle engine still lacks it after the lag, or when the engine
-   is busy beyond the longest order.  */
+/* Reports lag, so an order that was started doesn't show at once.  It has
+   failed when the engine is idle after that lag without its outcome, or is
+   busy for longer than the longest order takes.  */
 static bool
 has_failed (const csp_order_engine_t *engine, const csp_order_facts_t *facts,
             int64_t now_ms)
@@ -99,43 +99,45 @@
     return false;
   if (facts->report->busy)
     return now_ms - engine->sent_ms > facts->longest_order_ms;
-  return now_ms - engine->answered_ms >= CSP_ORDER_SETTLE_MS;
+  return now_ms - engine->answered_ms >= CSP_ORDER_CONFIRM_TIMEOUT_MS;
 }
 
 static void
-settle_open (csp_order_engine_t *engine, const csp_order_facts_t *facts,
-             int64_t now_ms, csp_order_action_t *action)
+check_pending_order (csp_order_engine_t *engine,
+                     const csp_order_facts_t *facts, int64_t now_ms,
+                     csp_order_action_t *action)
 {
   const csp_order_report_t *report = facts->report;
-  const csp_order_note_t *note = csp_find_order_note (engine, &engine->order);
+  const csp_order_record_t *record
+      = csp_find_order_record (engine, &engine->order);
   bool fenced = !facts->checks_fence || report->fence >= engine->order.fence;
 
-  /* A report that was asked for before the order says nothing of it.  */
-  if (!engine->open || report->asked_ms < engine->sent_ms)
+  /* A report requested before the order was sent doesn't show its outcome.  */
+  if (!engine->pending || report->asked_ms < engine->sent_ms)
     return;
   if (engine->answered && !report->busy && fenced
-      && csp_order_met (&engine->order, report))
+      && csp_is_order_satisfied (&engine->order, report))
     {
-      engine->open = false;
+      engine->pending = false;
       engine->status.done++;
       action->events |= CSP_ORDER_SAW_DONE;
       action->subject = engine->order;
     }
   else if (has_failed (engine, facts, now_ms))
     {
-      engine->open = false;
+      engine->pending = false;
       engine->status.failed++;
       action->events |= CSP_ORDER_SAW_FAILED;
-      if (note != NULL && note->sends == CSP_ORDER_GIVEN_UP)
+      if (record != NULL && record->sends == CSP_ORDER_GIVE_UP_SENDS)
         action->events |= CSP_ORDER_SAW_GIVEN_UP;
       action->subject = engine->order;
     }
 }
 
-/* The engine has taken an order of a revision that we have not seen.  Ours
-   would undo it where the number is ignored, and be refused elsewhere.  An
-   engine that starts anew forgets the number, so the highest that it ever
-   reported counts.  */
+/* The engine has accepted an order of a revision that this host doesn't have
+   yet.  An order of this host would undo it on an engine that ignores the
+   fencing number, and be refused by others.  A restarted engine forgets the
+   number, so the highest that it ever reported counts.  */
 static bool
 is_held_back (csp_order_engine_t *engine, const csp_order_facts_t *facts,
               csp_order_action_t *action)
@@ -144,17 +146,18 @@
 
   if (fence <= facts->revision)
     return false;
-  if (fence != engine->held_fence)
+  if (fence != engine->logged_held_fence)
     action->events |= CSP_ORDER_SAW_HELD_BACK;
-  engine->held_fence = fence;
+  engine->logged_held_fence = fence;
   return true;
 }
 
-/* Whatever forbids any order at all, in the order in which an operator would
-   ask.  */
+/* Returns the first condition that forbids every order, in the order in which
+   an operator would check them; CSP_ORDER_SENT when there is none.  */
 static csp_order_state_t
-find_barrier (csp_order_engine_t *engine, const csp_order_facts_t *facts,
-              int64_t now_ms, csp_order_action_t *action)
+find_blocking_state (csp_order_engine_t *engine,
+                     const csp_order_facts_t *facts, int64_t now_ms,
+                     csp_order_action_t *action)
 {
   const csp_order_report_t *report = facts->report;
 
@@ -168,7 +171,7 @@
     return CSP_ORDER_NO_REPORT;
   if (is_held_back (engine, facts, action))
     return CSP_ORDER_HELD_BACK;
-  if (engine->open)
+  if (engine->pending)
     return CSP_ORDER_UNDER_WAY;
   if (report->busy)
     return CSP_ORDER_ENGINE_BUSY;
@@ -183,19 +186,20 @@
             csp_order_action_t *action)
 {
   const csp_order_t *order = &action->is.send;
-  csp_order_note_t *note = csp_take_order_note (engine, order, now_ms);
+  csp_order_record_t *record
+      = csp_find_or_add_order_record (engine, order, now_ms);
 
-  /* Without memory for the pauses there is no order.  */
-  if (note == NULL)
+  /* Without a record there is no backoff, so the order isn't sent.  */
+  if (record == NULL)
     {
       action->state = CSP_ORDER_PAUSED;
       return;
     }
-  note->order = *order;
-  csp_note_order_sent (note, now_ms);
+  record->order = *order;
+  csp_record_order_sent (record, now_ms);
   if (order->op == CSP_ORDER_LOAD_MODEL || order->op == CSP_ORDER_LOAD_ADAPTER)
     csp_note_load_started (pace, now_ms);
-  engine->open = true;
+  engine->pending = true;
   engine->answered = false;
   engine->sent_ms = now_ms;
   engine->order = *order;
@@ -227,15 +231,15 @@
   bool restarted;
 
   memset (action, 0, sizeof *action);
-  follow_grant (engine, facts->granted, now_ms);
-  follow_revision (engine, facts->wanted_revision);
+  update_grant (engine, facts->granted, now_ms);
+  update_wanted_revision (engine, facts->wanted_revision);
   if (facts->report != NULL)
     {
-      restarted = follow_restart (engine, facts->report, action);
-      settle_open (engine, facts, now_ms, action);
-      csp_follow_order_notes (engine, facts, restarted, now_ms, action);
+      restarted = detect_restart (engine, facts->report, action);
+      check_pending_order (engine, facts, now_ms, action);
+      csp_update_order_records (engine, facts, restarted, now_ms, action);
     }
-  action->state = find_barrier (engine, facts, now_ms, action);
+  action->state = find_blocking_state (engine, facts, now_ms, action);
   if (action->state == CSP_ORDER_SENT)
     action->state = csp_choose_order (engine, facts, pace, now_ms, &order);
   if (action->state == CSP_ORDER_SENT)
@@ -252,9 +256,9 @@
 csp_handle_order_answer (csp_order_engine_t *engine, csp_order_answer_t answer,
                          int64_t now_ms)
 {
-  csp_order_note_t *note = csp_find_order_note (engine, &engine->order);
+  csp_order_record_t *record = csp_find_order_record (engine, &engine->order);
 
-  if (!engine->open || engine->answered)
+  if (!engine->pending || engine->answered)
     return;
   engine->answered = true;
   engine->answered_ms = now_ms;
@@ -265,16 +269,17 @@
       return;
     case CSP_ORDER_ANSWER_BUSY:
     case CSP_ORDER_ANSWER_NOT_SENT:
-      /* No fault of the order's.  */
-      if (note != NULL && note->sends > 0)
-        note->sends--;
+      /* The order itself did not fail, so this send doesn't count for
+         backoff.  */
+      if (record != NULL && record->sends > 0)
+        record->sends--;
       break;
     case CSP_ORDER_ANSWER_FENCE_OLD:
     case CSP_ORDER_ANSWER_REFUSED:
       engine->status.failed++;
       break;
     }
-  engine->open = false;
+  engine->pending = false;
 }
 
 void
--- a/source/order/order-notes.c
+++ b/source/order/order-notes.c
@@ -26,7 +26,8 @@
 }
 
 bool
-csp_order_met (const csp_order_t *order, const csp_order_report_t *report)
+csp_is_order_satisfied (const csp_order_t *order,
+                        const csp_order_report_t *report)
 {
   switch (order->op)
     {
@@ -48,118 +49,119 @@
   return true;
 }
 
-csp_order_note_t *
-csp_find_order_note (csp_order_engine_t *engine, const csp_order_t *order)
+csp_order_record_t *
+csp_find_order_record (csp_order_engine_t *engine, const csp_order_t *order)
 {
   size_t i;
 
-  for (i = 0; i < engine->note_count; i++)
-    if (engine->notes[i].order.op == order->op
-        && strcmp (engine->notes[i].order.name, order->name) == 0)
-      return &engine->notes[i];
+  for (i = 0; i < engine->record_count; i++)
+    if (engine->records[i].order.op == order->op
+        && strcmp (engine->records[i].order.name, order->name) == 0)
+      return &engine->records[i];
   return NULL;
 }
 
-csp_order_note_t *
-csp_take_order_note (csp_order_engine_t *engine, const csp_order_t *order,
-                     int64_t now_ms)
+csp_order_record_t *
+csp_find_or_add_order_record (csp_order_engine_t *engine,
+                              const csp_order_t *order, int64_t now_ms)
 {
-  csp_order_note_t *note = csp_find_order_note (engine, order);
-  size_t room = engine->note_room * 2 + 4;
+  csp_order_record_t *record = csp_find_order_record (engine, order);
+  size_t capacity = engine->record_capacity * 2 + 4;
 
-  if (note != NULL)
-    return note;
-  if (engine->note_count == engine->note_room)
+  if (record != NULL)
+    return record;
+  if (engine->record_count == engine->record_capacity)
     {
-      note = realloc (engine->notes, room * sizeof *note);
-      if (note == NULL)
+      record = realloc (engine->records, capacity * sizeof *record);
+      if (record == NULL)
         return NULL;
-      engine->notes = note;
-      engine->note_room = room;
+      engine->records = record;
+      engine->record_capacity = capacity;
     }
-  note = &engine->notes[engine->note_count++];
-  memset (note, 0, sizeof *note);
-  note->order = *order;
-  note->since_ms = now_ms;
-  return note;
+  record = &engine->records[engine->record_count++];
+  memset (record, 0, sizeof *record);
+  record->order = *order;
+  record->unload_wanted_ms = now_ms;
+  return record;
 }
 
 static int64_t
-double_pause (int64_t first_ms, uint32_t times, int64_t longest_ms)
+compute_backoff (int64_t first_ms, uint32_t times, int64_t max_pause_ms)
 {
   int64_t pause_ms = first_ms;
 
-  while (times-- > 0 && pause_ms < longest_ms)
+  while (times-- > 0 && pause_ms < max_pause_ms)
     pause_ms *= 2;
-  return pause_ms < longest_ms ? pause_ms : longest_ms;
+  return pause_ms < max_pause_ms ? pause_ms : max_pause_ms;
 }
 
 void
-csp_note_order_sent (csp_order_note_t *note, int64_t now_ms)
+csp_record_order_sent (csp_order_record_t *record, int64_t now_ms)
 {
-  note->next_ms = now_ms
-                  + double_pause (CSP_ORDER_FIRST_PAUSE_MS, note->sends,
-                                  CSP_ORDER_LONGEST_PAUSE_MS);
-  note->sends++;
+  record->next_ms = now_ms
+                    + compute_backoff (CSP_ORDER_MIN_BACKOFF_MS, record->sends,
+                                       CSP_ORDER_MAX_BACKOFF_MS);
+  record->sends++;
 }
 
-/* Two owners in a split, at two revisions, would each put right what the
-   other did, for as long as the split lasts, where the engine ignores the
-   fencing number: callers see a model come and go and the weight store is
-   kept busy.  So what another undid is put right once at once (a stray order
-   of a host that woke late ends there) and then after pauses that start at
-   the longest order and double.  */
+/* Two owners in a split view, at two revisions, would undo each other's orders
+   for as long as the split lasts if the engine ignores the fencing number:
+   callers see a model come and go, and the weight store stays busy.  So an
+   order that another owner undid is repeated at once the first time, which
+   ends the effect of a late order from a host that was paused; then it is
+   repeated after pauses that start at the longest order's duration and
+   double.  */
 static void
-note_undone (csp_order_note_t *note, const csp_order_facts_t *facts,
-             int64_t now_ms)
+record_undone (csp_order_record_t *record, const csp_order_facts_t *facts,
+               int64_t now_ms)
 {
-  int64_t longest_ms = CSP_ORDER_UNDONE_PAUSE_MS;
+  int64_t max_pause_ms = CSP_ORDER_UNDONE_MAX_BACKOFF_MS;
   int64_t next_ms;
 
-  note->seen = false;
-  note->undone++;
-  if (note->undone == 1)
+  record->met = false;
+  record->undone++;
+  if (record->undone == 1)
     return;
-  if (longest_ms < facts->longest_order_ms)
-    longest_ms = facts->longest_order_ms;
-  next_ms
-      = now_ms
-        + double_pause (facts->longest_order_ms, note->undone - 2, longest_ms);
-  if (note->next_ms < next_ms)
-    note->next_ms = next_ms;
+  if (max_pause_ms < facts->longest_order_ms)
+    max_pause_ms = facts->longest_order_ms;
+  next_ms = now_ms
+            + compute_backoff (facts->longest_order_ms, record->undone - 2,
+                               max_pause_ms);
+  if (record->next_ms < next_ms)
+    record->next_ms = next_ms;
 }
 
 static void
-note_seen (csp_order_note_t *note, int64_t now_ms)
+record_satisfied (csp_order_record_t *record, int64_t now_ms)
 {
-  if (!note->seen)
-    note->seen_ms = now_ms;
-  note->seen = true;
-  if (now_ms - note->seen_ms >= CSP_ORDER_STEADY_MS)
-    note->sends = 0;
+  if (!record->met)
+    record->met_since_ms = now_ms;
+  record->met = true;
+  if (now_ms - record->met_since_ms >= CSP_ORDER_STABLE_MS)
+    record->sends = 0;
 }
 
 void
-csp_follow_order_notes (csp_order_engine_t *engine,
-                        const csp_order_facts_t *facts, bool restarted,
-                        int64_t now_ms, csp_order_action_t *action)
+csp_update_order_records (csp_order_engine_t *engine,
+                          const csp_order_facts_t *facts, bool restarted,
+                          int64_t now_ms, csp_order_action_t *action)
 {
-  csp_order_note_t *note;
+  csp_order_record_t *record;
   size_t i;
 
-  for (i = 0; i < engine->note_count; i++)
+  for (i = 0; i < engine->record_count; i++)
     {
-      note = &engine->notes[i];
-      if (csp_order_met (&note->order, facts->report))
-        note_seen (note, now_ms);
-      else if (note->seen && restarted)
-        note->seen = false;
-      else if (note->seen)
+      record = &engine->records[i];
+      if (csp_is_order_satisfied (&record->order, facts->report))
+        record_satisfied (record, now_ms);
+      else if (record->met && restarted)
+        record->met = false;
+      else if (record->met)
         {
-          note_undone (note, facts, now_ms);
+          record_undone (record, facts, now_ms);
           engine->status.undone++;
           action->events |= CSP_ORDER_SAW_UNDONE;
-          action->subject = note->order;
+          action->subject = record->order;
         }
     }
 }
--- a/source/order/order-pace.c
+++ b/source/order/order-pace.c
@@ -15,8 +15,8 @@
   int64_t share = (int64_t)loads_per_minute * owned;
   int64_t interval_ms = DAY_MS;
 
-  /* A list that lags may count fewer engines than we own; the share is never
-     more than the whole rate.  */
+  /* A stale list may count fewer engines than this host owns; the share never
+     exceeds the whole rate.  */
   if (listed < owned)
     listed = owned;
   if (share > 0)
@@ -25,10 +25,10 @@
   pace->phase_thousandths = phase_thousandths % THOUSAND;
 }
 
-/* After a quiet time the first load starts at this host's own point of the
-   interval: a change of configuration reaches all hosts within seconds, and
-   without the point each would start one load in the same second, 330 at the
-   planned size whatever the rate.  */
+/* After an idle time the first load waits until this host's own point within
+   the interval.  A change of the configuration reaches all hosts within
+   seconds; without these points each of them, 330 at the planned size, would
+   start a load in the same second whatever the rate.  */
 bool
 csp_may_start_load (csp_order_pace_t *pace, int64_t now_ms)
 {
--- a/tests/order/order-split-test.c
+++ b/tests/order/order-split-test.c
@@ -8,16 +8,16 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Two owners of one engine in a split view, one with an older configuration,
-   over a network that loses, doubles and delays orders, with pauses and
-   restarts, all from a seed.  */
+/* Two owners of one engine in a split view, one of them with an older
+   configuration, over a network that loses, duplicates and delays orders, with
+   pauses and restarts, all derived from a seed.  */
 
 enum
 {
   SEEDS = 200,
   OWNERS = 2,
-  MAIL = 64,
-  OLD = 1, /* version and revision of the owner that is cut off */
+  MAX_MESSAGES = 64,
+  OLD = 1, /* version and revision of the owner with the older configuration */
   NEW = 2,
   TICK_MS = 1000,
   ORDER_MS = 3000,
@@ -31,10 +31,10 @@
   csp_order_t order;
   uint32_t owner;
   int64_t at_ms;
-  bool answer; /* else the order itself */
-  bool silent; /* a copy that nobody waits for */
+  bool answer;        /* false: the order itself */
+  bool ignore_answer; /* a duplicate whose answer is ignored */
   csp_order_answer_t result;
-} mail_t;
+} message_t;
 
 typedef struct
 {
@@ -52,18 +52,18 @@
   bool lossy;
   int64_t now_ms;
   owner_t owners[OWNERS];
-  mail_t mail[MAIL];
-  uint32_t mail_count;
-  /* the engine */
+  message_t messages[MAX_MESSAGES];
+  uint32_t message_count;
+  /* state of the engine  */
   uint64_t report;
   int64_t fence;
   int version; /* 0: not loaded */
   int loading;
   int64_t busy_until_ms;
-  /* what was seen */
+  /* counters  */
   int last_version;
   uint32_t flips;
-  uint32_t undone; /* NEW gave way to OLD */
+  uint32_t undone; /* NEW was replaced by OLD */
   uint32_t sent;
   uint32_t restarts;
 } world_t;
@@ -76,37 +76,37 @@
         { .models = &versions[NEW], .model_count = 1, .has_role = true } };
 
 static bool
-happens (world_t *world, uint32_t thousandths)
+chance (world_t *world, uint32_t thousandths)
 {
   return csp_random_below (&world->random, 1000) < thousandths;
 }
 
 static void
-post_mail (world_t *world, mail_t mail, int64_t delay_ms)
+post_message (world_t *world, message_t message, int64_t delay_ms)
 {
-  mail.at_ms = world->now_ms + delay_ms;
-  if (world->mail_count < MAIL)
-    world->mail[world->mail_count++] = mail;
+  message.at_ms = world->now_ms + delay_ms;
+  if (world->message_count < MAX_MESSAGES)
+    world->messages[world->message_count++] = message;
 }
 
 static void
-post_lossy (world_t *world, mail_t mail)
+post_lossy (world_t *world, message_t message)
 {
-  int64_t delay_ms = world->lossy && happens (world, 100)
+  int64_t delay_ms = world->lossy && chance (world, 100)
                          ? (int64_t)csp_random_below (&world->random, 8000)
                          : 20;
 
-  if (world->lossy && happens (world, 50))
+  if (world->lossy && chance (world, 50))
     {
-      mail.answer = true;
-      mail.result = CSP_ORDER_ANSWER_LOST;
-      post_mail (world, mail, 5000);
+      message.answer = true;
+      message.result = CSP_ORDER_ANSWER_LOST;
+      post_message (world, message, 5000);
       return;
     }
-  post_mail (world, mail, delay_ms);
-  mail.silent = true;
-  if (world->lossy && !mail.answer && happens (world, 50))
-    post_mail (world, mail, delay_ms + 4000);
+  post_message (world, message, delay_ms);
+  message.ignore_answer = true;
+  if (world->lossy && !message.answer && chance (world, 50))
+    post_message (world, message, delay_ms + 4000);
 }
 
 static void
@@ -125,7 +125,7 @@
 }
 
 static csp_order_answer_t
-take_order (world_t *world, const csp_order_t *order)
+handle_order (world_t *world, const csp_order_t *order)
 {
   settle_engine (world);
   if (world->checks_fence && order->fence < world->fence)
@@ -143,35 +143,35 @@
 }
 
 static void
-deliver (world_t *world)
+deliver_due_messages (world_t *world)
 {
-  mail_t mail;
+  message_t message;
   uint32_t i = 0;
 
-  while (i < world->mail_count)
+  while (i < world->message_count)
     {
-      mail = world->mail[i];
-      if (mail.at_ms > world->now_ms)
+      message = world->messages[i];
+      if (message.at_ms > world->now_ms)
         {
           i++;
           continue;
         }
-      world->mail[i] = world->mail[--world->mail_count];
-      if (mail.answer)
-        csp_handle_order_answer (world->owners[mail.owner].memory, mail.result,
-                                 world->now_ms);
+      world->messages[i] = world->messages[--world->message_count];
+      if (message.answer)
+        csp_handle_order_answer (world->owners[message.owner].memory,
+                                 message.result, world->now_ms);
       else
         {
-          mail.result = take_order (world, &mail.order);
-          mail.answer = true;
-          if (!mail.silent)
-            post_lossy (world, mail);
+          message.result = handle_order (world, &message.order);
+          message.answer = true;
+          if (!message.ignore_answer)
+            post_lossy (world, message);
         }
     }
 }
 
 static void
-tick_owner (world_t *world, uint32_t index)
+run_owner (world_t *world, uint32_t index)
 {
   owner_t *owner = &world->owners[index];
   csp_versioned_t loaded = { "m", versions[world->version].version };
@@ -191,22 +191,23 @@
                               .oldest_stream_ms = INT64_MAX,
                               .report = &report };
   csp_order_action_t action;
-  mail_t mail = { .owner = index };
+  message_t message = { .owner = index };
 
   csp_decide_order (owner->memory, &facts, &owner->pace, world->now_ms,
                     &action);
   if (action.kind != CSP_ORDER_ACT_SEND)
     return;
   world->sent++;
-  mail.order = action.is.send;
-  /* Paused between decision and send: the order leaves when it wakes up.  */
-  if (world->lossy && happens (world, 100))
+  message.order = action.is.send;
+  /* Paused between decision and send: the order is sent when the owner
+     resumes.  */
+  if (world->lossy && chance (world, 100))
     {
       owner->paused_until_ms = world->now_ms + 60000;
-      post_mail (world, mail, 60000);
+      post_message (world, message, 60000);
     }
   else
-    post_lossy (world, mail);
+    post_lossy (world, message);
 }
 
 static void
@@ -220,9 +221,9 @@
 }
 
 static void
-play (world_t *world, int64_t for_ms)
+run_for (world_t *world, int64_t duration_ms)
 {
-  int64_t until_ms = world->now_ms + for_ms;
+  int64_t until_ms = world->now_ms + duration_ms;
   uint32_t first;
   uint32_t i;
 
@@ -230,14 +231,14 @@
     {
       world->report++;
       settle_engine (world);
-      deliver (world);
+      deliver_due_messages (world);
       if (world->lossy && csp_random_below (&world->random, 1200) == 0)
         restart_engine (world);
       first = csp_random_below (&world->random, OWNERS);
       for (i = 0; i < OWNERS; i++)
         if (world->now_ms
             >= world->owners[(first + i) % OWNERS].paused_until_ms)
-          tick_owner (world, (first + i) % OWNERS);
+          run_owner (world, (first + i) % OWNERS);
     }
 }
 
@@ -269,11 +270,12 @@
     csp_destroy_order_engine (world->owners[i].memory);
 }
 
-/* Operators went to another version and back; this host took both changes at
-   once and finds the engine as wanted.  The other side knows only the change
-   in between.  Without a raised number its order would count, though newer
-   hosts see nothing to order.  */
-START_TEST (a_settled_engine_is_fenced_too)
+/* Operators change the version and change it back.  One owner receives both
+   changes at once and finds the engine as wanted; the other knows only the
+   change in between.  If the first owner didn't raise the fencing number, the
+   other's outdated order would be accepted, as owners with newer
+   configurations see nothing to order.  */
+START_TEST (settled_engine_gets_current_fence)
 {
   world_t world;
 
@@ -281,99 +283,99 @@
   world.version = NEW;
   world.last_version = NEW;
   world.owners[0].granted = false;
-  play (&world, 10000);
+  run_for (&world, 10000);
   world.owners[0].granted = true;
-  play (&world, HOUR_MS);
+  run_for (&world, HOUR_MS);
   ck_assert_uint_eq (world.flips, 0);
   ck_assert_uint_eq (world.sent, 1);
   close_world (&world);
 }
 END_TEST
 
-/* The data centre is cut in two and both sides believe that they own one
-   engine, one side with an older configuration.  On an engine that checks the
-   number nothing may go back: a user would see a model that was replaced
-   answer again.  */
-START_TEST (a_checking_engine_never_goes_back)
+/* A network partition leaves two hosts that both believe they own one engine,
+   one with an older configuration.  An engine that checks the fencing number
+   must never return to the older version: callers would get answers of a model
+   that was replaced.  */
+START_TEST (fence_checking_engine_never_reverts)
 {
   world_t world;
 
   open_world (&world, true, _i % 4 != 0, (uint64_t)_i);
-  play (&world, HOUR_MS);
+  run_for (&world, HOUR_MS);
   ck_assert_msg (world.undone == 0, "seed %d: undone %u times", _i,
                  world.undone);
   world.lossy = false;
-  play (&world, 2 * CSP_ORDER_LONGEST_PAUSE_MS);
+  run_for (&world, 2 * CSP_ORDER_MAX_BACKOFF_MS);
   ck_assert_int_eq (world.version, NEW);
   close_world (&world);
 }
 END_TEST
 
-/* The same with an engine that ignores the number, for a day.  It can't be
-   kept from going back and forth, but no more than stated in docs/ORDERS.md:
-   four orders of each owner in the first hour, one an hour afterwards.  */
-START_TEST (an_ignoring_engine_flaps_within_the_bound)
+/* The same with an engine that ignores the fencing number, for a day.  The
+   engine does flap, but within the bound in docs/ORDERS.md: four orders per
+   owner in the first hour, then one an hour.  */
+START_TEST (fence_ignoring_engine_flaps_within_bound)
 {
   world_t world;
   uint32_t first_hour;
 
   open_world (&world, false, false, (uint64_t)_i);
-  play (&world, LONGEST_MS + HOUR_MS);
+  run_for (&world, LONGEST_MS + HOUR_MS);
   first_hour = world.sent;
   ck_assert_uint_le (first_hour, 4 * OWNERS);
-  play (&world, 23 * (int64_t)HOUR_MS);
+  run_for (&world, 23 * (int64_t)HOUR_MS);
   ck_assert_uint_le (world.sent, (4 + 23) * OWNERS);
-  /* The cut heals: the older side takes the newer revision, or has died and
-     the newer one is left with its pause.  */
+  /* The partition ends: the older owner gets the newer revision, or it stops
+     and the newer one is left with its backoff.  */
   if (_i % 2 == 0)
     world.owners[0].revision = NEW;
   else
     world.owners[0].granted = false;
-  play (&world, HOUR_MS + LONGEST_MS);
+  run_for (&world, HOUR_MS + LONGEST_MS);
   ck_assert_int_eq (world.version, NEW);
   close_world (&world);
 }
 END_TEST
 
-/* And with a network that loses, doubles and delays, and restarts: each
-   restart may bring each owner's order once more.  */
-START_TEST (an_ignoring_engine_in_bad_weather)
+/* The same with message loss, duplicates, delays and restarts: each restart
+   may make each owner order once more.  */
+START_TEST (fence_ignoring_engine_on_lossy_network)
 {
   world_t world;
 
   open_world (&world, false, true, (uint64_t)_i);
-  play (&world, LONGEST_MS + HOUR_MS);
+  run_for (&world, LONGEST_MS + HOUR_MS);
   ck_assert_msg (world.flips <= 4 * OWNERS + 2 * OWNERS * world.restarts,
                  "seed %d: %u flips, %u restarts", _i, world.flips,
                  world.restarts);
   world.owners[0].revision = NEW;
   world.lossy = false;
-  play (&world, HOUR_MS + LONGEST_MS);
+  run_for (&world, HOUR_MS + LONGEST_MS);
   ck_assert_int_eq (world.version, NEW);
   close_world (&world);
 }
 END_TEST
 
-/* A host is stopped with an order decided, ownership moves, and it wakes a
-   minute later and sends.  An engine that ignores the number obeys; the owner
-   must put it right at once, not after a pause, as callers get 404 until
-   then.  */
-START_TEST (a_stray_order_is_put_right_at_once)
+/* A host is paused between deciding and sending an order; ownership moves, and
+   a minute later the host resumes and sends.  An engine that ignores the
+   fencing number obeys.  The new owner must correct that at once and not after
+   a pause, as callers get 404 until then.  */
+START_TEST (late_order_is_corrected_at_once)
 {
   world_t world;
-  mail_t stray
+  message_t stray
       = { .owner = 0, .order = { CSP_ORDER_LOAD_MODEL, "m", "1", OLD } };
   uint32_t i;
 
   open_world (&world, false, false, (uint64_t)_i);
   world.owners[0].granted = false;
-  play (&world, LONGEST_MS + 60000);
+  run_for (&world, LONGEST_MS + 60000);
   ck_assert_int_eq (world.version, NEW);
-  post_mail (&world, stray, 0);
+  post_message (&world, stray, 0);
   for (i = 0; i < 20 && world.undone == 0; i++)
-    play (&world, TICK_MS);
+    run_for (&world, TICK_MS);
   ck_assert_uint_eq (world.undone, 1);
-  play (&world, 15000);
+  run_for (&world, 15000);
   ck_assert_int_eq (world.version, NEW);
   close_world (&world);
 }
@@ -386,12 +388,13 @@
   TCase *tcase = tcase_create ("order-split");
 
   tcase_set_timeout (tcase, 60);
-  tcase_add_loop_test (tcase, a_settled_engine_is_fenced_too, 0, 5);
-  tcase_add_loop_test (tcase, a_checking_engine_never_goes_back, 0, SEEDS);
-  tcase_add_loop_test (tcase, an_ignoring_engine_flaps_within_the_bound, 0,
+  tcase_add_loop_test (tcase, settled_engine_gets_current_fence, 0, 5);
+  tcase_add_loop_test (tcase, fence_checking_engine_never_reverts, 0, SEEDS);
+  tcase_add_loop_test (tcase, fence_ignoring_engine_flaps_within_bound, 0,
                        SEEDS / 10);
-  tcase_add_loop_test (tcase, an_ignoring_engine_in_bad_weather, 0, SEEDS);
-  tcase_add_loop_test (tcase, a_stray_order_is_put_right_at_once, 0, 5);
+  tcase_add_loop_test (tcase, fence_ignoring_engine_on_lossy_network, 0,
+                       SEEDS);
+  tcase_add_loop_test (tcase, late_order_is_corrected_at_once, 0, 5);
   suite_add_tcase (suite, tcase);
   return run_suite (suite);
 }
--- a/tests/order/order-test.c
+++ b/tests/order/order-test.c
@@ -6,7 +6,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* One decision a row: what the engine reports beside what is wanted.  */
+/* One decision per row: what the engine reports, compared with the wanted
+   state.  */
 typedef struct
 {
   const char *name;
@@ -23,8 +24,8 @@
   int64_t owned_ms;
   csp_order_state_t state;
   csp_order_op_t op;
-  const char *order_name;
-  int64_t order_fence;
+  const char *expected_name;
+  int64_t expected_fence;
 } row_t;
 
 enum
@@ -40,15 +41,15 @@
 #define OLD { { "m", "3" }, { "old", "1" } }, 2
 #define OWNED .owned_ms = LONGEST_MS
 #define SENT(which, what, number)                                             \
-  .state = CSP_ORDER_SENT, .op = (which), .order_name = (what),               \
-  .order_fence = (number)
+  .state = CSP_ORDER_SENT, .op = (which), .expected_name = (what),            \
+  .expected_fence = (number)
 
 static const row_t rows[] = {
   { "as wanted", V3, "decode", 50, .checks_fence = true, OWNED,
     .state = CSP_ORDER_SETTLED },
-  { "an old number is raised first", V2, "mixed", 40, .checks_fence = true,
-    OWNED, SENT (CSP_ORDER_SET_ROLE, "decode", 50) },
-  { "also where all else is as wanted", V3, "decode", 49, .checks_fence = true,
+  { "an old fencing number is raised first", V2, "mixed", 40,
+    .checks_fence = true, OWNED, SENT (CSP_ORDER_SET_ROLE, "decode", 50) },
+  { "also when all else is as wanted", V3, "decode", 49, .checks_fence = true,
     OWNED, SENT (CSP_ORDER_SET_ROLE, "decode", 50) },
   { "a version", V2, "decode", 50, .checks_fence = true, OWNED,
     SENT (CSP_ORDER_LOAD_MODEL, "m", 50) },
@@ -60,15 +61,15 @@
     .checks_fence = true,
     OWNED,
     .state = CSP_ORDER_SETTLED },
-  { "an engine from another pool keeps its higher number", V2, "decode", 55,
+  { "an engine from another pool keeps its higher fence", V2, "decode", 55,
     .checks_fence = true, OWNED, SENT (CSP_ORDER_LOAD_MODEL, "m", 55) },
-  { "the engine knows more than we", V2, "decode", 61, .checks_fence = true,
+  { "the engine has a newer revision", V2, "decode", 61, .checks_fence = true,
     OWNED, .state = CSP_ORDER_HELD_BACK },
   { "a role", V3, "mixed", 50, .checks_fence = true, OWNED,
     SENT (CSP_ORDER_SET_ROLE, "decode", 50) },
-  { "what is not wanted", OLD, "decode", 50, .checks_fence = true, OWNED,
+  { "an unwanted model", OLD, "decode", 50, .checks_fence = true, OWNED,
     SENT (CSP_ORDER_UNLOAD_MODEL, "old", 50) },
-  { "but not under streams", OLD, "decode", 50, .checks_fence = true,
+  { "not while streams use it", OLD, "decode", 50, .checks_fence = true,
     .foreign = true, OWNED, .state = CSP_ORDER_IN_USE },
   { "a busy engine", V2, "decode", 50, .busy = true, .checks_fence = true,
     OWNED, .state = CSP_ORDER_ENGINE_BUSY },
@@ -79,8 +80,8 @@
   { "a report from before a pause", V2, "decode", 50, .checks_fence = true,
     .report_age_ms = CSP_ORDER_FRESH_MS + 1, OWNED,
     .state = CSP_ORDER_NO_REPORT },
-  { "a new owner of a checking engine", V2, "decode", 50, .checks_fence = true,
-    SENT (CSP_ORDER_LOAD_MODEL, "m", 50) },
+  { "a new owner of a fence-checking engine", V2, "decode", 50,
+    .checks_fence = true, SENT (CSP_ORDER_LOAD_MODEL, "m", 50) },
   { "a new owner waits for an earlier one's order", V2, "decode", 0,
     .owned_ms = LONGEST_MS - 1, .state = CSP_ORDER_EARLIER_OWNER },
   { "and then orders", V2, "decode", 0, OWNED,
@@ -117,7 +118,7 @@
   return facts;
 }
 
-START_TEST (orders_follow_wanted_and_report)
+START_TEST (decides_from_wanted_state_and_report)
 {
   const row_t *row = &rows[_i];
   csp_order_engine_t *engine = csp_create_order_engine ();
@@ -137,16 +138,16 @@
     {
       ck_assert_int_eq (action.kind, CSP_ORDER_ACT_SEND);
       ck_assert_int_eq (action.is.send.op, row->op);
-      ck_assert_str_eq (action.is.send.name, row->order_name);
-      ck_assert_int_eq (action.is.send.fence, row->order_fence);
+      ck_assert_str_eq (action.is.send.name, row->expected_name);
+      ck_assert_int_eq (action.is.send.fence, row->expected_fence);
     }
   csp_destroy_order_engine (engine);
 }
 END_TEST
 
-/* A model that a route names, or that an older stream may use, stays.  The
-   user would see a stream end with 404 in the middle.  */
-START_TEST (used_models_stay)
+/* A model that a route names, or that an older stream may use, must not be
+   unloaded: the stream would end with 404 in the middle.  */
+START_TEST (models_in_use_are_not_unloaded)
 {
   static const char *const routed[] = { "old" };
   static const row_t row = { "", OLD, "decode", 50, .checks_fence = true };
@@ -171,9 +172,9 @@
 }
 END_TEST
 
-/* An engine refuses every load, as one whose disk is full does.  Without
-   growing pauses the weight store and the log are hit every second.  */
-START_TEST (failures_pause_ever_longer)
+/* An engine fails every load, for example as its disk is full.  Without
+   growing pauses the weight store and the log would be hit every second.  */
+START_TEST (failed_orders_back_off)
 {
   static const row_t row = { "", V2, "decode", 50, .checks_fence = true };
   csp_order_engine_t *engine = csp_create_order_engine ();
@@ -204,8 +205,9 @@
 END_TEST
 
 /* A change reaches 330 hosts at once, each with 36 engines to load.  Without
-   the share all start in one second and the weight store refuses them.  */
-START_TEST (loads_keep_to_the_store_s_rate)
+   the per-host share all would start in one second and the weight store would
+   refuse them.  */
+START_TEST (loads_respect_weight_store_rate)
 {
   enum
   {
@@ -215,8 +217,8 @@
   };
   csp_order_pace_t paces[HOSTS] = { { 0 } };
   uint32_t started = 0;
-  uint32_t most = 0;
-  uint32_t second = 0;
+  uint32_t max_per_second = 0;
+  uint32_t this_second = 0;
   int64_t now_ms;
   uint32_t i;
 
@@ -224,19 +226,20 @@
     csp_set_order_share (&paces[i], RATE, 36, 36 * HOSTS, i * 7919);
   for (now_ms = NOW; now_ms < NOW + MINUTES * 60000; now_ms += 1000)
     {
-      second = 0;
+      this_second = 0;
       for (i = 0; i < HOSTS; i++)
         if (csp_may_start_load (&paces[i], now_ms))
           {
             csp_note_load_started (&paces[i], now_ms);
-            second++;
+            this_second++;
           }
-      started += second;
-      most = second > most ? second : most;
+      started += this_second;
+      max_per_second
+          = this_second > max_per_second ? this_second : max_per_second;
     }
   ck_assert_uint_le (started, RATE * MINUTES + HOSTS);
   ck_assert_uint_ge (started, RATE * MINUTES * 9 / 10);
-  ck_assert_uint_le (most, 3 * RATE / 60);
+  ck_assert_uint_le (max_per_second, 3 * RATE / 60);
 }
 END_TEST
 
@@ -246,11 +249,11 @@
   Suite *suite = suite_create ("order");
   TCase *tcase = tcase_create ("order");
 
-  tcase_add_loop_test (tcase, orders_follow_wanted_and_report, 0,
+  tcase_add_loop_test (tcase, decides_from_wanted_state_and_report, 0,
                        sizeof rows / sizeof *rows);
-  tcase_add_test (tcase, used_models_stay);
-  tcase_add_test (tcase, failures_pause_ever_longer);
-  tcase_add_test (tcase, loads_keep_to_the_store_s_rate);
+  tcase_add_test (tcase, models_in_use_are_not_unloaded);
+  tcase_add_test (tcase, failed_orders_back_off);
+  tcase_add_test (tcase, loads_respect_weight_store_rate);
   suite_add_tcase (suite, tcase);
   return run_suite (suite);
 }
