--- a/source/admission/admission-decide.c
+++ b/source/admission/admission-decide.c
@@ -2,14 +2,14 @@
 
 #include <math.h>
 
-/* The chance of growing past long_tokens from which on a class counts as one
-   whose answers may become long; 2 in 100 leaves lookups and tags out.  */
-static const double long_chance = 0.02;
+/* A class counts as one whose answers may become long when the probability of
+   growing past long_tokens is above this; 0.02 excludes lookups and tags.  */
+static const double long_answer_probability = 0.02;
 
-static const double pressure_most = 3;
+static const double max_pressure = 3;
 
 static double
-pressure_fade (const csp_ledger_t *ledger, int64_t now_ms)
+pressure_decay (const csp_ledger_t *ledger, int64_t now_ms)
 {
   double age_ms = (double)(now_ms - ledger->pressure_ms);
 
@@ -25,19 +25,19 @@
   double risk = policy->risk + policy->risk_step * below;
 
   if (ledger->pressure > 0)
-    risk += ledger->pressure * pressure_fade (ledger, now_ms);
+    risk += ledger->pressure * pressure_decay (ledger, now_ms);
   return risk;
 }
 
-/* A wrong guess shows as preemptions.  Without this feedback the same guess
-   lets in the next stream as well, and preemptions go on until enough long
-   answers have ended to be learnt from.  */
+/* Wrong length estimates lead to preemptions.  Without this feedback the same
+   estimate would admit the next stream too, and preemptions would go on until
+   enough long answers have ended to correct the estimate.  */
 void
 csp_note_preemption (csp_ledger_t *ledger, int64_t now_ms)
 {
-  ledger->pressure = fmin (ledger->pressure * pressure_fade (ledger, now_ms)
+  ledger->pressure = fmin (ledger->pressure * pressure_decay (ledger, now_ms)
                                + ledger->policy.pressure_step,
-                           pressure_most);
+                           max_pressure);
   ledger->pressure_ms = now_ms;
 }
 
@@ -54,9 +54,9 @@
   return memory > ledger->foreign_tokens ? memory - ledger->foreign_tokens : 0;
 }
 
-/* Memory needed at a horizon with `extra` counted in.  The sum of all streams
-   at their longest bounds it: a normal law promises more than that where few
-   streams run.  */
+/* Memory needed at a horizon with `extra` included.  It is limited to the sum
+   of all streams at their longest, since the normal approximation exceeds that
+   sum when few streams run.  */
 static double
 memory_needed (const csp_ledger_t *ledger, const forecast_t *extra, uint32_t i,
                double risk)
@@ -80,12 +80,12 @@
   return stream->prompt_tokens + answer <= memory;
 }
 
-/* A few very long answers hold most of a target's memory for minutes and keep
-   the short ones waiting; one notices short requests that wait while few
-   streams run.  So classes that may become long share a part only.  */
+/* A few very long answers would hold most of a target's memory for minutes, so
+   that short requests wait while few streams run.  So the classes that may
+   become long get only a share of the memory.  */
 static bool
-long_share_full (const csp_ledger_t *ledger, const csp_stream_t *stream,
-                 uint32_t memory)
+is_long_share_full (const csp_ledger_t *ledger, const csp_stream_t *stream,
+                    uint32_t memory)
 {
   const csp_admission_policy_t *policy = &ledger->policy;
 
@@ -95,7 +95,7 @@
     return false;
   return csp_survive_length (ledger->lengths, stream->length_key, 0,
                              policy->long_tokens)
-         > long_chance;
+         > long_answer_probability;
 }
 
 static bool
@@ -112,10 +112,11 @@
 
 csp_admit_t
 csp_decide_forecast (const csp_ledger_t *ledger, const csp_stream_t *stream,
-                     const forecast_t *forecast, double open, int64_t now_ms)
+                     const forecast_t *forecast, double usable_share,
+                     int64_t now_ms)
 {
   uint32_t memory
-      = (uint32_t)(open * csp_ledger_memory_tokens (ledger, now_ms));
+      = (uint32_t)(usable_share * csp_ledger_memory_tokens (ledger, now_ms));
 
   if (ledger->report.leaving)
     return CSP_ADMIT_WAIT;
@@ -127,7 +128,7 @@
     return CSP_ADMIT_WAIT;
   if (ledger->streams == 0 && fits_empty (ledger, stream, memory))
     return CSP_ADMIT;
-  if (long_share_full (ledger, stream, memory))
+  if (is_long_share_full (ledger, stream, memory))
     return CSP_ADMIT_WAIT;
   if (fits_all_horizons (ledger, forecast,
                          (double)memory - stream->reserve_tokens,
@@ -153,15 +154,16 @@
 csp_ledger_headroom_tokens (const csp_ledger_t *ledger, uint8_t priority,
                             int64_t now_ms)
 {
-  static const forecast_t nothing;
+  static const forecast_t no_stream;
   double risk = csp_ledger_risk (ledger, priority, now_ms);
-  double least = csp_ledger_memory_tokens (ledger, now_ms);
-  double memory = least;
+  double headroom = csp_ledger_memory_tokens (ledger, now_ms);
+  double memory = headroom;
   uint32_t i;
 
   if (ledger->report.leaving)
     return 0;
   for (i = 0; i < CSP_LEDGER_HORIZONS; i++)
-    least = fmin (least, memory - memory_needed (ledger, &nothing, i, risk));
-  return least > 0 ? (uint32_t)least : 0;
+    headroom = fmin (headroom,
+                     memory - memory_needed (ledger, &no_stream, i, risk));
+  return headroom > 0 ? (uint32_t)headroom : 0;
 }
--- a/source/admission/admission-ledger.c
+++ b/source/admission/admission-ledger.c
@@ -8,21 +8,22 @@
   FIRST_SLOTS = 8
 };
 
-/* Steps double up to 2,048, as most answers end there, and are finer beyond,
-   where a few streams hold much.  Streams that still run after 8,192 tokens
-   count by what they hold then; they are re-estimated long before.  */
-const uint32_t csp_ledger_ahead[CSP_LEDGER_HORIZONS]
+/* Steps double up to 2,048, as most answers end before that, and are finer
+   beyond, where a few streams hold much memory.  A stream that may still run
+   after 8,192 tokens counts with what it holds at that point; it is
+   re-estimated long before.  */
+const uint32_t csp_ledger_horizon_tokens[CSP_LEDGER_HORIZONS]
     = { 0, 32, 64, 128, 256, 512, 1024, 2048, 3072, 4096, 6144, 8192 };
 
-/* Memory counts to the middle of the step that begins at a horizon: counted
-   at its beginning only, answers that end within a step of thousands of
-   tokens would grow unseen.  */
+/* Memory at a horizon is counted up to the middle of the step that begins
+   there.  Counted at the beginning of the step, the growth of answers that end
+   within a step of thousands of tokens would be missed.  */
 static uint32_t
-middle_of_step (uint32_t i)
+step_middle_tokens (uint32_t i)
 {
   if (i + 1 == CSP_LEDGER_HORIZONS)
-    return csp_ledger_ahead[i];
-  return (csp_ledger_ahead[i] + csp_ledger_ahead[i + 1]) / 2;
+    return csp_ledger_horizon_tokens[i];
+  return (csp_ledger_horizon_tokens[i] + csp_ledger_horizon_tokens[i + 1]) / 2;
 }
 
 csp_admission_policy_t
@@ -50,22 +51,24 @@
 {
   uint32_t i;
   uint32_t ahead;
-  double stay;
-  double hold;
+  double survival;
+  double held_tokens;
 
   for (i = 0; i < CSP_LEDGER_HORIZONS; i++)
     {
-      ahead = csp_ledger_ahead[i];
-      hold = (double)stream->prompt_tokens + made_tokens + middle_of_step (i);
-      stay = 0;
+      ahead = csp_ledger_horizon_tokens[i];
+      held_tokens = (double)stream->prompt_tokens + made_tokens
+                    + step_middle_tokens (i);
+      survival = 0;
       if (stream->max_tokens == 0 || made_tokens + ahead <= stream->max_tokens)
-        stay = csp_survive_length (lengths, stream->length_key, made_tokens,
-                                   ahead);
+        survival = csp_survive_length (lengths, stream->length_key,
+                                       made_tokens, ahead);
       if (i == 0)
-        stay = 1;
-      forecast->mean[i] = (float)(stay * hold);
-      forecast->variance[i] = (float)(stay * (1 - stay) * hold * hold);
-      forecast->ceiling[i] = stay > 0 ? (float)hold : 0;
+        survival = 1;
+      forecast->mean[i] = (float)(survival * held_tokens);
+      forecast->variance[i]
+          = (float)(survival * (1 - survival) * held_tokens * held_tokens);
+      forecast->ceiling[i] = survival > 0 ? (float)held_tokens : 0;
     }
 }
 
@@ -83,31 +86,32 @@
 }
 
 static void
-note_held (csp_ledger_t *ledger, int64_t now_ms)
+record_peak (csp_ledger_t *ledger, int64_t now_ms)
 {
-  int64_t bucket = now_ms / HELD_BUCKET_MS;
-  held_t *held = &ledger->held[bucket % HELD_BUCKETS];
+  int64_t bucket = now_ms / PEAK_BUCKET_MS;
+  peak_t *peak = &ledger->peaks[bucket % PEAK_BUCKETS];
 
-  if (held->bucket != bucket)
+  if (peak->bucket != bucket)
     {
-      held->bucket = bucket;
-      held->most_tokens = 0;
+      peak->bucket = bucket;
+      peak->peak_tokens = 0;
     }
-  if (ledger->used_tokens > held->most_tokens)
-    held->most_tokens = ledger->used_tokens;
+  if (ledger->used_tokens > peak->peak_tokens)
+    peak->peak_tokens = ledger->used_tokens;
 }
 
 uint32_t
-csp_most_held (const csp_ledger_t *ledger, int64_t now_ms)
+csp_peak_used_tokens (const csp_ledger_t *ledger, int64_t now_ms)
 {
-  int64_t oldest = (now_ms - ledger->policy.report_lag_ms) / HELD_BUCKET_MS;
-  uint32_t most = ledger->used_tokens;
+  int64_t oldest = (now_ms - ledger->policy.report_lag_ms) / PEAK_BUCKET_MS;
+  uint32_t peak_used = ledger->used_tokens;
   uint32_t i;
 
-  for (i = 0; i < HELD_BUCKETS; i++)
-    if (ledger->held[i].bucket >= oldest && ledger->held[i].most_tokens > most)
-      most = ledger->held[i].most_tokens;
-  return most;
+  for (i = 0; i < PEAK_BUCKETS; i++)
+    if (ledger->peaks[i].bucket >= oldest
+        && ledger->peaks[i].peak_tokens > peak_used)
+      peak_used = ledger->peaks[i].peak_tokens;
+  return peak_used;
 }
 
 csp_ledger_t *
@@ -151,7 +155,7 @@
     return false;
   for (i = count; i-- > ledger->slot_count;)
     {
-      slots[i].open = false;
+      slots[i].used = false;
       slots[i].next_free = ledger->first_free;
       ledger->first_free = i;
     }
@@ -167,7 +171,7 @@
 }
 
 static bool
-stream_is_long (const csp_ledger_t *ledger, const csp_stream_state_t *state)
+is_long_stream (const csp_ledger_t *ledger, const csp_stream_state_t *state)
 {
   return state->made_tokens > ledger->policy.long_tokens;
 }
@@ -178,7 +182,7 @@
   ledger->used_tokens += (uint32_t)sign * stream_tokens (state);
   if (state->made_tokens == 0)
     ledger->unstarted_tokens += (uint32_t)sign * state->stream.prompt_tokens;
-  if (stream_is_long (ledger, state))
+  if (is_long_stream (ledger, state))
     ledger->long_used_tokens += (uint32_t)sign * stream_tokens (state);
 }
 
@@ -194,7 +198,7 @@
   handle = ledger->first_free;
   slot = &ledger->slots[handle];
   ledger->first_free = slot->next_free;
-  slot->open = true;
+  slot->used = true;
   slot->state.stream = *stream;
   slot->state.made_tokens = made_tokens;
   slot->state.since_ms = now_ms;
@@ -203,14 +207,14 @@
   add_forecast (ledger, &slot->forecast, 1);
   count_tokens (ledger, &slot->state, 1);
   ledger->streams++;
-  note_held (ledger, now_ms);
+  record_peak (ledger, now_ms);
   return handle;
 }
 
 static slot_t *
 find_slot (const csp_ledger_t *ledger, uint32_t handle)
 {
-  if (handle >= ledger->slot_count || !ledger->slots[handle].open)
+  if (handle >= ledger->slot_count || !ledger->slots[handle].used)
     return NULL;
   return &ledger->slots[handle];
 }
@@ -233,10 +237,11 @@
                        &slot->forecast);
   add_forecast (ledger, &slot->forecast, 1);
   count_tokens (ledger, &slot->state, 1);
-  note_held (ledger, now_ms);
+  record_peak (ledger, now_ms);
 }
 
-/* Sums of floats drift by rounding; an empty ledger starts from true zero.  */
+/* Sums of floats drift by rounding, so an empty ledger is reset to exactly
+   zero.  */
 static void
 reset_sums (csp_ledger_t *ledger)
 {
@@ -253,7 +258,7 @@
 
   if (slot == NULL)
     return;
-  note_held (ledger, now_ms);
+  record_peak (ledger, now_ms);
   csp_learn_length (ledger->lengths, slot->state.stream.length_key,
                     slot->state.made_tokens, end);
   count_tokens (ledger, &slot->state, -1);
@@ -261,7 +266,7 @@
   ledger->streams--;
   if (ledger->streams == 0)
     reset_sums (ledger);
-  slot->open = false;
+  slot->used = false;
   slot->next_free = ledger->first_free;
   ledger->first_free = handle;
 }
@@ -302,7 +307,8 @@
                      double mean_tokens[CSP_LEDGER_HORIZONS],
                      double variance_tokens[CSP_LEDGER_HORIZONS])
 {
-  memcpy (ahead_tokens, csp_ledger_ahead, sizeof csp_ledger_ahead);
+  memcpy (ahead_tokens, csp_ledger_horizon_tokens,
+          sizeof csp_ledger_horizon_tokens);
   memcpy (mean_tokens, ledger->mean, sizeof ledger->mean);
   memcpy (variance_tokens, ledger->variance, sizeof ledger->variance);
 }
--- a/source/admission/admission-report.c
+++ b/source/admission/admission-report.c
@@ -1,19 +1,20 @@
 #include "admission/ledger-imp.h"
 
-/* A report is late by seconds, so it is compared with the most that the
-   ledger held in that time.
+/* A report is seconds old, so it is compared with the most that the ledger
+   held in that time.
 
-   More than that: streams that this host does not know of, such as those of
-   an earlier owner or of the other side of a split.  Were they not counted,
-   both sides would fill the target, and callers of both would see preempted
-   streams.  Less: the report is from before our last streams, or shared
-   prefixes are counted once; the ledger stands, as giving the difference away
-   would admit the same memory twice.  */
+   Reported use above that comes from streams that this host doesn't know, such
+   as those of an earlier owner or of the other side of a split.  If they
+   weren't counted, both sides would fill the target and callers of both would
+   see preempted streams.  Reported use below that means that the report
+   predates the latest streams or counts shared prefixes once.  The ledger's
+   value is kept then, as releasing the difference would admit the same memory
+   twice.  */
 static uint32_t
 find_foreign_tokens (const csp_ledger_t *ledger,
                      const csp_load_report_t *report, int64_t now_ms)
 {
-  uint32_t known = csp_most_held (ledger, now_ms);
+  uint32_t known = csp_peak_used_tokens (ledger, now_ms);
   uint32_t slack
       = (uint32_t)(ledger->policy.foreign_slack * report->memory_tokens);
 
@@ -22,11 +23,11 @@
   return report->used_tokens - known;
 }
 
-/* An engine that was started again counts its reports from one; without this
-   its reports would be ignored for ever.  */
+/* A restarted engine numbers its reports from one again; without the check of
+   the age all its reports would be ignored.  */
 static bool
-report_is_old (const csp_ledger_t *ledger, const csp_load_report_t *report,
-               int64_t now_ms)
+is_outdated_report (const csp_ledger_t *ledger,
+                    const csp_load_report_t *report, int64_t now_ms)
 {
   if (!ledger->reported || report->report > ledger->report.report)
     return false;
@@ -40,7 +41,7 @@
   uint64_t preempted_before = ledger->report.preemptions;
   bool first = !ledger->reported;
 
-  if (report_is_old (ledger, report, now_ms))
+  if (is_outdated_report (ledger, report, now_ms))
     return false;
   ledger->report = *report;
   ledger->report_ms = now_ms;
--- a/source/admission/ledger-imp.h
+++ b/source/admission/ledger-imp.h
@@ -5,13 +5,13 @@
 
 enum
 {
-  HELD_BUCKETS = 8,
-  HELD_BUCKET_MS = 500,
+  PEAK_BUCKETS = 8,
+  PEAK_BUCKET_MS = 500,
   NO_HANDLE = UINT32_MAX
 };
 
-/* What a stream adds at each horizon.  It is kept, as what is taken away
-   later must be what was added, though lengths were learnt in between.  */
+/* What a stream adds at each horizon.  It is stored, since exactly the added
+   value must be subtracted later although lengths were learnt in between.  */
 typedef struct
 {
   float mean[CSP_LEDGER_HORIZONS];
@@ -24,14 +24,14 @@
   csp_stream_state_t state;
   forecast_t forecast;
   uint32_t next_free;
-  bool open;
+  bool used;
 } slot_t;
 
 typedef struct
 {
   int64_t bucket;
-  uint32_t most_tokens;
-} held_t;
+  uint32_t peak_tokens;
+} peak_t;
 
 struct csp_ledger
 {
@@ -51,28 +51,29 @@
   int64_t report_ms;
   bool reported;
   uint32_t foreign_tokens;
-  held_t held[HELD_BUCKETS];
+  peak_t peaks[PEAK_BUCKETS];
   double pressure;
   int64_t pressure_ms;
 };
 
-extern const uint32_t csp_ledger_ahead[CSP_LEDGER_HORIZONS];
+extern const uint32_t csp_ledger_horizon_tokens[CSP_LEDGER_HORIZONS];
 
-/* What a stream with so many tokens needs at each horizon.  */
+/* Computes what a stream with made_tokens needs at each horizon.  */
 void csp_forecast_stream (csp_lengths_t *lengths, const csp_stream_t *stream,
                           uint32_t made_tokens, forecast_t *forecast);
 
-/* csp_decide_admission with the stream's forecast made before, for a choice
-   among many targets; open is the share of the target that may be used.  */
+/* Like csp_decide_admission, with a forecast of the stream computed before,
+   for a choice among many targets.  usable_share is the share of the target's
+   memory that may be used.  */
 csp_admit_t csp_decide_forecast (const csp_ledger_t *ledger,
                                  const csp_stream_t *stream,
-                                 const forecast_t *forecast, double open,
-                                 int64_t now_ms);
+                                 const forecast_t *forecast,
+                                 double usable_share, int64_t now_ms);
 
-/* The most that the ledger held within the lag of a report.  */
-uint32_t csp_most_held (const csp_ledger_t *ledger, int64_t now_ms);
+/* The most tokens that the ledger held within report_lag_ms before now_ms.  */
+uint32_t csp_peak_used_tokens (const csp_ledger_t *ledger, int64_t now_ms);
 
-/* Standard deviations that must fit for a priority.  */
+/* Number of standard deviations that must fit for a priority.  */
 double csp_ledger_risk (const csp_ledger_t *ledger, uint8_t priority,
                         int64_t now_ms);
 
--- a/source/preemption/preemption.c
+++ b/source/preemption/preemption.c
@@ -26,8 +26,8 @@
   double most = 0;
   uint32_t i;
 
-  for (i = 0;
-       i < CSP_LEDGER_HORIZONS && csp_ledger_ahead[i] <= policy->ahead_tokens;
+  for (i = 0; i < CSP_LEDGER_HORIZONS
+              && csp_ledger_horizon_tokens[i] <= policy->ahead_tokens;
        i++)
     if (ledger->mean[i] > most)
       most = ledger->mean[i];
@@ -87,7 +87,7 @@
   for (i = 0; i < ledger->slot_count; i++)
     {
       slot = &ledger->slots[i];
-      if (!slot->open || !may_give_way (policy, &slot->state)
+      if (!slot->used || !may_give_way (policy, &slot->state)
           || is_chosen (handles, count, i))
         continue;
       if (best == NO_HANDLE
--- a/tests/admission/admission-test.c
+++ b/tests/admission/admission-test.c
@@ -45,7 +45,7 @@
 }
 
 static void
-report_used (uint64_t number, uint32_t used_tokens, int64_t now_ms)
+send_report (uint64_t number, uint32_t used_tokens, int64_t now_ms)
 {
   csp_load_report_t report = { .report = number,
                                .memory_tokens = MEMORY,
@@ -55,7 +55,7 @@
 }
 
 static csp_stream_t
-stream_of (uint32_t key)
+make_stream (uint32_t key)
 {
   csp_stream_t stream
       = { .length_key = key, .prompt_tokens = PROMPT, .priority = 5 };
@@ -63,11 +63,12 @@
   return stream;
 }
 
-/* Let in as many as the decision takes.  */
+/* Admits streams until the decision is no longer CSP_ADMIT; returns their
+   number.  */
 static uint32_t
-fill (uint32_t key, int64_t now_ms)
+admit_all (uint32_t key, int64_t now_ms)
 {
-  csp_stream_t stream = stream_of (key);
+  csp_stream_t stream = make_stream (key);
   uint32_t count = 0;
 
   while (count < 1000
@@ -79,37 +80,37 @@
   return count;
 }
 
-/* A burst of answers that grow to 6,000 tokens each finds an empty engine.
-   By what is free now 39 of them fit; after a minute they need six times the
-   memory, and their callers see pauses while the engine preempts.  */
-START_TEST (a_burst_of_long_answers_leaves_room_to_grow)
+/* A burst of answers that grow to 6,000 tokens each arrives at an empty
+   engine.  By the memory that is free now 39 of them fit; a minute later they
+   need six times the memory, and the engine preempts.  */
+START_TEST (burst_of_long_answers_leaves_memory_to_grow)
 {
   uint32_t count;
 
-  report_used (1, 0, 1000);
-  count = fill (long_key, 1000);
+  send_report (1, 0, 1000);
+  count = admit_all (long_key, 1000);
   ck_assert_uint_ge (count, 3);
   ck_assert_uint_le (count * (PROMPT + 6000), MEMORY + MEMORY / 10);
 }
 END_TEST
 
-/* Short answers need no such reserve; kept for them as well, it would make
-   callers wait before an engine that is half empty.  */
-START_TEST (a_burst_of_short_answers_fills_the_engine)
+/* Short answers need no such reserve; with it callers would wait while the
+   engine is half empty.  */
+START_TEST (burst_of_short_answers_fills_engine)
 {
-  report_used (1, 0, 1000);
-  ck_assert_uint_ge (fill (short_key, 1000), 33);
+  send_report (1, 0, 1000);
+  ck_assert_uint_ge (admit_all (short_key, 1000), 33);
 }
 END_TEST
 
-/* Long answers under way hold most of an engine; a class of long ones waits,
-   and short answers still get in.  */
-START_TEST (short_answers_pass_long_ones)
+/* Long answers in flight hold most of an engine: streams of a class with long
+   answers wait, and short ones are still admitted.  */
+START_TEST (short_answers_are_admitted_beside_long_ones)
 {
-  csp_stream_t stream = stream_of (long_key);
-  csp_stream_t short_stream = stream_of (short_key);
+  csp_stream_t stream = make_stream (long_key);
+  csp_stream_t short_stream = make_stream (short_key);
 
-  report_used (1, 0, 1000);
+  send_report (1, 0, 1000);
   csp_add_stream (ledger, &stream, 5000, 1000);
   csp_add_stream (ledger, &stream, 5000, 1000);
   csp_add_stream (ledger, &stream, 5000, 1000);
@@ -121,14 +122,14 @@
 }
 END_TEST
 
-/* Reports that are late, missing, started anew or in contradiction.  `used`
-   is what the report says beside eight streams of 1,000 that we know; memory
-   is what may be used after that.  */
+/* Reports that are late, missing, contradictory or from a restarted engine.
+   `used` is what the report says while the ledger holds eight streams of 1,000
+   tokens; `memory` is the usable memory after that.  */
 static const struct
 {
   uint64_t number;
   int64_t at_ms;
-  int64_t asked_ms;
+  int64_t query_ms;
   uint32_t used;
   uint32_t memory;
 } report_rows[] = {
@@ -138,52 +139,52 @@
   { 1, 9000, 9000, 20000, MEMORY - 12000 },
 };
 
-START_TEST (reports_are_weighed_against_the_ledger)
+START_TEST (reports_are_compared_with_ledger)
 {
-  csp_stream_t stream = stream_of (short_key);
+  csp_stream_t stream = make_stream (short_key);
   uint32_t i;
 
-  report_used (1, 0, 1000);
+  send_report (1, 0, 1000);
   for (i = 0; i < 8; i++)
     csp_add_stream (ledger, &stream, 0, 1000);
-  report_used (report_rows[_i].number, report_rows[_i].used,
+  send_report (report_rows[_i].number, report_rows[_i].used,
                report_rows[_i].at_ms);
   ck_assert_uint_eq (
-      csp_ledger_memory_tokens (ledger, report_rows[_i].asked_ms),
+      csp_ledger_memory_tokens (ledger, report_rows[_i].query_ms),
       report_rows[_i].memory);
 }
 END_TEST
 
-/* Streams that ended within the lag are still in the report; taken for
-   somebody else's they would close an engine that is empty.  */
-START_TEST (streams_that_just_ended_are_not_foreign)
+/* Streams that ended within the lag are still in the report.  If they counted
+   as load of others, an empty engine would be closed to new streams.  */
+START_TEST (recently_ended_streams_are_not_foreign)
 {
-  csp_stream_t stream = stream_of (short_key);
+  csp_stream_t stream = make_stream (short_key);
   uint32_t handle;
 
-  report_used (1, 0, 1000);
+  send_report (1, 0, 1000);
   handle = csp_add_stream (ledger, &stream, 0, 1000);
   csp_note_tokens (ledger, handle, 50, 3000);
   csp_remove_stream (ledger, handle, CSP_LENGTH_FINISHED, 3000);
-  report_used (2, PROMPT + 50, 4000);
+  send_report (2, PROMPT + 50, 4000);
   ck_assert_uint_eq (csp_ledger_foreign_tokens (ledger), 0);
-  report_used (3, PROMPT + 50, 8000);
+  send_report (3, PROMPT + 50, 8000);
   ck_assert_uint_eq (csp_ledger_foreign_tokens (ledger), PROMPT + 50);
 }
 END_TEST
 
-/* Lengths that are guessed too low show as preemptions in the reports.
-   Admission steps back at once, long before enough answers have ended to be
-   learnt from, and comes forward again when they stop.  */
-START_TEST (preemptions_make_it_careful)
+/* Lengths that are estimated too low show as preemptions in the reports.
+   Admission becomes stricter at once, before enough answers have ended to
+   correct the estimate, and relaxes when the preemptions stop.  */
+START_TEST (preemptions_make_admission_stricter)
 {
-  csp_stream_t stream = stream_of (CSP_LENGTH_KEY_SHARED);
+  csp_stream_t stream = make_stream (CSP_LENGTH_KEY_SHARED);
   csp_admit_t before;
   uint32_t count = 0;
   uint32_t i;
 
   stream.prompt_tokens = 100;
-  report_used (1, 0, 1000);
+  send_report (1, 0, 1000);
   while (csp_decide_admission (ledger, &stream, 1000) == CSP_ADMIT)
     {
       csp_add_stream (ledger, &stream, 0, 1000);
@@ -197,21 +198,21 @@
   ck_assert_int_eq (before, CSP_ADMIT);
   ck_assert_int_eq (csp_decide_admission (ledger, &stream, 1000),
                     CSP_ADMIT_WAIT);
-  report_used (2, 0, 901000);
+  send_report (2, 0, 901000);
   ck_assert_int_eq (csp_decide_admission (ledger, &stream, 901000), CSP_ADMIT);
 }
 END_TEST
 
-/* An unknown target takes little, an impossible request is told at once, a
-   leaving target takes nothing.  */
-START_TEST (edges_of_admission)
+/* A target without a report takes few streams, a request that can never fit is
+   refused at once, and a leaving target takes nothing.  */
+START_TEST (unknown_oversized_and_leaving_cases)
 {
-  csp_stream_t stream = stream_of (short_key);
+  csp_stream_t stream = make_stream (short_key);
   csp_load_report_t leaving
       = { .report = 2, .memory_tokens = MEMORY, .leaving = true };
 
-  ck_assert_uint_le (fill (short_key, 1000), 8);
-  report_used (1, 0, 1000);
+  ck_assert_uint_le (admit_all (short_key, 1000), 8);
+  send_report (1, 0, 1000);
   stream.prompt_tokens = MEMORY;
   ck_assert_int_eq (csp_decide_admission (ledger, &stream, 1000),
                     CSP_ADMIT_NEVER);
@@ -223,15 +224,15 @@
 }
 END_TEST
 
-/* What is taken away is what was added, also when lengths were learnt in
-   between; else an engine would slowly close for good.  */
-START_TEST (an_empty_ledger_is_empty)
+/* Removing streams subtracts exactly what was added, also when lengths were
+   learnt in between; otherwise an engine's headroom would shrink for good.  */
+START_TEST (emptied_ledger_has_full_headroom)
 {
-  csp_stream_t stream = stream_of (long_key);
+  csp_stream_t stream = make_stream (long_key);
   uint32_t handles[8];
   uint32_t i;
 
-  report_used (1, 0, 1000);
+  send_report (1, 0, 1000);
   for (i = 0; i < 8; i++)
     handles[i] = csp_add_stream (ledger, &stream, 0, 1000);
   for (i = 0; i < 8; i++)
@@ -251,15 +252,15 @@
   TCase *tcase = tcase_create ("admission");
 
   tcase_add_checked_fixture (tcase, set_up, tear_down);
-  tcase_add_test (tcase, a_burst_of_long_answers_leaves_room_to_grow);
-  tcase_add_test (tcase, a_burst_of_short_answers_fills_the_engine);
-  tcase_add_test (tcase, short_answers_pass_long_ones);
-  tcase_add_loop_test (tcase, reports_are_weighed_against_the_ledger, 0,
+  tcase_add_test (tcase, burst_of_long_answers_leaves_memory_to_grow);
+  tcase_add_test (tcase, burst_of_short_answers_fills_engine);
+  tcase_add_test (tcase, short_answers_are_admitted_beside_long_ones);
+  tcase_add_loop_test (tcase, reports_are_compared_with_ledger, 0,
                        sizeof report_rows / sizeof report_rows[0]);
-  tcase_add_test (tcase, streams_that_just_ended_are_not_foreign);
-  tcase_add_test (tcase, preemptions_make_it_careful);
-  tcase_add_test (tcase, edges_of_admission);
-  tcase_add_test (tcase, an_empty_ledger_is_empty);
+  tcase_add_test (tcase, recently_ended_streams_are_not_foreign);
+  tcase_add_test (tcase, preemptions_make_admission_stricter);
+  tcase_add_test (tcase, unknown_oversized_and_leaving_cases);
+  tcase_add_test (tcase, emptied_ledger_has_full_headroom);
   suite_add_tcase (suite, tcase);
   return run_suite (suite);
 }
