--- a/source/queue/queue-imp.h
+++ b/source/queue/queue-imp.h
@@ -13,13 +13,13 @@
 typedef struct
 {
   csp_waiting_t waiting;
-  uint64_t order;
+  uint64_t sequence;
   uint32_t next;
   uint32_t previous;
   bool used;
 } entry_t;
 
-/* Requests of one organisation and priority, oldest first.  */
+/* Waiting requests of one organisation and priority, oldest first.  */
 typedef struct
 {
   uint32_t head;
@@ -32,10 +32,10 @@
   uint32_t waiting;
   uint64_t cost;
   int64_t deficit;
-  uint64_t flight_tokens;
-  uint64_t flight_elsewhere;
-  uint64_t passed_in_pump;
-  int64_t passed_since_ms;
+  uint64_t in_flight_tokens;
+  uint64_t in_flight_elsewhere;
+  uint64_t skipped_in_pump;
+  int64_t skipped_since_ms;
   uint32_t next;
   uint32_t previous;
   list_t lists[PRIORITIES];
@@ -53,52 +53,56 @@
   uint32_t first_free;
   uint32_t waiting;
   uint32_t cursor;
-  uint32_t shown;
-  uint64_t next_order;
+  uint32_t offered;
+  uint64_t next_sequence;
   uint64_t pump;
   int64_t pump_ms;
-  uint32_t passed_over;
-  bool borrowers_held;
+  uint32_t skipped_count;
+  bool borrowers_blocked;
   double served_tokens;
   double busy_ms;
   int64_t rate_ms;
-  uint32_t expire_at;
+  uint32_t expire_cursor;
   uint32_t expire_checks;
-  uint32_t check_from;
-  uint32_t check_next;
+  uint32_t checks_start;
+  uint32_t next_checks_start;
 };
 
-/* Count the time since the last call towards the rate of service.  */
-void csp_move_queue_rate (csp_queue_t *queue, int64_t now_ms);
+/* Updates the moving average of the service rate up to now_ms.  */
+void csp_update_queue_rate (csp_queue_t *queue, int64_t now_ms);
 
-/* How long until `cost` tokens of one organisation are served, its own
+/* Predicted time until `cost` tokens of one organisation are served, its own
    request included.  */
-double csp_queue_wait_ms (const csp_queue_t *queue, uint32_t organisation,
-                          uint64_t cost);
+double csp_predict_cost_wait_ms (const csp_queue_t *queue,
+                                 uint32_t organisation, uint64_t cost);
 
-/* Cost of what its organisation serves before a request; order tells which
-   of two with the same due time came first, UINT64_MAX for a newcomer.  */
+/* Cost of the requests that the organisation serves before this one; sequence
+   decides between two with the same due time and is UINT64_MAX for a new
+   request.  */
 uint64_t csp_queue_cost_ahead (const csp_queue_t *queue,
-                               const csp_waiting_t *waiting, uint64_t order);
+                               const csp_waiting_t *waiting,
+                               uint64_t sequence);
 
-/* When a request is due: its deadline less the head start of its priority.  */
-int64_t csp_waiting_due_ms (const csp_queue_t *queue,
+/* The time by which a request is sorted: its deadline less the advance of its
+   priority.  */
+int64_t csp_compute_due_ms (const csp_queue_t *queue,
                             const csp_waiting_t *waiting);
 
-/* Take an entry out of its list and free it.  */
-void csp_unlink_waiting (csp_queue_t *queue, uint32_t index);
+/* Removes an entry from its list and frees it.  */
+void csp_remove_waiting_entry (csp_queue_t *queue, uint32_t index);
 
-/* The entry of a request; NO_ENTRY when it isn't waiting.  */
-uint32_t csp_locate_waiting (const csp_queue_t *queue, uint32_t organisation,
-                             uint64_t id);
+/* Returns the entry of a request; NO_ENTRY when it isn't waiting.  */
+uint32_t csp_find_waiting_entry (const csp_queue_t *queue,
+                                 uint32_t organisation, uint64_t id);
 
-/* The organisation's entry whose turn it is.  */
-uint32_t csp_organisation_head (const csp_queue_t *queue,
-                                const organisation_t *organisation);
+/* Returns the organisation's entry that is due first.  */
+uint32_t csp_find_next_entry (const csp_queue_t *queue,
+                              const organisation_t *organisation);
 
-/* Whether it holds more in flight than its share.  What it asks for is left
-   out, as one request may be more than a small share.  */
-bool csp_queue_borrows (const csp_queue_t *queue,
-                        const organisation_t *organisation);
+/* Whether the organisation has more tokens in flight than its share.  The
+   request to be served isn't counted, as a single request may exceed a small
+   share.  */
+bool csp_is_borrowing (const csp_queue_t *queue,
+                       const organisation_t *organisation);
 
 #endif
--- a/source/queue/queue-pump.c
+++ b/source/queue/queue-pump.c
@@ -2,17 +2,17 @@
 
 enum
 {
-  DEBT_ROUNDS = 16,
-  HOLD_ROUNDS = 3
+  MAX_DEBT_ROUNDS = 16,
+  BLOCKING_PERIODS = 3
 };
 
-/* Strict priority would keep an organisation's background work waiting for as
-   long as it sends urgent requests; one notices scores that are given up at
-   load 0.9, when nearly everything fits.  So a step of priority is a head
-   start in time and no more, on the deadline that the caller stated.  */
+/* With strict priority an organisation's background requests would wait for as
+   long as it sends urgent ones, and scores would expire even at load 0.9, when
+   nearly everything fits.  So a step of priority only moves the deadline that
+   the caller stated forward by a fixed time.  */
 uint32_t
-csp_organisation_head (const csp_queue_t *queue,
-                       const organisation_t *organisation)
+csp_find_next_entry (const csp_queue_t *queue,
+                     const organisation_t *organisation)
 {
   uint32_t first = NO_ENTRY;
   int64_t first_ms = INT64_MAX;
@@ -25,7 +25,7 @@
       head = organisation->lists[i].head;
       if (head == NO_ENTRY)
         continue;
-      due_ms = csp_waiting_due_ms (queue, &queue->entries[head].waiting);
+      due_ms = csp_compute_due_ms (queue, &queue->entries[head].waiting);
       if (due_ms < first_ms)
         {
           first = head;
@@ -36,16 +36,15 @@
 }
 
 bool
-csp_queue_borrows (const csp_queue_t *queue,
-                   const organisation_t *organisation)
+csp_is_borrowing (const csp_queue_t *queue, const organisation_t *organisation)
 {
   double part = (double)organisation->weight
                 / (double)(queue->total_weight ? queue->total_weight : 1);
-  double flight = (double)organisation->flight_tokens;
+  double flight = (double)organisation->in_flight_tokens;
 
   if (queue->pool_tokens == 0)
     return flight > part * (double)queue->capacity_tokens;
-  flight += (double)organisation->flight_elsewhere;
+  flight += (double)organisation->in_flight_elsewhere;
   return flight > part * (double)queue->pool_tokens;
 }
 
@@ -58,43 +57,45 @@
 void
 csp_begin_pump (csp_queue_t *queue, int64_t now_ms)
 {
-  csp_move_queue_rate (queue, now_ms);
+  csp_update_queue_rate (queue, now_ms);
   queue->pump++;
   queue->pump_ms = now_ms;
-  queue->passed_over = 0;
-  queue->borrowers_held = false;
-  queue->shown = NO_ENTRY;
+  queue->skipped_count = 0;
+  queue->borrowers_blocked = false;
+  queue->offered = NO_ENTRY;
 }
 
 static bool
-is_passed (const csp_queue_t *queue, const organisation_t *organisation)
+is_skipped (const csp_queue_t *queue, const organisation_t *organisation)
 {
-  return organisation->passed_in_pump == queue->pump
-         || (queue->borrowers_held && csp_queue_borrows (queue, organisation));
+  return organisation->skipped_in_pump == queue->pump
+         || (queue->borrowers_blocked
+             && csp_is_borrowing (queue, organisation));
 }
 
 static int64_t
 head_cost (const csp_queue_t *queue, const organisation_t *organisation)
 {
-  uint32_t head = csp_organisation_head (queue, organisation);
+  uint32_t head = csp_find_next_entry (queue, organisation);
 
   return queue->entries[head].waiting.cost_tokens;
 }
 
 static int64_t
-earned_in_round (const csp_queue_t *queue, const organisation_t *organisation)
+round_credit (const csp_queue_t *queue, const organisation_t *organisation)
 {
   return (int64_t)queue->policy.quantum_tokens * organisation->weight;
 }
 
-/* Rounds until the first organisation can pay for its head, all at once.  */
+/* Number of rounds until the first organisation has the credit for its next
+   request, computed without stepping through the rounds.  */
 static int64_t
 count_rounds (const csp_queue_t *queue)
 {
   const organisation_t *organisation;
   uint32_t i = queue->cursor;
-  int64_t least = INT64_MAX;
-  int64_t short_of;
+  int64_t min_rounds = INT64_MAX;
+  int64_t missing_credit;
   int64_t rounds;
   int64_t earned;
 
@@ -102,20 +103,21 @@
     {
       organisation = &queue->organisations[i];
       i = organisation->next;
-      if (is_passed (queue, organisation))
+      if (is_skipped (queue, organisation))
         continue;
-      short_of = head_cost (queue, organisation) - organisation->deficit;
-      earned = earned_in_round (queue, organisation);
-      rounds = short_of <= 0 ? 0 : (short_of + earned - 1) / earned;
-      if (rounds < least)
-        least = rounds;
+      missing_credit = head_cost (queue, organisation) - organisation->deficit;
+      earned = round_credit (queue, organisation);
+      rounds
+          = missing_credit <= 0 ? 0 : (missing_credit + earned - 1) / earned;
+      if (rounds < min_rounds)
+        min_rounds = rounds;
     }
   while (i != queue->cursor);
-  return least;
+  return min_rounds;
 }
 
 static void
-earn_rounds (csp_queue_t *queue, int64_t rounds)
+add_round_credit (csp_queue_t *queue, int64_t rounds)
 {
   organisation_t *organisation;
   uint32_t i = queue->cursor;
@@ -123,16 +125,15 @@
   do
     {
       organisation = &queue->organisations[i];
-      if (!is_passed (queue, organisation))
-        organisation->deficit
-            += rounds * earned_in_round (queue, organisation);
+      if (!is_skipped (queue, organisation))
+        organisation->deficit += rounds * round_credit (queue, organisation);
       i = organisation->next;
     }
   while (i != queue->cursor);
 }
 
 static uint32_t
-find_payer (const csp_queue_t *queue)
+find_organisation_with_credit (const csp_queue_t *queue)
 {
   const organisation_t *organisation;
   uint32_t i = queue->cursor;
@@ -140,7 +141,7 @@
   do
     {
       organisation = &queue->organisations[i];
-      if (!is_passed (queue, organisation)
+      if (!is_skipped (queue, organisation)
           && organisation->deficit >= head_cost (queue, organisation))
         return i;
       i = organisation->next;
@@ -153,31 +154,31 @@
 csp_next_waiting (csp_queue_t *queue, csp_waiting_t *waiting, bool *borrowing)
 {
   const organisation_t *organisation;
-  uint32_t payer;
+  uint32_t next_organisation;
   int64_t rounds;
 
   if (queue->waiting == 0
-      || queue->passed_over >= queue->policy.pass_over_most)
+      || queue->skipped_count >= queue->policy.max_skips_per_pump)
     return false;
-  payer = find_payer (queue);
-  if (payer == NO_ORGANISATION)
+  next_organisation = find_organisation_with_credit (queue);
+  if (next_organisation == NO_ORGANISATION)
     {
       rounds = count_rounds (queue);
       if (rounds == INT64_MAX)
         return false;
-      earn_rounds (queue, rounds);
-      if (queue->passed_over == 0)
+      add_round_credit (queue, rounds);
+      if (queue->skipped_count == 0)
         queue->cursor = queue->organisations[queue->cursor].next;
-      payer = find_payer (queue);
+      next_organisation = find_organisation_with_credit (queue);
     }
-  organisation = &queue->organisations[payer];
-  queue->shown = csp_organisation_head (queue, organisation);
-  *waiting = queue->entries[queue->shown].waiting;
-  *borrowing = csp_queue_borrows (queue, organisation);
+  organisation = &queue->organisations[next_organisation];
+  queue->offered = csp_find_next_entry (queue, organisation);
+  *waiting = queue->entries[queue->offered].waiting;
+  *borrowing = csp_is_borrowing (queue, organisation);
   return true;
 }
 
-/* Charge a request to its organisation and take it out.  */
+/* Charges a request to its organisation and removes it from the queue.  */
 static void
 charge_entry (csp_queue_t *queue, uint32_t index)
 {
@@ -185,21 +186,21 @@
   organisation_t *organisation = &queue->organisations[waiting->organisation];
 
   organisation->deficit -= waiting->cost_tokens;
-  organisation->flight_tokens += waiting->cost_tokens;
-  organisation->passed_since_ms = 0;
+  organisation->in_flight_tokens += waiting->cost_tokens;
+  organisation->skipped_since_ms = 0;
   queue->served_tokens += waiting->cost_tokens;
-  csp_unlink_waiting (queue, index);
+  csp_remove_waiting_entry (queue, index);
 }
 
 void
 csp_take_waiting (csp_queue_t *queue, int64_t now_ms)
 {
-  uint32_t index = queue->shown;
+  uint32_t index = queue->offered;
 
   if (index == NO_ENTRY)
     return;
-  csp_move_queue_rate (queue, now_ms);
-  if (queue->passed_over == 0)
+  csp_update_queue_rate (queue, now_ms);
+  if (queue->skipped_count == 0)
     queue->cursor = queue->entries[index].waiting.organisation;
   charge_entry (queue, index);
 }
@@ -208,32 +209,32 @@
 csp_charge_waiting (csp_queue_t *queue, uint32_t organisation, uint64_t id,
                     int64_t now_ms)
 {
-  uint32_t index = csp_locate_waiting (queue, organisation, id);
+  uint32_t index = csp_find_waiting_entry (queue, organisation, id);
 
   if (index == NO_ENTRY)
     return false;
-  csp_move_queue_rate (queue, now_ms);
+  csp_update_queue_rate (queue, now_ms);
   charge_entry (queue, index);
   return true;
 }
 
-/* A request that needs much room would wait for ever while smaller ones take
-   each bit that gets free.  After hold_ms the pump stops at it, so that room
-   gathers; not for ever, as it may need a target that is away.  A borrower
-   holds up other borrowers only.  */
+/* A request that needs much memory would wait for ever while smaller ones take
+   all memory that gets free.  After hold_ms the pump stops at it, so that free
+   memory accumulates; only for a limited time, as it may need a target that is
+   unavailable.  A borrower blocks only other borrowers.  */
 static bool
-holds_others (csp_queue_t *queue, organisation_t *organisation)
+blocks_others (csp_queue_t *queue, organisation_t *organisation)
 {
   int64_t hold_ms = queue->policy.hold_ms;
-  int64_t passed_ms;
-
-  if (organisation->passed_since_ms == 0)
-    organisation->passed_since_ms = queue->pump_ms;
-  passed_ms = queue->pump_ms - organisation->passed_since_ms;
-  if (passed_ms >= HOLD_ROUNDS * hold_ms)
-    organisation->passed_since_ms = queue->pump_ms;
-  return hold_ms != 0 && passed_ms >= hold_ms
-         && passed_ms < HOLD_ROUNDS * hold_ms;
+  int64_t skipped_ms;
+
+  if (organisation->skipped_since_ms == 0)
+    organisation->skipped_since_ms = queue->pump_ms;
+  skipped_ms = queue->pump_ms - organisation->skipped_since_ms;
+  if (skipped_ms >= BLOCKING_PERIODS * hold_ms)
+    organisation->skipped_since_ms = queue->pump_ms;
+  return hold_ms != 0 && skipped_ms >= hold_ms
+         && skipped_ms < BLOCKING_PERIODS * hold_ms;
 }
 
 void
@@ -242,46 +243,46 @@
   const csp_waiting_t *waiting;
   organisation_t *organisation;
 
-  if (queue->shown == NO_ENTRY)
+  if (queue->offered == NO_ENTRY)
     return;
-  waiting = &queue->entries[queue->shown].waiting;
+  waiting = &queue->entries[queue->offered].waiting;
   organisation = &queue->organisations[waiting->organisation];
-  organisation->passed_in_pump = queue->pump;
-  if (queue->passed_over == 0)
+  organisation->skipped_in_pump = queue->pump;
+  if (queue->skipped_count == 0)
     queue->cursor = waiting->organisation;
-  queue->passed_over++;
-  queue->shown = NO_ENTRY;
-  if (!holds_others (queue, organisation))
+  queue->skipped_count++;
+  queue->offered = NO_ENTRY;
+  if (!blocks_others (queue, organisation))
     return;
-  if (csp_queue_borrows (queue, organisation))
-    queue->borrowers_held = true;
+  if (csp_is_borrowing (queue, organisation))
+    queue->borrowers_blocked = true;
   else
-    queue->passed_over = queue->policy.pass_over_most;
+    queue->skipped_count = queue->policy.max_skips_per_pump;
 }
 
-/* A guess of the cost that was too low is paid back later, and one too high
-   is given back; the debt is bounded, so that one huge answer doesn't keep an
-   organisation out for minutes.  */
+/* A cost estimate that was too low is charged afterwards, one that was too
+   high is refunded.  The debt is limited, so that one huge answer doesn't
+   block an organisation for minutes.  */
 void
 csp_settle_waiting (csp_queue_t *queue, uint32_t organisation,
                     uint32_t charged_tokens, uint32_t used_tokens,
                     int64_t now_ms)
 {
   organisation_t *owner;
-  int64_t most_debt;
+  int64_t max_debt;
 
   if (organisation >= queue->organisation_count)
     return;
-  csp_move_queue_rate (queue, now_ms);
+  csp_update_queue_rate (queue, now_ms);
   owner = &queue->organisations[organisation];
-  most_debt = -DEBT_ROUNDS * earned_in_round (queue, owner);
-  if (owner->flight_tokens >= charged_tokens)
-    owner->flight_tokens -= charged_tokens;
+  max_debt = -MAX_DEBT_ROUNDS * round_credit (queue, owner);
+  if (owner->in_flight_tokens >= charged_tokens)
+    owner->in_flight_tokens -= charged_tokens;
   else
-    owner->flight_tokens = 0;
+    owner->in_flight_tokens = 0;
   owner->deficit += (int64_t)charged_tokens - used_tokens;
-  if (owner->deficit < most_debt)
-    owner->deficit = most_debt;
+  if (owner->deficit < max_debt)
+    owner->deficit = max_debt;
   if (owner->waiting == 0 && owner->deficit > 0)
     owner->deficit = 0;
 }
@@ -291,5 +292,5 @@
 {
   if (organisation >= queue->organisation_count)
     return 0;
-  return queue->organisations[organisation].flight_tokens;
+  return queue->organisations[organisation].in_flight_tokens;
 }
--- a/source/queue/queue-waiting.c
+++ b/source/queue/queue-waiting.c
@@ -14,7 +14,7 @@
                                 .lend_keep = 0.07,
                                 .rate_half_life_ms = 10000,
                                 .hold_ms = 2000,
-                                .pass_over_most = 16,
+                                .max_skips_per_pump = 16,
                                 .margin = 3,
                                 .patience = 1.5 };
 
@@ -31,7 +31,7 @@
     return NULL;
   queue->policy = *policy;
   queue->cursor = NO_ORGANISATION;
-  queue->shown = NO_ENTRY;
+  queue->offered = NO_ENTRY;
   queue->entries = calloc (policy->max_waiting, sizeof *queue->entries);
   if (queue->entries == NULL)
     {
@@ -82,7 +82,7 @@
 grow_organisations (csp_queue_t *queue, uint32_t organisation)
 {
   uint32_t count = queue->organisation_count ? queue->organisation_count : 16;
-  organisation_t *grown;
+  organisation_t *resized;
   uint32_t i;
   uint32_t priority;
 
@@ -90,19 +90,19 @@
     return true;
   while (count <= organisation)
     count *= 2;
-  grown = realloc (queue->organisations, count * sizeof *grown);
-  if (grown == NULL)
+  resized = realloc (queue->organisations, count * sizeof *resized);
+  if (resized == NULL)
     return false;
   for (i = queue->organisation_count; i < count; i++)
     {
-      memset (&grown[i], 0, sizeof grown[i]);
+      memset (&resized[i], 0, sizeof resized[i]);
       for (priority = 0; priority < PRIORITIES; priority++)
         {
-          grown[i].lists[priority].head = NO_ENTRY;
-          grown[i].lists[priority].tail = NO_ENTRY;
+          resized[i].lists[priority].head = NO_ENTRY;
+          resized[i].lists[priority].tail = NO_ENTRY;
         }
     }
-  queue->organisations = grown;
+  queue->organisations = resized;
   queue->organisation_count = count;
   return true;
 }
@@ -125,17 +125,17 @@
                           uint64_t tokens)
 {
   if (organisation < queue->organisation_count)
-    queue->organisations[organisation].flight_elsewhere = tokens;
+    queue->organisations[organisation].in_flight_elsewhere = tokens;
 }
 
-/* Active organisations form a ring in the order in which they came.  */
+/* Organisations with waiting requests form a ring in order of arrival.  */
 static void
 join_ring (csp_queue_t *queue, uint32_t organisation)
 {
   organisation_t *joining = &queue->organisations[organisation];
   organisation_t *cursor;
 
-  joining->passed_since_ms = 0;
+  joining->skipped_since_ms = 0;
   if (queue->cursor == NO_ORGANISATION)
     {
       joining->next = organisation;
@@ -150,8 +150,8 @@
   cursor->previous = organisation;
 }
 
-/* Credit that an organisation did not use is lent, not saved: else one that
-   was idle for an hour could hold all targets for as long.  Debt stays.  */
+/* Unused credit is dropped rather than saved, as an organisation that was idle
+   for an hour could otherwise occupy all targets for as long.  Debt stays.  */
 static void
 leave_ring (csp_queue_t *queue, uint32_t organisation)
 {
@@ -178,11 +178,11 @@
   organisation_t *owner = &queue->organisations[waiting->organisation];
   list_t *list = &owner->lists[waiting->priority];
 
-  csp_move_queue_rate (queue, now_ms);
+  csp_update_queue_rate (queue, now_ms);
   queue->first_free = entry->next;
   entry->waiting = *waiting;
   entry->used = true;
-  entry->order = queue->next_order++;
+  entry->sequence = queue->next_sequence++;
   entry->next = NO_ENTRY;
   entry->previous = list->tail;
   if (list->tail == NO_ENTRY)
@@ -198,7 +198,7 @@
 }
 
 void
-csp_unlink_waiting (csp_queue_t *queue, uint32_t index)
+csp_remove_waiting_entry (csp_queue_t *queue, uint32_t index)
 {
   entry_t *entry = &queue->entries[index];
   organisation_t *owner = &queue->organisations[entry->waiting.organisation];
@@ -220,52 +220,54 @@
   owner->waiting--;
   if (owner->waiting == 0)
     leave_ring (queue, entry->waiting.organisation);
-  if (queue->shown == index)
-    queue->shown = NO_ENTRY;
+  if (queue->offered == index)
+    queue->offered = NO_ENTRY;
 }
 
 static uint32_t
-bounded_ms (double ms)
+clamp_retry_after_ms (double ms)
 {
   const double most = 600000;
 
   return (uint32_t)(ms < most ? ms : most) + 1;
 }
 
-/* The measured rate says nothing of the room that is kept from borrowers.  One
-   within its share with nothing waiting gets that; judged by the rate of a
-   host of one engine, 1 to 2 in 100 of the small ones' requests were refused
-   at load 1.5.  */
+/* The measured rate doesn't account for the memory that borrowers leave free,
+   which an organisation within its share and with nothing waiting gets.
+   Judged by the rate of a host with one engine, 1 to 2 in 100 of the small
+   organisations' requests were refused at load 1.5.  */
 static bool
-has_kept_room (const csp_queue_t *queue, const organisation_t *owner)
+may_use_lending_reserve (const csp_queue_t *queue, const organisation_t *owner)
 {
   return owner->waiting == 0 && queue->capacity_tokens != 0
-         && !csp_queue_borrows (queue, owner);
+         && !csp_is_borrowing (queue, owner);
 }
 
 static bool
-refuse_late (csp_queue_t *queue, const csp_waiting_t *waiting, int64_t now_ms,
-             csp_error_t *error)
+refuse_if_late (csp_queue_t *queue, const csp_waiting_t *waiting,
+                int64_t now_ms, csp_error_t *error)
 {
   const organisation_t *owner = &queue->organisations[waiting->organisation];
   uint64_t cost = csp_queue_cost_ahead (queue, waiting, UINT64_MAX)
                   + waiting->cost_tokens;
-  double wait_ms = queue->policy.margin
-                   * csp_queue_wait_ms (queue, waiting->organisation, cost);
+  double wait_ms
+      = queue->policy.margin
+        * csp_predict_cost_wait_ms (queue, waiting->organisation, cost);
   double left_ms = (double)(waiting->start_by_ms - now_ms);
 
-  if (wait_ms <= left_ms || (left_ms > 0 && has_kept_room (queue, owner)))
+  if (wait_ms <= left_ms
+      || (left_ms > 0 && may_use_lending_reserve (queue, owner)))
     return false;
   csp_set_error (error, CSP_VERDICT_NOT_RUN, CSP_REASON_DEADLINE,
-                 bounded_ms (wait_ms - left_ms),
+                 clamp_retry_after_ms (wait_ms - left_ms),
                  "would start in %.0f ms, later than the %.0f ms left",
                  wait_ms, left_ms);
   return true;
 }
 
 static bool
-refuse_full (csp_queue_t *queue, const csp_waiting_t *waiting,
-             csp_error_t *error)
+refuse_if_full (csp_queue_t *queue, const csp_waiting_t *waiting,
+                csp_error_t *error)
 {
   const organisation_t *owner = &queue->organisations[waiting->organisation];
   double wait_ms;
@@ -273,10 +275,10 @@
   if (queue->waiting < queue->policy.max_waiting
       && owner->waiting < queue->policy.max_waiting_each)
     return false;
-  wait_ms
-      = csp_queue_wait_ms (queue, waiting->organisation, waiting->cost_tokens);
+  wait_ms = csp_predict_cost_wait_ms (queue, waiting->organisation,
+                                      waiting->cost_tokens);
   csp_set_error (error, CSP_VERDICT_NOT_RUN, CSP_REASON_QUEUE_FULL,
-                 bounded_ms (wait_ms), "%u requests wait already",
+                 clamp_retry_after_ms (wait_ms), "%u requests wait already",
                  owner->waiting);
   return true;
 }
@@ -300,16 +302,16 @@
   if (bounded.priority >= PRIORITIES)
     bounded.priority = PRIORITIES - 1;
   bounded.arrived_ms = now_ms;
-  if (refuse_full (queue, &bounded, error)
-      || refuse_late (queue, &bounded, now_ms, error))
+  if (refuse_if_full (queue, &bounded, error)
+      || refuse_if_late (queue, &bounded, now_ms, error))
     return false;
   link_waiting (queue, &bounded, now_ms);
   return true;
 }
 
 uint32_t
-csp_locate_waiting (const csp_queue_t *queue, uint32_t organisation,
-                    uint64_t id)
+csp_find_waiting_entry (const csp_queue_t *queue, uint32_t organisation,
+                        uint64_t id)
 {
   const organisation_t *owner;
   uint32_t priority;
@@ -329,11 +331,11 @@
 bool
 csp_drop_waiting (csp_queue_t *queue, uint32_t organisation, uint64_t id)
 {
-  uint32_t index = csp_locate_waiting (queue, organisation, id);
+  uint32_t index = csp_find_waiting_entry (queue, organisation, id);
 
   if (index == NO_ENTRY)
     return false;
-  csp_unlink_waiting (queue, index);
+  csp_remove_waiting_entry (queue, index);
   return true;
 }
 
--- a/tests/queue/queue-test.c
+++ b/tests/queue/queue-test.c
@@ -59,7 +59,7 @@
   return true;
 }
 
-/* The queue is served at 10 requests a second for a while.  */
+/* Serves the queue at 10 requests a second.  */
 static void
 serve_for (int64_t from_ms, int64_t until_ms)
 {
@@ -70,13 +70,13 @@
       csp_settle_waiting (queue, waiting.organisation, COST, COST, from_ms);
 }
 
-/* The largest has sent 500 requests when a small organisation sends one.  In
-   order of arrival the small one would wait for all 500.  */
-START_TEST (a_small_one_passes_the_largest)
+/* The largest organisation has sent 500 requests when a small one sends one.
+   First come, first served would make the small one wait for all 500.  */
+START_TEST (small_organisation_overtakes_largest)
 {
   csp_error_t error;
   csp_waiting_t waiting;
-  uint32_t turns = 0;
+  uint32_t taken_count = 0;
   uint32_t i;
 
   for (i = 0; i < 500; i++)
@@ -86,10 +86,10 @@
   do
     {
       ck_assert (take (1000, &waiting));
-      turns++;
+      taken_count++;
     }
   while (waiting.organisation != SMALL);
-  ck_assert_uint_le (turns, 4);
+  ck_assert_uint_le (taken_count, 4);
 }
 END_TEST
 
@@ -120,9 +120,10 @@
 }
 END_TEST
 
-/* An organisation sends urgent requests without end.  Its background request
-   of priority 0 is served after the head start of the urgent, not never.  */
-START_TEST (the_lowest_is_not_starved)
+/* An organisation sends urgent requests all the time.  Its background request
+   of priority 0 must still be served, once the urgent requests' advance is
+   used up.  */
+START_TEST (lowest_priority_is_not_starved)
 {
   csp_error_t error;
   csp_waiting_t waiting = { 0 };
@@ -141,9 +142,9 @@
 }
 END_TEST
 
-/* At saturation a request that can't start in time is told so on arrival,
-   with the time to come back.  Let in, its caller would wait for nothing.  */
-START_TEST (too_late_is_told_on_arrival)
+/* At saturation a request that can't start in time is refused on arrival, with
+   the time after which to retry, as waiting would be useless.  */
+START_TEST (unmeetable_deadline_is_refused_on_arrival)
 {
   csp_error_t error = { 0 };
   uint32_t i;
@@ -160,7 +161,7 @@
 }
 END_TEST
 
-START_TEST (bounds_in_number)
+START_TEST (waiting_count_is_limited)
 {
   csp_error_t error = { 0 };
   uint32_t accepted = 0;
@@ -173,10 +174,10 @@
 }
 END_TEST
 
-/* The targets slow down to a tenth.  What can no longer start in time is
-   answered now; held until its deadline, its caller would have lost the time
-   in which to ask elsewhere.  */
-START_TEST (hopeless_is_answered_before_its_deadline)
+/* The targets slow down to a tenth.  Requests that can no longer start in time
+   are answered now; kept until their deadline, they would cost their callers
+   the time to retry elsewhere.  */
+START_TEST (unmeetable_request_expires_before_deadline)
 {
   csp_error_t error;
   csp_waiting_t waiting;
@@ -201,10 +202,10 @@
 }
 END_TEST
 
-/* A host has just started; its targets open two seconds later.  Its first
-   callers must not be turned away because nothing was served so far; only
-   when nothing is served for long are they told to come back.  */
-START_TEST (a_start_is_not_taken_for_a_stand_still)
+/* A host has just started and its targets are available two seconds later.
+   Its first callers must not be refused because nothing was served so far, but
+   when nothing is served for long they must be told to retry later.  */
+START_TEST (startup_is_not_taken_for_standstill)
 {
   csp_waiting_t waiting;
   csp_error_t error;
@@ -221,7 +222,7 @@
 }
 END_TEST
 
-START_TEST (the_deadline_ends_a_wait)
+START_TEST (wait_ends_at_deadline)
 {
   csp_error_t error;
   csp_waiting_t waiting;
@@ -234,10 +235,10 @@
 }
 END_TEST
 
-/* The largest may use what others leave, and is told apart as a borrower, so
-   that it leaves lend_keep free.  When the small one comes back, every second
-   turn is its own from the first on.  */
-START_TEST (what_is_lent_is_taken_back)
+/* The largest organisation may use what others leave, and is reported as a
+   borrower, so that it leaves lend_keep free.  When the small one sends again,
+   it gets every second turn from the first on.  */
+START_TEST (lent_share_is_taken_back)
 {
   csp_error_t error;
   csp_waiting_t waiting;
@@ -269,37 +270,37 @@
 }
 END_TEST
 
-/* A request that needs much room never finds it, as smaller ones take each
-   bit that gets free.  After hold_ms the queue waits for it.  */
-START_TEST (a_big_one_is_not_passed_for_ever)
+/* A request that needs much memory never gets it, as smaller ones take all
+   memory that gets free.  After hold_ms the queue waits for it.  */
+START_TEST (large_request_is_not_skipped_forever)
 {
-  csp_waiting_t big
+  csp_waiting_t large
       = { .id = 1000, .organisation = SMALL, .cost_tokens = 40000 };
   csp_waiting_t waiting;
   csp_error_t error;
   bool borrowing;
-  uint32_t passed = 0;
+  uint32_t overtaken = 0;
   int64_t now_ms;
 
   csp_set_capacity (queue, 1000000);
-  ck_assert (csp_push_waiting (queue, &big, 1000, &error));
+  ck_assert (csp_push_waiting (queue, &large, 1000, &error));
   for (now_ms = 1000; now_ms < 5000; now_ms += 100)
     {
       push (LARGEST, 5, 0, now_ms, &error);
       csp_begin_pump (queue, now_ms);
       while (csp_next_waiting (queue, &waiting, &borrowing))
-        if (waiting.id == big.id)
+        if (waiting.id == large.id)
           csp_skip_waiting (queue);
         else
           {
             csp_take_waiting (queue, now_ms);
-            passed++;
+            overtaken++;
           }
     }
-  ck_assert_uint_ge (passed, 15);
-  ck_assert_uint_le (passed, 25);
-  ck_assert (csp_drop_waiting (queue, SMALL, big.id));
-  ck_assert (!csp_drop_waiting (queue, SMALL, big.id));
+  ck_assert_uint_ge (overtaken, 15);
+  ck_assert_uint_le (overtaken, 25);
+  ck_assert (csp_drop_waiting (queue, SMALL, large.id));
+  ck_assert (!csp_drop_waiting (queue, SMALL, large.id));
 }
 END_TEST
 
@@ -310,17 +311,17 @@
   TCase *tcase = tcase_create ("queue");
 
   tcase_add_checked_fixture (tcase, set_up, tear_down);
-  tcase_add_test (tcase, a_small_one_passes_the_largest);
+  tcase_add_test (tcase, small_organisation_overtakes_largest);
   tcase_add_loop_test (tcase, shares_follow_weights, 0,
                        sizeof weight_rows / sizeof weight_rows[0]);
-  tcase_add_test (tcase, the_lowest_is_not_starved);
-  tcase_add_test (tcase, too_late_is_told_on_arrival);
-  tcase_add_test (tcase, bounds_in_number);
-  tcase_add_test (tcase, hopeless_is_answered_before_its_deadline);
-  tcase_add_test (tcase, a_start_is_not_taken_for_a_stand_still);
-  tcase_add_test (tcase, the_deadline_ends_a_wait);
-  tcase_add_test (tcase, what_is_lent_is_taken_back);
-  tcase_add_test (tcase, a_big_one_is_not_passed_for_ever);
+  tcase_add_test (tcase, lowest_priority_is_not_starved);
+  tcase_add_test (tcase, unmeetable_deadline_is_refused_on_arrival);
+  tcase_add_test (tcase, waiting_count_is_limited);
+  tcase_add_test (tcase, unmeetable_request_expires_before_deadline);
+  tcase_add_test (tcase, startup_is_not_taken_for_standstill);
+  tcase_add_test (tcase, wait_ends_at_deadline);
+  tcase_add_test (tcase, lent_share_is_taken_back);
+  tcase_add_test (tcase, large_request_is_not_skipped_forever);
   suite_add_tcase (suite, tcase);
   return run_suite (suite);
 }
