--- a/include/cowslipspoke/preemption.h
+++ b/include/cowslipspoke/preemption.h
@@ -3,54 +3,54 @@
 
 #include "cowslipspoke/admission.h"
 
-/* Who gives way when a target's memory runs out after all.
-
-   Load pattern: streams on one engine grow more than was foreseen, together;
-   or another host filled the engine in a split.  Without this decision the
-   engine picks, the latest stream first: it may pick an answer of thousands
-   of tokens that an editor is reading, while a score that has made nothing
-   would have freed as much; or the same stream again and again.  One notices
-   stalls in long answers, and single streams that were preempted many times.
-
-   Two means.  A stream that has made no token yet, and may be repeated, is
-   taken back before the engine must preempt, and waits or goes elsewhere: its
-   caller sees a later first token and no stall.  For all others the engine
-   decides by the priority that it was given, so this one already says who is
-   to give way: it rises each time a stream has given way.
-
-   Streams with tokens are never taken back, whatever they hold: what the
-   caller has seen can't be made by another generation.  */
-
-/* ahead_tokens: how far ahead the memory must run out by expectation before
-   a stream is taken back; 32 tokens are 1.3 s, in which a cancel gets there
-   and which is too short for many answers to end.
+/* Chooses the streams to preempt when a target's memory is about to run out.
+
+   Load pattern: the streams on one engine grow more than expected, all
+   together, or another host filled the engine during a split.  Without this
+   decision the engine preempts its latest stream first, which may be an answer
+   of thousands of tokens that an editor is reading, while a score that has
+   generated nothing would free as much; or it preempts the same stream again
+   and again.  Long answers stall, and single streams are preempted many times.
+
+   There are two means.  A stream that has generated no token yet and is
+   repeatable is taken back before the engine must preempt, and waits or is
+   placed elsewhere: its caller sees a later first token and no stall.  For all
+   other streams the engine decides by the priority that it was given, which is
+   raised each time a stream was taken back.
+
+   Streams that have generated tokens are never taken back, whatever they hold:
+   another generation can't reproduce what the caller has seen.  */
+
+/* ahead_tokens: how far ahead the memory must be expected to run out before a
+   stream is taken back.  32 tokens take 1.3 s, which is enough for a cancel to
+   arrive and too short for many answers to end.
    full_share: a target counts as full at this share of its memory.
-   most_times: a stream that has given way so often isn't taken back again.
- */
+   max_preemptions: a stream that was taken back this often isn't taken back
+   again.  */
 typedef struct
 {
   uint32_t ahead_tokens;
   double full_share;
-  uint8_t most_times;
+  uint8_t max_preemptions;
 } csp_preemption_policy_t;
 
 csp_preemption_policy_t csp_default_preemption_policy (void);
 
-/* Priority for the engine: the stream's own, one more for each time that it
-   has given way, at most 9.  */
+/* Priority that the engine is given: the stream's own, plus one for each time
+   that it was taken back, at most 9.  */
 uint8_t csp_engine_priority (const csp_stream_t *stream);
 
-/* Memory by which the target is expected to run over within ahead_tokens; 0
-   when it isn't.  */
+/* Memory, in tokens, by which the target is expected to overrun within
+   ahead_tokens; 0 if it isn't.  */
 uint32_t csp_expect_overrun (const csp_preemption_policy_t *policy,
                              const csp_ledger_t *ledger, int64_t now_ms);
 
-/* Handles of the streams to take back so that the overrun is met, at most
-   `most`, the first to give way first: lowest priority, then fewest times,
-   then least lost (prompt tokens).  Returns their number; 0 when nobody can
-   be taken back without loss to its caller.  */
+/* Writes the handles of the streams to take back to cover the overrun, at most
+   max_victims, in this order: lowest priority, fewest times taken back, least
+   work lost (prompt tokens).  Returns their number; 0 when no stream can be
+   taken back without loss to its caller.  */
 uint32_t csp_choose_victims (const csp_preemption_policy_t *policy,
                              const csp_ledger_t *ledger, int64_t now_ms,
-                             uint32_t *handles, uint32_t most);
+                             uint32_t *handles, uint32_t max_victims);
 
 #endif
--- a/source/preemption/preemption.c
+++ b/source/preemption/preemption.c
@@ -5,7 +5,7 @@
 csp_default_preemption_policy (void)
 {
   csp_preemption_policy_t policy
-      = { .ahead_tokens = 32, .full_share = 1.0, .most_times = 2 };
+      = { .ahead_tokens = 32, .full_share = 1.0, .max_preemptions = 2 };
 
   return policy;
 }
@@ -18,20 +18,21 @@
   return (uint8_t)(priority < CSP_PRIORITY_MAX ? priority : CSP_PRIORITY_MAX);
 }
 
-/* The most that is expected up to ahead_tokens; what is there now counts, as
-   the engine must not wait for some of it to end.  */
+/* Maximum of the expected memory up to ahead_tokens.  It includes the present,
+   as the engine must not have to wait until some streams end.  */
 static double
-expect_most (const csp_preemption_policy_t *policy, const csp_ledger_t *ledger)
+expected_peak_tokens (const csp_preemption_policy_t *policy,
+                      const csp_ledger_t *ledger)
 {
-  double most = 0;
+  double peak = 0;
   uint32_t i;
 
   for (i = 0; i < CSP_LEDGER_HORIZONS
               && csp_ledger_horizon_tokens[i] <= policy->ahead_tokens;
        i++)
-    if (ledger->mean[i] > most)
-      most = ledger->mean[i];
-  return most;
+    if (ledger->mean[i] > peak)
+      peak = ledger->mean[i];
+  return peak;
 }
 
 uint32_t
@@ -39,7 +40,7 @@
                     const csp_ledger_t *ledger, int64_t now_ms)
 {
   double full = policy->full_share * csp_ledger_memory_tokens (ledger, now_ms);
-  double need = expect_most (policy, ledger);
+  double need = expected_peak_tokens (policy, ledger);
 
   if (!ledger->reported || need <= full)
     return 0;
@@ -47,15 +48,15 @@
 }
 
 static bool
-may_give_way (const csp_preemption_policy_t *policy,
-              const csp_stream_state_t *state)
+may_be_preempted (const csp_preemption_policy_t *policy,
+                  const csp_stream_state_t *state)
 {
   return state->made_tokens == 0 && state->stream.repeatable
-         && state->stream.given_way < policy->most_times;
+         && state->stream.given_way < policy->max_preemptions;
 }
 
 static bool
-gives_way_before (const csp_stream_t *one, const csp_stream_t *other)
+is_preempted_before (const csp_stream_t *one, const csp_stream_t *other)
 {
   if (one->priority != other->priority)
     return one->priority < other->priority;
@@ -87,12 +88,12 @@
   for (i = 0; i < ledger->slot_count; i++)
     {
       slot = &ledger->slots[i];
-      if (!slot->used || !may_give_way (policy, &slot->state)
+      if (!slot->used || !may_be_preempted (policy, &slot->state)
           || is_chosen (handles, count, i))
         continue;
       if (best == NO_HANDLE
-          || gives_way_before (&slot->state.stream,
-                               &ledger->slots[best].state.stream))
+          || is_preempted_before (&slot->state.stream,
+                                  &ledger->slots[best].state.stream))
         best = i;
     }
   return best;
@@ -101,14 +102,14 @@
 uint32_t
 csp_choose_victims (const csp_preemption_policy_t *policy,
                     const csp_ledger_t *ledger, int64_t now_ms,
-                    uint32_t *handles, uint32_t most)
+                    uint32_t *handles, uint32_t max_victims)
 {
   uint32_t overrun = csp_expect_overrun (policy, ledger, now_ms);
   uint32_t freed = 0;
   uint32_t count = 0;
   uint32_t handle;
 
-  while (freed < overrun && count < most)
+  while (freed < overrun && count < max_victims)
     {
       handle = find_next_victim (policy, ledger, handles, count);
       if (handle == NO_HANDLE)
--- a/tests/preemption/preemption-test.c
+++ b/tests/preemption/preemption-test.c
@@ -8,7 +8,7 @@
 enum
 {
   MEMORY = 20000,
-  MOST = 8
+  MAX_VICTIMS = 8
 };
 
 static csp_lengths_t *lengths;
@@ -36,8 +36,8 @@
 }
 
 static uint32_t
-hold (uint32_t prompt_tokens, uint32_t made_tokens, uint8_t priority,
-      uint8_t given_way, bool repeatable)
+add_stream (uint32_t prompt_tokens, uint32_t made_tokens, uint8_t priority,
+            uint8_t given_way, bool repeatable)
 {
   csp_stream_t stream = { .prompt_tokens = prompt_tokens,
                           .priority = priority,
@@ -47,8 +47,8 @@
   return csp_add_stream (ledger, &stream, made_tokens, 1000);
 }
 
-/* Which of two streams gives way on an engine that is over-full: the second
-   in each row, or none.  */
+/* Which of two streams on an overfull engine is taken back: the second, with
+   the properties of the row, if victims is 1; otherwise the first.  */
 static const struct
 {
   const char *name;
@@ -59,73 +59,74 @@
   uint32_t victims;
 } rows[] = {
   { "lower priority", 0, 3, 0, true, 1 },
-  { "made tokens", 10, 3, 0, true, 0 },
+  { "has generated tokens", 10, 3, 0, true, 0 },
   { "not repeatable", 0, 3, 0, false, 0 },
-  { "gave way twice", 0, 3, 2, true, 0 },
-  { "gave way once", 0, 5, 1, true, 0 },
+  { "preempted twice", 0, 3, 2, true, 0 },
+  { "preempted once", 0, 5, 1, true, 0 },
 };
 
-START_TEST (the_one_that_loses_least_gives_way)
+START_TEST (least_costly_stream_is_preempted)
 {
-  uint32_t handles[MOST];
+  uint32_t handles[MAX_VICTIMS];
   uint32_t other;
   uint32_t first;
   uint32_t count;
 
-  hold (12000, 3000, 5, 0, true);
-  first = hold (4000, 0, 5, 0, true);
-  other = hold (4000, rows[_i].made, rows[_i].priority, rows[_i].given_way,
-                rows[_i].repeatable);
+  add_stream (12000, 3000, 5, 0, true);
+  first = add_stream (4000, 0, 5, 0, true);
+  other = add_stream (4000, rows[_i].made, rows[_i].priority,
+                      rows[_i].given_way, rows[_i].repeatable);
   ck_assert_uint_gt (csp_expect_overrun (&policy, ledger, 1000), 0);
-  count = csp_choose_victims (&policy, ledger, 1000, handles, MOST);
+  count = csp_choose_victims (&policy, ledger, 1000, handles, MAX_VICTIMS);
   ck_assert_uint_eq (count, 1);
   ck_assert_msg (handles[0] == (rows[_i].victims ? other : first), "%s",
                  rows[_i].name);
 }
 END_TEST
 
-/* Editors read all of the answers on an engine that runs over.  None of them
-   is taken back: each would begin again.  */
-START_TEST (what_was_seen_is_never_taken_back)
+/* Callers already read all answers on an engine that overruns.  None of these
+   streams may be taken back, as each would start again.  */
+START_TEST (streams_with_tokens_are_never_preempted)
 {
-  uint32_t handles[MOST];
+  uint32_t handles[MAX_VICTIMS];
 
-  hold (12000, 5000, 0, 0, true);
-  hold (4000, 1, 0, 0, true);
+  add_stream (12000, 5000, 0, 0, true);
+  add_stream (4000, 1, 0, 0, true);
   ck_assert_uint_gt (csp_expect_overrun (&policy, ledger, 1000), 0);
-  ck_assert_uint_eq (csp_choose_victims (&policy, ledger, 1000, handles, MOST),
-                     0);
+  ck_assert_uint_eq (
+      csp_choose_victims (&policy, ledger, 1000, handles, MAX_VICTIMS), 0);
 }
 END_TEST
 
-START_TEST (nobody_gives_way_with_room)
+START_TEST (no_preemption_with_free_memory)
 {
-  uint32_t handles[MOST];
+  uint32_t handles[MAX_VICTIMS];
 
-  hold (9000, 100, 0, 0, true);
-  hold (9000, 0, 0, 0, true);
+  add_stream (9000, 100, 0, 0, true);
+  add_stream (9000, 0, 0, 0, true);
   ck_assert_uint_eq (csp_expect_overrun (&policy, ledger, 1000), 0);
-  ck_assert_uint_eq (csp_choose_victims (&policy, ledger, 1000, handles, MOST),
-                     0);
+  ck_assert_uint_eq (
+      csp_choose_victims (&policy, ledger, 1000, handles, MAX_VICTIMS), 0);
 }
 END_TEST
 
-/* No more streams give way than the overrun needs.  */
-START_TEST (no_more_than_needed)
+/* No more streams are taken back than the overrun needs.  */
+START_TEST (no_more_preemptions_than_needed)
 {
-  uint32_t handles[MOST];
+  uint32_t handles[MAX_VICTIMS];
   uint32_t i;
 
-  hold (10000, 100, 5, 0, true);
+  add_stream (10000, 100, 5, 0, true);
   for (i = 0; i < 7; i++)
-    hold (2000, 0, 5, 0, true);
-  ck_assert_uint_eq (csp_choose_victims (&policy, ledger, 1000, handles, MOST),
-                     3);
+    add_stream (2000, 0, 5, 0, true);
+  ck_assert_uint_eq (
+      csp_choose_victims (&policy, ledger, 1000, handles, MAX_VICTIMS), 3);
 }
 END_TEST
 
-/* The same stream is not the engine's choice again and again.  */
-START_TEST (giving_way_raises_priority)
+/* A stream that was taken back gets a higher priority, so that the engine
+   doesn't preempt the same stream again and again.  */
+START_TEST (preemption_raises_engine_priority)
 {
   csp_stream_t stream = { .priority = 8 };
 
@@ -144,12 +145,12 @@
   TCase *tcase = tcase_create ("preemption");
 
   tcase_add_checked_fixture (tcase, set_up, tear_down);
-  tcase_add_loop_test (tcase, the_one_that_loses_least_gives_way, 0,
+  tcase_add_loop_test (tcase, least_costly_stream_is_preempted, 0,
                        sizeof rows / sizeof rows[0]);
-  tcase_add_test (tcase, what_was_seen_is_never_taken_back);
-  tcase_add_test (tcase, nobody_gives_way_with_room);
-  tcase_add_test (tcase, no_more_than_needed);
-  tcase_add_test (tcase, giving_way_raises_priority);
+  tcase_add_test (tcase, streams_with_tokens_are_never_preempted);
+  tcase_add_test (tcase, no_preemption_with_free_memory);
+  tcase_add_test (tcase, no_more_preemptions_than_needed);
+  tcase_add_test (tcase, preemption_raises_engine_priority);
   suite_add_tcase (suite, tcase);
   return run_suite (suite);
 }
