--- a/include/cowslipspoke/dispatch.h
+++ b/include/cowslipspoke/dispatch.h
@@ -7,40 +7,43 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* Who gets a place at a model engine, decided by one host for all.
+/* Places requests on model engines centrally: one host, the decider, decides
+   for all hosts.
 
    Load pattern: engines whose memory is nearly full, and more arrivals than
-   they can hold.  Hosts that decide by themselves see the last free place all
-   at once and take it several times over: the engine throws runs out, reads
-   them again, and every stream there pauses.  And each host has a queue of its
-   own, in which a small organisation waits behind a large one that another
-   host lets straight through.  So the hosts ask one of them, which counts
-   every place exactly and keeps one queue, fair among organisations.  An ask
-   costs two ways between hosts, a millisecond or three.
+   they can hold.  Hosts that decide independently all see the last free
+   capacity and use it several times over: the engine evicts runs and
+   recomputes them, and every stream there pauses.  Also, each host then has a
+   queue of its own, in which a small organisation waits behind a large one
+   whose requests another host places at once.  So hosts send a placement
+   request, called an ask as on the wire, to the decider, which counts every
+   placement exactly and keeps one queue that is fair among organisations.  An
+   ask costs one round trip between hosts, 1 to 3 ms.
 
-   The host that decides is the first in an order that all know; when it dies,
-   is cut off or says nothing, an ask goes unanswered and its host places the
-   request by itself, by what hosts tell each other.  */
+   The decider is the first host in an order that all hosts know.  When it
+   dies, is cut off or doesn't answer, the asking host places the request by
+   itself, by the loads that hosts report to each other.  */
 
-/* A request that asks for a place.  */
+/* A placement request.  */
 typedef struct
 {
-  csp_peer_address_t host; /* who asks; zero: this host itself */
-  uint64_t id;             /* of the asking host's choosing */
-  uint32_t organisation;   /* hash of its name */
-  uint32_t data_centre;    /* hash of the asking host's */
+  csp_peer_address_t host; /* the asking host; zero: this host */
+  uint64_t id;             /* chosen by the asking host */
+  uint32_t organisation;   /* hash of the name */
+  uint32_t data_centre;    /* hash of the asking host's data centre */
   uint32_t prompt_tokens;
-  uint32_t tokens; /* memory that the run is expected to take */
+  uint32_t tokens; /* expected memory of the run */
   uint32_t start_within_ms;
   uint8_t urgency; /* 0 is the most urgent */
-  /* A stream that leaves a target asks where to go; the other fields of a new
-     request say nothing then.  */
-  uint64_t moves_from; /* hash of that target's id; 0: a new request */
-  uint64_t refused_at; /* hash of one that had no room; 0: none */
-  uint32_t left_ms;    /* how much longer the run will probably write */
+  /* Set for a stream that leaves a target and asks where to move.  It doesn't
+     use organisation, data_centre, prompt_tokens, start_within_ms and
+     urgency.  */
+  uint64_t moves_from; /* hash of that target's id; 0: new request */
+  uint64_t refused_at; /* hash of a target that had no capacity; 0: none */
+  uint32_t left_ms;    /* expected remaining time of the run */
   size_t backoff_count;
-  uint64_t backoffs[CSP_ASK_BACKOFFS_MAX]; /* hashes of targets that have asked
-                                              its host for a wait */
+  uint64_t backoffs[CSP_ASK_BACKOFFS_MAX]; /* hashes of targets that told its
+                                              host to back off */
 } csp_ask_t;
 
 typedef void (*csp_take_ask_answer_t) (void *state,
@@ -49,31 +52,33 @@
 typedef struct csp_dispatch csp_dispatch_t;
 
 csp_dispatch_t *csp_create_dispatch (csp_fleet_t *fleet,
-                                     csp_take_ask_answer_t take, void *state,
-                                     uint64_t seed);
+                                     csp_take_ask_answer_t deliver,
+                                     void *state, uint64_t seed);
 void csp_destroy_dispatch (csp_dispatch_t *dispatch);
 
-/* Whether this host decides, and for how much of the fleet: it counts where
-   targets are cold, see warmup.h.  Call it whenever that changes.  */
+/* Sets whether this host is the decider and for which part of the fleet; the
+   decider counts placements on cold targets, see warmup.h.  To be called
+   whenever that changes.  */
 void csp_note_dispatch_duty (csp_dispatch_t *dispatch,
                              const csp_warmup_duty_t *duty);
 
-/* An ask came, maybe not for the first time.  The answer is told before this
-   returns: what it got, or that it waits.  service and memory_tokens are those
-   of the engines that may run it.  */
+/* Handles a new or repeated ask.  The answer (a placement, a refusal or that
+   the ask waits) is delivered before this returns.  service and memory_tokens
+   describe the engines that may run the request.  */
 void csp_push_ask (csp_dispatch_t *dispatch, const csp_ask_t *ask,
                    const char *service, uint32_t memory_tokens,
                    int64_t now_ms);
 
-/* The request is over, or its host has placed it by itself; a move that was
-   placed is done.  */
+/* Removes an ask: the request has ended or its host has placed it by itself,
+   or the move that was placed is done.  */
 void csp_cancel_ask (csp_dispatch_t *dispatch, csp_peer_address_t host,
                      uint64_t id);
 
-/* Serve what waits; call it when load has changed and a few times a second. */
+/* Serves the waiting asks; to be called when load has changed and a few times
+   a second.  */
 void csp_pump_dispatch (csp_dispatch_t *dispatch, int64_t now_ms);
 
-/* Requests and streams that load that changes may help.  */
+/* Number of waiting requests and of moves; a change of load may help them.  */
 uint32_t csp_count_waiting_asks (const csp_dispatch_t *dispatch);
 
 #endif
--- a/source/dispatch/dispatch-imp.h
+++ b/source/dispatch/dispatch-imp.h
@@ -4,12 +4,12 @@
 #include "cowslipspoke/dispatch.h"
 #include "cowslipspoke/queue.h"
 
-/* Parts of the dispatch:
+/* Files:
 
-     dispatch.c       who gets a place, in which order, and who is turned away
-     dispatch-move.c  which streams leave a target, where to and when
-     dispatch-room.c  places that were given and are not told yet, and answers
-                      that may have been lost  */
+   dispatch.c       queues, placement and refusal
+   dispatch-move.c  which streams leave a target, where to and when
+   dispatch-room.c  reservations until the hosts report the load, and repeated
+                    answers  */
 
 enum
 {
@@ -17,14 +17,14 @@
   CSP_DISPATCH_WAITING_MAX = 4096,
   CSP_DISPATCH_ORGANISATIONS_MAX = 1024,
   CSP_DISPATCH_RESERVED_MAX = 1024,
-  /* Answers that are remembered for asks that come again.  */
-  CSP_DISPATCH_REMEMBERED = 512,
-  /* Streams that leave targets at one time.  At the planned size an engine
-     runs 7 streams; so many are those of 140 engines.  */
+  /* Answers kept to answer repeated asks.  */
+  CSP_DISPATCH_RECENT_ANSWERS = 512,
+  /* Maximum number of streams that are leaving targets at the same time.  At
+     the planned size an engine runs 7 streams; this covers 140 engines.  */
   CSP_DISPATCH_MOVES_MAX = 1024
 };
 
-/* Engines of one service, and who waits for them.  */
+/* The engines of one service and the queue for them.  */
 typedef struct
 {
   char service[CSP_TARGET_NAME_BYTES];
@@ -49,23 +49,23 @@
   int64_t until_ms;
 } csp_reservation_t;
 
-/* A stream that leaves a target.  */
+/* A stream that moves to another target.  */
 typedef struct
 {
   bool used;
   csp_ask_t ask;
   uint8_t pool;
   csp_fleet_target_t *from;
-  csp_fleet_target_t *to; /* NULL while none has room */
-  int64_t asked_ms;       /* last word of its host */
-  bool started;           /* else it waits for its turn */
+  csp_fleet_target_t *to; /* NULL while none has capacity */
+  int64_t asked_ms;       /* when its host last asked */
+  bool started;           /* false: waits for free links */
   int64_t started_ms;
 } csp_dispatch_move_t;
 
 struct csp_dispatch
 {
   csp_fleet_t *fleet;
-  csp_take_ask_answer_t take;
+  csp_take_ask_answer_t deliver;
   void *state;
   csp_random_t random;
   uint64_t next_id;
@@ -74,58 +74,61 @@
   csp_dispatch_pool_t pools[CSP_DISPATCH_POOLS_MAX];
   size_t organisation_count;
   uint32_t organisations[CSP_DISPATCH_ORGANISATIONS_MAX];
-  size_t waiting_room; /* used entries lie below */
+  size_t waiting_end; /* used entries are below this index */
   uint32_t waiting_count;
   csp_waiting_ask_t waiting[CSP_DISPATCH_WAITING_MAX];
   size_t reserved_count;
   csp_reservation_t reserved[CSP_DISPATCH_RESERVED_MAX];
-  size_t remembered_next;
-  csp_ask_answer_t remembered[CSP_DISPATCH_REMEMBERED];
-  size_t move_room; /* used entries lie below */
+  size_t next_recent_answer;
+  csp_ask_answer_t recent_answers[CSP_DISPATCH_RECENT_ANSWERS];
+  size_t move_end; /* used entries are below this index */
   uint32_t move_count;
   csp_dispatch_move_t moves[CSP_DISPATCH_MOVES_MAX];
 };
 
 /* dispatch.c  */
 
-/* An ask comes again; its host may have been asked for other waits since.  */
+/* Updates a repeated ask: other targets may have told its host to back off
+   since.  */
 void csp_copy_backoffs (csp_ask_t *ask, const csp_ask_t *again);
 
 /* dispatch-room.c  */
 
-/* Count a place that was given until its host's own word of it has come.  */
-void csp_reserve_place (csp_dispatch_t *dispatch, csp_fleet_target_t *target,
-                        uint32_t tokens, uint32_t reading_tokens,
-                        int64_t now_ms);
-void csp_expire_reserved (csp_dispatch_t *dispatch, int64_t now_ms);
-void csp_release_all_reserved (csp_dispatch_t *dispatch);
+/* Counts a placement as load of the target until the asking host's own load
+   report includes it.  */
+void csp_reserve_capacity (csp_dispatch_t *dispatch,
+                           csp_fleet_target_t *target, uint32_t tokens,
+                           uint32_t reading_tokens, int64_t now_ms);
+void csp_expire_reservations (csp_dispatch_t *dispatch, int64_t now_ms);
+void csp_release_all_reservations (csp_dispatch_t *dispatch);
 
-/* Tell what an ask came to.  */
-void csp_answer_ask (csp_dispatch_t *dispatch, const csp_ask_t *ask,
-                     csp_ask_outcome_t outcome, uint64_t target,
-                     uint32_t retry_after_ms);
+/* Delivers the answer to an ask.  */
+void csp_send_ask_answer (csp_dispatch_t *dispatch, const csp_ask_t *ask,
+                          csp_ask_outcome_t outcome, uint64_t target,
+                          uint32_t retry_after_ms);
 
-/* Tell it again where the answer to this ask was lost; false where it has
-   none yet.  */
-bool csp_answer_again (csp_dispatch_t *dispatch, const csp_ask_t *ask);
+/* Delivers an earlier answer again, as it may have been lost; false when the
+   ask has no answer yet.  */
+bool csp_resend_ask_answer (csp_dispatch_t *dispatch, const csp_ask_t *ask);
 
 /* dispatch-move.c  */
 
-/* A stream asks where to go, maybe not for the first time.  */
+/* Handles a new or repeated ask of a stream that must move.  */
 void csp_push_move (csp_dispatch_t *dispatch, const csp_ask_t *ask,
                     uint8_t pool, int64_t now_ms);
 
-/* Whether it is known and waits for its turn.  */
-bool csp_move_waits (csp_dispatch_t *dispatch, csp_peer_address_t host,
-                     uint64_t id);
+/* Whether the move is known and hasn't started.  */
+bool csp_is_move_waiting (csp_dispatch_t *dispatch, csp_peer_address_t host,
+                          uint64_t id);
 
-/* It has gone on, has ended, or needs no move.  */
+/* Removes a move: the stream was moved, has ended or needs no move.  */
 void csp_cancel_move (csp_dispatch_t *dispatch, csp_peer_address_t host,
                       uint64_t id);
 
-/* Give room and turns.  */
-void csp_pump_moves_of_pool (csp_dispatch_t *dispatch, uint8_t pool,
-                             int64_t now_ms);
+/* Assigns destinations to the pool's moves and starts those whose links are
+   free.  */
+void csp_pump_pool_moves (csp_dispatch_t *dispatch, uint8_t pool,
+                          int64_t now_ms);
 void csp_release_all_moves (csp_dispatch_t *dispatch);
 
 #endif
--- a/source/dispatch/dispatch-room.c
+++ b/source/dispatch/dispatch-room.c
@@ -4,15 +4,15 @@
 
 enum
 {
-  /* A place that was given counts here until its host's own word of it must
-     have come: a message there, one back, and the moment in which changes are
-     told together.  */
-  RESERVED_MS = 30,
+  /* A placement counts as a reservation until the host's own report of it must
+     have arrived: a message there, one back, and the time for which changes
+     are batched.  */
+  RESERVATION_MS = 30,
   PERCENT = 100
 };
 
 static void
-release (csp_reservation_t *reservation)
+release_reservation (csp_reservation_t *reservation)
 {
   csp_fleet_target_t *target = reservation->target;
 
@@ -23,13 +23,13 @@
 }
 
 void
-csp_reserve_place (csp_dispatch_t *dispatch, csp_fleet_target_t *target,
-                   uint32_t tokens, uint32_t reading_tokens, int64_t now_ms)
+csp_reserve_capacity (csp_dispatch_t *dispatch, csp_fleet_target_t *target,
+                      uint32_t tokens, uint32_t reading_tokens, int64_t now_ms)
 {
   csp_reservation_t reservation = { .target = target,
                                     .tokens = tokens,
                                     .reading_tokens = reading_tokens,
-                                    .until_ms = now_ms + RESERVED_MS };
+                                    .until_ms = now_ms + RESERVATION_MS };
 
   if (dispatch->reserved_count == CSP_DISPATCH_RESERVED_MAX)
     return;
@@ -41,31 +41,32 @@
 }
 
 void
-csp_expire_reserved (csp_dispatch_t *dispatch, int64_t now_ms)
+csp_expire_reservations (csp_dispatch_t *dispatch, int64_t now_ms)
 {
   size_t kept = 0;
   size_t i;
 
   for (i = 0; i < dispatch->reserved_count; i++)
     if (now_ms >= dispatch->reserved[i].until_ms)
-      release (&dispatch->reserved[i]);
+      release_reservation (&dispatch->reserved[i]);
     else
       dispatch->reserved[kept++] = dispatch->reserved[i];
   dispatch->reserved_count = kept;
 }
 
 void
-csp_release_all_reserved (csp_dispatch_t *dispatch)
+csp_release_all_reservations (csp_dispatch_t *dispatch)
 {
   size_t i;
 
   for (i = 0; i < dispatch->reserved_count; i++)
-    release (&dispatch->reserved[i]);
+    release_reservation (&dispatch->reserved[i]);
   dispatch->reserved_count = 0;
 }
 
-/* How full the engines of a target's service are in all.  Hosts hear of it
-   this way alone, since they don't know each other's loads.  */
+/* How full the engines of a target's service are, in percent of their memory.
+   Answers to asks are the only way in which hosts learn this, since they don't
+   know each other's loads.  */
 static uint32_t
 pool_percent (const csp_dispatch_t *dispatch, uint64_t target_hash)
 {
@@ -82,39 +83,39 @@
 }
 
 void
-csp_answer_ask (csp_dispatch_t *dispatch, const csp_ask_t *ask,
-                csp_ask_outcome_t outcome, uint64_t target,
-                uint32_t retry_after_ms)
+csp_send_ask_answer (csp_dispatch_t *dispatch, const csp_ask_t *ask,
+                     csp_ask_outcome_t outcome, uint64_t target,
+                     uint32_t retry_after_ms)
 {
-  csp_ask_answer_t told = { .host = ask->host,
-                            .id = ask->id,
-                            .outcome = outcome,
-                            .target = target,
-                            .retry_after_ms = retry_after_ms };
+  csp_ask_answer_t answer = { .host = ask->host,
+                              .id = ask->id,
+                              .outcome = outcome,
+                              .target = target,
+                              .retry_after_ms = retry_after_ms };
 
   if (outcome == CSP_ASK_PLACED)
-    told.pool_percent = pool_percent (dispatch, target);
+    answer.pool_percent = pool_percent (dispatch, target);
   if (outcome != CSP_ASK_WAITS)
     {
-      dispatch->remembered[dispatch->remembered_next] = told;
-      dispatch->remembered_next
-          = (dispatch->remembered_next + 1) % CSP_DISPATCH_REMEMBERED;
+      dispatch->recent_answers[dispatch->next_recent_answer] = answer;
+      dispatch->next_recent_answer
+          = (dispatch->next_recent_answer + 1) % CSP_DISPATCH_RECENT_ANSWERS;
     }
-  dispatch->take (dispatch->state, &told);
+  dispatch->deliver (dispatch->state, &answer);
 }
 
-/* The answer to this ask was lost on its way.  */
+/* Repeats an answer that the network may have lost.  */
 bool
-csp_answer_again (csp_dispatch_t *dispatch, const csp_ask_t *ask)
+csp_resend_ask_answer (csp_dispatch_t *dispatch, const csp_ask_t *ask)
 {
   size_t i;
 
-  for (i = 0; i < CSP_DISPATCH_REMEMBERED; i++)
-    if (dispatch->remembered[i].outcome != CSP_ASK_WAITS
-        && dispatch->remembered[i].id == ask->id
-        && csp_is_same_peer (dispatch->remembered[i].host, ask->host))
+  for (i = 0; i < CSP_DISPATCH_RECENT_ANSWERS; i++)
+    if (dispatch->recent_answers[i].outcome != CSP_ASK_WAITS
+        && dispatch->recent_answers[i].id == ask->id
+        && csp_is_same_peer (dispatch->recent_answers[i].host, ask->host))
       {
-        dispatch->take (dispatch->state, &dispatch->remembered[i]);
+        dispatch->deliver (dispatch->state, &dispatch->recent_answers[i]);
         return true;
       }
   return false;
--- a/source/dispatch/dispatch.c
+++ b/source/dispatch/dispatch.c
@@ -5,26 +5,27 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Up to this share of an engine's memory a request is placed there.  Runs
-   hold less than they are expected to until their end, so a full engine by
-   this count has some room left.  */
-static const double place_share_max = 1.0;
+/* Maximum share of an engine's memory that placements may use.  Runs hold less
+   than their expected memory until they end, so an engine that is full by this
+   count has some memory left.  */
+static const double max_placement_memory_share = 1.0;
 
 enum
 {
   URGENCY_MAX = 9,
-  /* Prompts that an engine may read at once.  It reads them all at the same
-     time, beside its runs at some 5 tokens a ms, so that each is read when all
-     are; that is 0.9 s, half of the usual time to a first token.  Where
-     engines are full and a new one comes all that waits is placed there
-     otherwise: of 270 texts that began late 207 had got their place within 0.2
-     s.  In the mean of four days of 45 and 48 engines the worth is 0.58 with
-     this bound, 0.55 with twice as much and 0.54 with none.  */
+  /* Maximum prompt tokens that an engine processes at once.  It processes all
+     prompts together, beside its runs, at about 5 tokens a ms, so each is done
+     only when all are; this many take 0.9 s, half of the usual time to first
+     token.  Without the limit everything that waits is placed on a new engine
+     at once when the others are full: of 270 texts that began late 207 had
+     been placed within 0.2 s.  The mean worth of the answers of four days of
+     45 and 48 engines is 0.58 with this limit, 0.55 with twice as much and
+     0.54 with none.  */
   READING_TOKENS_MAX = 4500
 };
 
 csp_dispatch_t *
-csp_create_dispatch (csp_fleet_t *fleet, csp_take_ask_answer_t take,
+csp_create_dispatch (csp_fleet_t *fleet, csp_take_ask_answer_t deliver,
                      void *state, uint64_t seed)
 {
   csp_dispatch_t *dispatch = calloc (1, sizeof *dispatch);
@@ -32,7 +33,7 @@
   if (dispatch == NULL)
     return NULL;
   dispatch->fleet = fleet;
-  dispatch->take = take;
+  dispatch->deliver = deliver;
   dispatch->state = state;
   dispatch->next_id = 1;
   csp_seed_random (&dispatch->random, seed);
@@ -47,7 +48,7 @@
   if (dispatch == NULL)
     return;
   csp_release_all_moves (dispatch);
-  csp_release_all_reserved (dispatch);
+  csp_release_all_reservations (dispatch);
   for (i = 0; i < dispatch->pool_count; i++)
     csp_destroy_queue (dispatch->pools[i].queue);
   free (dispatch);
@@ -65,7 +66,7 @@
 {
   size_t i;
 
-  for (i = 0; i < dispatch->waiting_room; i++)
+  for (i = 0; i < dispatch->waiting_end; i++)
     if (dispatch->waiting[i].used && dispatch->waiting[i].ask.id == id
         && csp_is_same_peer (dispatch->waiting[i].ask.host, host))
       return &dispatch->waiting[i];
@@ -77,14 +78,14 @@
 {
   size_t i;
 
-  for (i = 0; i < dispatch->waiting_room; i++)
+  for (i = 0; i < dispatch->waiting_end; i++)
     if (dispatch->waiting[i].used && dispatch->waiting[i].queue_id == queue_id)
       return &dispatch->waiting[i];
   return NULL;
 }
 
 static csp_waiting_ask_t *
-take_room (csp_dispatch_t *dispatch)
+allocate_waiting (csp_dispatch_t *dispatch)
 {
   size_t i;
 
@@ -93,30 +94,31 @@
       {
         dispatch->waiting[i].used = true;
         dispatch->waiting_count++;
-        if (i >= dispatch->waiting_room)
-          dispatch->waiting_room = i + 1;
+        if (i >= dispatch->waiting_end)
+          dispatch->waiting_end = i + 1;
         return &dispatch->waiting[i];
       }
   return NULL;
 }
 
 static void
-give_room (csp_dispatch_t *dispatch, csp_waiting_ask_t *waiting)
+free_waiting (csp_dispatch_t *dispatch, csp_waiting_ask_t *waiting)
 {
   waiting->used = false;
   dispatch->waiting_count--;
-  while (dispatch->waiting_room > 0
-         && !dispatch->waiting[dispatch->waiting_room - 1].used)
-    dispatch->waiting_room--;
+  while (dispatch->waiting_end > 0
+         && !dispatch->waiting[dispatch->waiting_end - 1].used)
+    dispatch->waiting_end--;
 }
 
-/* The queue's usual figures but two.  Engines are lost and come back by the
-   second, and what got places half a minute ago says little of what is free
-   now; so the rate is measured over two seconds.  And more wait in vain than
-   the rate says, as those that are more urgent pass; so a request is refused
-   on arrival already when its wait by the rate is an eighth of the time that
-   it has.  At 1.2 times the memory of 48 engines, 66 in 100 long texts and 78
-   in 100 short ones come in time so, and 59 and 71 with the usual figures.  */
+/* The default policy except for two parameters.  Engines are lost and come
+   back within seconds, so the rate of half a minute ago says little about the
+   free capacity now; the rate is measured over two seconds.  And more requests
+   expire than the rate predicts, as more urgent ones overtake; so a request is
+   refused on arrival when its predicted wait exceeds an eighth of its
+   remaining time.  At 1.2 times the memory of 48 engines, 66 in 100 long texts
+   and 78 in 100 short ones are in time with these parameters, and 59 and 71
+   with the defaults.  */
 static csp_queue_policy_t
 queue_policy (void)
 {
@@ -127,7 +129,8 @@
   return policy;
 }
 
-/* The pool of a service; the last one serves those that find no room.  */
+/* Returns the pool of a service and creates it if there is none; NULL when the
+   table is full or memory is short.  */
 static csp_dispatch_pool_t *
 find_pool (csp_dispatch_t *dispatch, const char *service,
            uint32_t memory_tokens)
@@ -154,9 +157,10 @@
   return pool;
 }
 
-/* A small number for an organisation; those beyond the table share 0.  */
+/* Maps an organisation to a small number; organisations beyond the table share
+   number 0.  */
 static uint32_t
-number_of (csp_dispatch_t *dispatch, uint32_t organisation)
+map_organisation (csp_dispatch_t *dispatch, uint32_t organisation)
 {
   size_t i;
 
@@ -170,15 +174,15 @@
 }
 
 static csp_fleet_target_t *
-find_place (csp_dispatch_t *dispatch, const csp_dispatch_pool_t *pool,
-            const csp_ask_t *ask, int64_t now_ms)
+choose_ask_target (csp_dispatch_t *dispatch, const csp_dispatch_pool_t *pool,
+                   const csp_ask_t *ask, int64_t now_ms)
 {
   csp_fleet_need_t need = { .service = pool->service,
                             .data_centre = ask->data_centre,
                             .by_memory = true,
                             .within_slots = true,
                             .memory_tokens = pool->memory_tokens,
-                            .memory_share_max = place_share_max,
+                            .memory_share_max = max_placement_memory_share,
                             .tokens = ask->tokens,
                             .prompt_tokens = ask->prompt_tokens,
                             .reading_tokens_max = READING_TOKENS_MAX,
@@ -194,9 +198,9 @@
 push_waiting (csp_dispatch_t *dispatch, csp_dispatch_pool_t *pool,
               const csp_ask_t *ask, int64_t now_ms)
 {
-  csp_waiting_t row = {
+  csp_waiting_t queued = {
     .id = dispatch->next_id++,
-    .organisation = number_of (dispatch, ask->organisation),
+    .organisation = map_organisation (dispatch, ask->organisation),
     .cost_tokens = ask->tokens,
     .start_by_ms = now_ms + ask->start_within_ms,
     .arrived_ms = now_ms,
@@ -204,23 +208,25 @@
     = (uint8_t)(URGENCY_MAX
                 - (ask->urgency < URGENCY_MAX ? ask->urgency : URGENCY_MAX))
   };
-  csp_waiting_ask_t *waiting = take_room (dispatch);
+  csp_waiting_ask_t *waiting = allocate_waiting (dispatch);
   csp_error_t error = { .retry_after_ms = 0 };
 
   if (waiting == NULL)
     {
-      csp_answer_ask (dispatch, ask, CSP_ASK_REFUSED, 0, ask->start_within_ms);
+      csp_send_ask_answer (dispatch, ask, CSP_ASK_REFUSED, 0,
+                           ask->start_within_ms);
       return;
     }
-  if (!csp_push_waiting (pool->queue, &row, now_ms, &error))
+  if (!csp_push_waiting (pool->queue, &queued, now_ms, &error))
     {
-      give_room (dispatch, waiting);
-      csp_answer_ask (dispatch, ask, CSP_ASK_REFUSED, 0, error.retry_after_ms);
+      free_waiting (dispatch, waiting);
+      csp_send_ask_answer (dispatch, ask, CSP_ASK_REFUSED, 0,
+                           error.retry_after_ms);
       return;
     }
-  waiting->queue_id = row.id;
+  waiting->queue_id = queued.id;
   waiting->pool = (uint8_t)(pool - dispatch->pools);
-  waiting->organisation = row.organisation;
+  waiting->organisation = queued.organisation;
   waiting->ask = *ask;
 }
 
@@ -238,19 +244,20 @@
   csp_dispatch_pool_t *pool = find_pool (dispatch, service, memory_tokens);
   csp_waiting_ask_t *waiting;
 
-  if (csp_answer_again (dispatch, ask))
+  if (csp_resend_ask_answer (dispatch, ask))
     return;
   if (pool == NULL)
     {
-      csp_answer_ask (dispatch, ask, CSP_ASK_REFUSED, 0, ask->start_within_ms);
+      csp_send_ask_answer (dispatch, ask, CSP_ASK_REFUSED, 0,
+                           ask->start_within_ms);
       return;
     }
   if (ask->moves_from != 0)
     {
       csp_push_move (dispatch, ask, (uint8_t)(pool - dispatch->pools), now_ms);
       csp_pump_dispatch (dispatch, now_ms);
-      if (csp_move_waits (dispatch, ask->host, ask->id))
-        csp_answer_ask (dispatch, ask, CSP_ASK_WAITS, 0, 0);
+      if (csp_is_move_waiting (dispatch, ask->host, ask->id))
+        csp_send_ask_answer (dispatch, ask, CSP_ASK_WAITS, 0, 0);
       return;
     }
   waiting = find_waiting (dispatch, ask->host, ask->id);
@@ -262,7 +269,7 @@
       csp_pump_dispatch (dispatch, now_ms);
     }
   if (find_waiting (dispatch, ask->host, ask->id) != NULL)
-    csp_answer_ask (dispatch, ask, CSP_ASK_WAITS, 0, 0);
+    csp_send_ask_answer (dispatch, ask, CSP_ASK_WAITS, 0, 0);
 }
 
 void
@@ -275,25 +282,27 @@
     return;
   csp_drop_waiting (dispatch->pools[waiting->pool].queue,
                     waiting->organisation, waiting->queue_id);
-  give_room (dispatch, waiting);
+  free_waiting (dispatch, waiting);
 }
 
-/* Place one that waits.  It counts as served at once: how long it holds its
-   place is known from the loads that hosts tell.  */
+/* Places a waiting request.  It is settled in the queue at once, as how long
+   it holds its place is known from the loads that hosts report.  */
 static void
-place (csp_dispatch_t *dispatch, csp_dispatch_pool_t *pool,
-       csp_waiting_ask_t *waiting, csp_fleet_target_t *target, int64_t now_ms)
+place_waiting (csp_dispatch_t *dispatch, csp_dispatch_pool_t *pool,
+               csp_waiting_ask_t *waiting, csp_fleet_target_t *target,
+               int64_t now_ms)
 {
   csp_ask_t ask = waiting->ask;
 
   csp_take_waiting (pool->queue, now_ms);
   csp_settle_waiting (pool->queue, waiting->organisation, ask.tokens,
                       ask.tokens, now_ms);
-  give_room (dispatch, waiting);
-  csp_reserve_place (dispatch, target, ask.tokens, ask.prompt_tokens, now_ms);
+  free_waiting (dispatch, waiting);
+  csp_reserve_capacity (dispatch, target, ask.tokens, ask.prompt_tokens,
+                        now_ms);
   csp_note_prompt_given (target, ask.prompt_tokens, now_ms);
   csp_note_place_given (target, &dispatch->duty, now_ms);
-  csp_answer_ask (dispatch, &ask, CSP_ASK_PLACED, target->hash, 0);
+  csp_send_ask_answer (dispatch, &ask, CSP_ASK_PLACED, target->hash, 0);
 }
 
 static void
@@ -301,45 +310,45 @@
                 int64_t now_ms)
 {
   csp_error_t error = { .retry_after_ms = 0 };
-  csp_waiting_t row;
+  csp_waiting_t queued;
 
-  while (csp_expire_waiting (pool->queue, now_ms, &row, &error))
+  while (csp_expire_waiting (pool->queue, now_ms, &queued, &error))
     {
-      csp_waiting_ask_t *waiting = find_queued (dispatch, row.id);
+      csp_waiting_ask_t *waiting = find_queued (dispatch, queued.id);
 
       if (waiting == NULL)
         continue;
       csp_ask_t ask = waiting->ask;
 
-      give_room (dispatch, waiting);
-      csp_answer_ask (dispatch, &ask, CSP_ASK_REFUSED, 0,
-                      error.retry_after_ms);
+      free_waiting (dispatch, waiting);
+      csp_send_ask_answer (dispatch, &ask, CSP_ASK_REFUSED, 0,
+                           error.retry_after_ms);
     }
 }
 
 static void
 pump_pool (csp_dispatch_t *dispatch, csp_dispatch_pool_t *pool, int64_t now_ms)
 {
-  csp_waiting_t row;
+  csp_waiting_t queued;
   bool borrowing;
 
-  /* A stream that leaves a target and finds no room is lost within a second,
-     and what was read and written for it too; so what comes free goes to the
-     streams first.  New requests still take what is too small for those.  */
-  csp_pump_moves_of_pool (dispatch, (uint8_t)(pool - dispatch->pools), now_ms);
+  /* A stream that must leave a target and finds no capacity is lost within a
+     second, along with the work done for it.  So free capacity goes to moving
+     streams first; new requests get what is too small for those.  */
+  csp_pump_pool_moves (dispatch, (uint8_t)(pool - dispatch->pools), now_ms);
   csp_begin_pump (pool->queue, now_ms);
-  while (csp_next_waiting (pool->queue, &row, &borrowing))
+  while (csp_next_waiting (pool->queue, &queued, &borrowing))
     {
-      csp_waiting_ask_t *waiting = find_queued (dispatch, row.id);
+      csp_waiting_ask_t *waiting = find_queued (dispatch, queued.id);
       csp_fleet_target_t *target
           = waiting == NULL
                 ? NULL
-                : find_place (dispatch, pool, &waiting->ask, now_ms);
+                : choose_ask_target (dispatch, pool, &waiting->ask, now_ms);
 
       if (target == NULL)
         csp_skip_waiting (pool->queue);
       else
-        place (dispatch, pool, waiting, target, now_ms);
+        place_waiting (dispatch, pool, waiting, target, now_ms);
     }
   expire_waiting (dispatch, pool, now_ms);
 }
@@ -349,7 +358,7 @@
 {
   size_t i;
 
-  csp_expire_reserved (dispatch, now_ms);
+  csp_expire_reservations (dispatch, now_ms);
   for (i = 0; i < dispatch->pool_count; i++)
     pump_pool (dispatch, &dispatch->pools[i], now_ms);
 }
--- a/tests/dispatch/dispatch-move-test.c
+++ b/tests/dispatch/dispatch-move-test.c
@@ -6,8 +6,8 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Streams that leave engines.  Four engines with memory for 10,000 tokens; a
-   run has 4,000, so two fit.  */
+/* Streams that leave engines.  There are four engines with memory for 10,000
+   tokens each; a run takes 4,000, so two runs fit on an engine.  */
 
 enum
 {
@@ -26,7 +26,7 @@
 static const char *const ids[ENGINES] = { "t", "u", "v", "w" };
 
 static void
-take (void *state, const csp_ask_answer_t *answer)
+record_answer (void *state, const csp_ask_answer_t *answer)
 {
   (void)state;
   ck_assert_uint_lt (answer_count, ANSWERS_MAX);
@@ -45,13 +45,13 @@
 }
 
 static void
-list (const char *id, bool leaving)
+list_target (const char *id, bool leaving)
 {
   list_row (id, "near", leaving);
 }
 
 static void
-list_in (const char *id, const char *data_centre)
+list_target_in (const char *id, const char *data_centre)
 {
   list_row (id, data_centre, false);
 }
@@ -63,10 +63,10 @@
 
   answer_count = 0;
   fleet = csp_create_fleet (NULL, NULL, NULL);
-  dispatch = csp_create_dispatch (fleet, take, NULL, 3);
+  dispatch = csp_create_dispatch (fleet, record_answer, NULL, 3);
   ck_assert_ptr_nonnull (dispatch);
   for (i = 0; i < ENGINES; i++)
-    list (ids[i], false);
+    list_target (ids[i], false);
 }
 
 static void
@@ -77,17 +77,17 @@
 }
 
 static uint64_t
-hash_of (const char *id)
+hash_target (const char *id)
 {
   return csp_find_fleet_target (fleet, id)->hash;
 }
 
-/* What the hosts tell of their runs at one engine.  */
+/* Reports the hosts' runs at one engine.  */
 static void
-tell (const char *id, uint32_t runs)
+report_runs (const char *id, uint32_t runs)
 {
   csp_peer_load_t load
-      = { .target = hash_of (id), .requests = runs, .tokens = runs * RUN };
+      = { .target = hash_target (id), .requests = runs, .tokens = runs * RUN };
 
   csp_count_other_load (fleet, &load);
 }
@@ -98,7 +98,7 @@
   csp_ask_t row = { .host = host,
                     .id = id,
                     .tokens = RUN,
-                    .moves_from = hash_of (from),
+                    .moves_from = hash_target (from),
                     .left_ms = left_ms };
 
   csp_push_ask (dispatch, &row, "s", MEMORY, now_ms);
@@ -117,7 +117,7 @@
   csp_push_ask (dispatch, &row, "s", MEMORY, now_ms);
 }
 
-/* The last word on an ask; CSP_ASK_OUTCOME_COUNT: none.  */
+/* The last answer to an ask; CSP_ASK_OUTCOME_COUNT: none.  */
 static const csp_ask_answer_t *
 last_answer (uint64_t id)
 {
@@ -131,163 +131,167 @@
 }
 
 static void
-expect (uint64_t id, csp_ask_outcome_t outcome)
+expect_outcome (uint64_t id, csp_ask_outcome_t outcome)
 {
   ck_assert_msg (last_answer (id)->outcome == outcome, "ask %llu: outcome %d",
                  (unsigned long long)id, (int)last_answer (id)->outcome);
 }
 
-/* An engine goes from the list without notice, and serves for two seconds
-   more. The host that decides has no run there; as long as it forgot the
-   engine at once, the streams of other hosts were sent away to move by
-   themselves, side by side on one link, and their callers saw pauses of 0.4 s.
- */
-START_TEST (streams_leave_a_target_that_went_without_notice)
+/* An engine is removed from the list without notice and serves for two seconds
+   more.  The decider has no run there.  If it forgot the engine at once, hosts
+   would move their streams by themselves, with several copies on one link, and
+   callers would see pauses of 0.4 s.  */
+START_TEST (streams_leave_target_unlisted_without_notice)
 {
-  csp_ask_t row = {
-    .host = host, .tokens = RUN, .moves_from = hash_of ("t"), .left_ms = 1000
-  };
+  csp_ask_t row = { .host = host,
+                    .tokens = RUN,
+                    .moves_from = hash_target ("t"),
+                    .left_ms = 1000 };
 
   csp_unlist_target (fleet, "t", 1);
   csp_expire_targets (fleet, 2);
   csp_expire_targets (fleet, 1500);
   row.id = 1;
   csp_push_ask (dispatch, &row, "s", MEMORY, 1500);
-  expect (1, CSP_ASK_PLACED);
+  expect_outcome (1, CSP_ASK_PLACED);
   row.id = 2;
   csp_push_ask (dispatch, &row, "s", MEMORY, 1500);
-  expect (2, CSP_ASK_WAITS);
+  expect_outcome (2, CSP_ASK_WAITS);
 }
 END_TEST
 
-/* Three streams of one engine leave it at once.  Were their copies all put on
-   its link, each stop would wait behind the others' copies and the callers
-   would see pauses of half a second.  */
-START_TEST (one_copy_at_a_time_leaves_a_target)
+/* Three streams leave one engine at the same time.  If all copies used its
+   link at once, each stream would pause behind the others' copies for half a
+   second.  */
+START_TEST (one_copy_at_a_time_from_a_target)
 {
-  list ("t", true);
+  list_target ("t", true);
   ask_to_move (1, "t", 1000, 0);
   ask_to_move (2, "t", 3000, 0);
   ask_to_move (3, "t", 2000, 0);
-  expect (1, CSP_ASK_PLACED);
-  expect (2, CSP_ASK_WAITS);
-  expect (3, CSP_ASK_WAITS);
+  expect_outcome (1, CSP_ASK_PLACED);
+  expect_outcome (2, CSP_ASK_WAITS);
+  expect_outcome (3, CSP_ASK_WAITS);
   csp_cancel_ask (dispatch, host, 1);
   csp_pump_dispatch (dispatch, 10);
-  /* The one that has longest to go: the other may still end in time.  */
-  expect (2, CSP_ASK_PLACED);
-  expect (3, CSP_ASK_WAITS);
+  /* The stream with the longest remaining time first, as the other may still
+     end where it is.  */
+  expect_outcome (2, CSP_ASK_PLACED);
+  expect_outcome (3, CSP_ASK_WAITS);
   csp_cancel_ask (dispatch, host, 2);
   csp_pump_dispatch (dispatch, 20);
-  expect (3, CSP_ASK_PLACED);
+  expect_outcome (3, CSP_ASK_PLACED);
 }
 END_TEST
 
-/* Two engines leave and only one other has room.  Its link, too, takes one
-   copy at a time.  */
-START_TEST (one_copy_at_a_time_comes_to_a_target)
+/* Two engines leave and only one other has capacity.  Its link, too, carries
+   one copy at a time.  */
+START_TEST (one_copy_at_a_time_to_a_target)
 {
-  list ("t", true);
-  list ("u", true);
-  tell ("v", 2);
+  list_target ("t", true);
+  list_target ("u", true);
+  report_runs ("v", 2);
   ask_to_move (1, "t", 1000, 0);
   ask_to_move (2, "u", 1000, 0);
-  expect (1, CSP_ASK_PLACED);
-  ck_assert_uint_eq (last_answer (1)->target, hash_of ("w"));
-  expect (2, CSP_ASK_WAITS);
+  expect_outcome (1, CSP_ASK_PLACED);
+  ck_assert_uint_eq (last_answer (1)->target, hash_target ("w"));
+  expect_outcome (2, CSP_ASK_WAITS);
   csp_cancel_ask (dispatch, host, 1);
   csp_pump_dispatch (dispatch, 10);
-  expect (2, CSP_ASK_PLACED);
-  ck_assert_uint_eq (last_answer (2)->target, hash_of ("w"));
+  expect_outcome (2, CSP_ASK_PLACED);
+  ck_assert_uint_eq (last_answer (2)->target, hash_target ("w"));
 }
 END_TEST
 
-/* Room is kept for a stream that waits for its turn, so that a new request
-   doesn't take it: the stream would be refused there and lost.  */
-START_TEST (room_is_kept_until_the_turn_comes)
+/* Capacity is reserved for a stream that waits to be moved, so that no new
+   request takes it: the stream would be refused there and lost.  */
+START_TEST (capacity_is_reserved_for_waiting_move)
 {
-  list ("t", true);
-  tell ("u", 2);
-  tell ("v", 2);
-  tell ("w", 0);
+  list_target ("t", true);
+  report_runs ("u", 2);
+  report_runs ("v", 2);
+  report_runs ("w", 0);
   ask_to_move (1, "t", 1000, 0);
   ask_to_move (2, "t", 1000, 0);
   ask_for_place (3, 0);
-  expect (1, CSP_ASK_PLACED);
-  expect (2, CSP_ASK_WAITS);
-  expect (3, CSP_ASK_WAITS);
+  expect_outcome (1, CSP_ASK_PLACED);
+  expect_outcome (2, CSP_ASK_WAITS);
+  expect_outcome (3, CSP_ASK_WAITS);
   ck_assert_uint_eq (csp_find_fleet_target (fleet, "w")->reserved.tokens,
                      2 * RUN);
 }
 END_TEST
 
-/* No engine has room for a stream that leaves.  The first that comes free is
-   the stream's: a new request has not cost anything yet.  */
-START_TEST (a_stream_without_room_goes_before_new_requests)
+/* No engine has capacity for a stream that leaves.  The first capacity that
+   gets free goes to the stream, as no work was done for the new request
+   yet.  */
+START_TEST (waiting_move_goes_before_new_requests)
 {
-  list ("t", true);
-  tell ("u", 2);
-  tell ("v", 2);
-  tell ("w", 2);
+  list_target ("t", true);
+  report_runs ("u", 2);
+  report_runs ("v", 2);
+  report_runs ("w", 2);
   ask_for_place (1, 0);
   ask_to_move (2, "t", 1000, 0);
-  expect (1, CSP_ASK_WAITS);
-  expect (2, CSP_ASK_WAITS);
+  expect_outcome (1, CSP_ASK_WAITS);
+  expect_outcome (2, CSP_ASK_WAITS);
   csp_clear_other_loads (fleet);
-  tell ("u", 2);
-  tell ("v", 2);
-  tell ("w", 1);
+  report_runs ("u", 2);
+  report_runs ("v", 2);
+  report_runs ("w", 1);
   csp_pump_dispatch (dispatch, 10);
-  expect (2, CSP_ASK_PLACED);
-  expect (1, CSP_ASK_WAITS);
+  expect_outcome (2, CSP_ASK_PLACED);
+  expect_outcome (1, CSP_ASK_WAITS);
 }
 END_TEST
 
-/* An engine has less room than it is thought to have, and refused the copy.
-   Sent there again at once, the stream loses its time.  */
-START_TEST (a_target_that_refused_is_left_out)
+/* An engine has less free capacity than assumed and refused the copy.  If the
+   stream were sent there again at once, it would lose the time that is
+   left.  */
+START_TEST (refusing_target_is_excluded)
 {
   csp_ask_t row = { .host = host, .id = 1, .tokens = RUN };
 
-  list ("t", true);
-  tell ("u", 2);
-  tell ("v", 2);
-  row.moves_from = hash_of ("t");
-  row.refused_at = hash_of ("w");
+  list_target ("t", true);
+  report_runs ("u", 2);
+  report_runs ("v", 2);
+  row.moves_from = hash_target ("t");
+  row.refused_at = hash_target ("w");
   csp_push_ask (dispatch, &row, "s", MEMORY, 0);
-  expect (1, CSP_ASK_WAITS);
-  /* A while later its host tries it again, as there is no other.  */
+  expect_outcome (1, CSP_ASK_WAITS);
+  /* Later its host allows that engine again, as there is no other.  */
   row.refused_at = 0;
   csp_push_ask (dispatch, &row, "s", MEMORY, 250);
-  expect (1, CSP_ASK_PLACED);
+  expect_outcome (1, CSP_ASK_PLACED);
 }
 END_TEST
 
-/* The engine that kept room for a waiting stream is told to leave as well.  */
-START_TEST (room_at_a_target_that_leaves_is_found_elsewhere)
+/* The engine that was reserved for a waiting stream starts to leave too.  */
+START_TEST (move_gets_new_destination_when_target_leaves)
 {
-  list ("t", true);
-  tell ("v", 2);
+  list_target ("t", true);
+  report_runs ("v", 2);
   ask_to_move (1, "t", 3000, 0);
   ask_to_move (2, "t", 1000, 0);
-  list ("u", true);
-  list ("w", true);
+  list_target ("u", true);
+  list_target ("w", true);
   csp_clear_other_loads (fleet);
   csp_cancel_ask (dispatch, host, 1);
   csp_pump_dispatch (dispatch, 10);
-  expect (2, CSP_ASK_PLACED);
-  ck_assert_uint_eq (last_answer (2)->target, hash_of ("v"));
+  expect_outcome (2, CSP_ASK_PLACED);
+  ck_assert_uint_eq (last_answer (2)->target, hash_target ("v"));
 }
 END_TEST
 
-/* Operators cordon the data centre of an engine that kept room for a stream
-   that waits.  Moved there it would be lost with the power.  */
-START_TEST (room_in_a_cordoned_data_centre_is_found_elsewhere)
+/* Operators cordon the data centre of the engine that is reserved for a
+   waiting stream.  Moved there, the stream would be lost when the data centre
+   is switched off.  */
+START_TEST (move_gets_new_destination_when_cordoned)
 {
-  list ("t", true);
-  list_in ("w", "other");
-  tell ("v", 2);
-  tell ("w", 2);
+  list_target ("t", true);
+  list_target_in ("w", "other");
+  report_runs ("v", 2);
+  report_runs ("w", 2);
   ask_to_move (1, "t", 3000, 0);
   ask_to_move (2, "t", 1000, 0);
   csp_clear_other_loads (fleet);
@@ -295,50 +299,51 @@
                     CSP_CORDON_CHANGED);
   csp_cancel_ask (dispatch, host, 1);
   csp_pump_dispatch (dispatch, 10);
-  expect (2, CSP_ASK_PLACED);
-  ck_assert_uint_eq (last_answer (2)->target, hash_of ("w"));
+  expect_outcome (2, CSP_ASK_PLACED);
+  ck_assert_uint_eq (last_answer (2)->target, hash_target ("w"));
 }
 END_TEST
 
-/* A host dies with a stream that waits and one that is under way, or its words
-   are lost.  Others must not wait for them for long, and their room is free.
- */
-START_TEST (streams_of_silent_hosts_are_dropped)
+/* A host dies, or its messages are lost, while it has a waiting move and a
+   started one.  Others must not wait for these for long, and the reserved
+   capacity must be freed.  */
+START_TEST (moves_of_silent_hosts_are_dropped)
 {
-  list ("t", true);
+  list_target ("t", true);
   ask_to_move (1, "t", 3000, 0);
   ask_to_move (2, "t", 1000, 0);
-  expect (1, CSP_ASK_PLACED);
+  expect_outcome (1, CSP_ASK_PLACED);
   ask_to_move (3, "t", 500, 1400);
-  expect (3, CSP_ASK_WAITS);
+  expect_outcome (3, CSP_ASK_WAITS);
   csp_pump_dispatch (dispatch, 1600);
-  expect (3, CSP_ASK_PLACED);
-  expect (2, CSP_ASK_WAITS);
+  expect_outcome (3, CSP_ASK_PLACED);
+  expect_outcome (2, CSP_ASK_WAITS);
   csp_cancel_ask (dispatch, host, 3);
   csp_pump_dispatch (dispatch, 1700);
   ck_assert_uint_eq (csp_count_waiting_asks (dispatch), 0);
 }
 END_TEST
 
-/* The answer to an ask was lost: it comes again and is answered again.  */
-START_TEST (a_move_that_is_under_way_is_answered_again)
+/* The answer to an ask was lost: the ask is repeated and answered again.  */
+START_TEST (started_move_is_answered_again)
 {
-  list ("t", true);
+  list_target ("t", true);
   ask_to_move (1, "t", 3000, 0);
-  expect (1, CSP_ASK_PLACED);
+  expect_outcome (1, CSP_ASK_PLACED);
   answer_count = 0;
   ask_to_move (1, "t", 3000, 40);
-  expect (1, CSP_ASK_PLACED);
+  expect_outcome (1, CSP_ASK_PLACED);
 }
 END_TEST
 
-/* An engine that is not known here: the host moves the stream by itself.  */
-START_TEST (a_stream_of_an_unknown_target_is_refused)
+/* The engine isn't known here, so the ask is refused and its host moves the
+   stream by itself.  */
+START_TEST (move_from_unknown_target_is_refused)
 {
   csp_ask_t row = { .host = host, .id = 1, .tokens = RUN, .moves_from = 77 };
 
   csp_push_ask (dispatch, &row, "s", MEMORY, 0);
-  expect (1, CSP_ASK_REFUSED);
+  expect_outcome (1, CSP_ASK_REFUSED);
 }
 END_TEST
 
@@ -349,17 +354,17 @@
   TCase *tcase = tcase_create ("dispatch-move");
 
   tcase_add_checked_fixture (tcase, set_up, tear_down);
-  tcase_add_test (tcase, streams_leave_a_target_that_went_without_notice);
-  tcase_add_test (tcase, one_copy_at_a_time_leaves_a_target);
-  tcase_add_test (tcase, one_copy_at_a_time_comes_to_a_target);
-  tcase_add_test (tcase, room_is_kept_until_the_turn_comes);
-  tcase_add_test (tcase, a_stream_without_room_goes_before_new_requests);
-  tcase_add_test (tcase, a_target_that_refused_is_left_out);
-  tcase_add_test (tcase, room_at_a_target_that_leaves_is_found_elsewhere);
-  tcase_add_test (tcase, room_in_a_cordoned_data_centre_is_found_elsewhere);
-  tcase_add_test (tcase, streams_of_silent_hosts_are_dropped);
-  tcase_add_test (tcase, a_move_that_is_under_way_is_answered_again);
-  tcase_add_test (tcase, a_stream_of_an_unknown_target_is_refused);
+  tcase_add_test (tcase, streams_leave_target_unlisted_without_notice);
+  tcase_add_test (tcase, one_copy_at_a_time_from_a_target);
+  tcase_add_test (tcase, one_copy_at_a_time_to_a_target);
+  tcase_add_test (tcase, capacity_is_reserved_for_waiting_move);
+  tcase_add_test (tcase, waiting_move_goes_before_new_requests);
+  tcase_add_test (tcase, refusing_target_is_excluded);
+  tcase_add_test (tcase, move_gets_new_destination_when_target_leaves);
+  tcase_add_test (tcase, move_gets_new_destination_when_cordoned);
+  tcase_add_test (tcase, moves_of_silent_hosts_are_dropped);
+  tcase_add_test (tcase, started_move_is_answered_again);
+  tcase_add_test (tcase, move_from_unknown_target_is_refused);
   suite_add_tcase (suite, tcase);
   return run_suite (suite);
 }
--- a/tests/dispatch/dispatch-test.c
+++ b/tests/dispatch/dispatch-test.c
@@ -7,8 +7,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Two engines with memory for 10,000 tokens each, and asks of 4,000: four fit,
-   and the rest waits.  */
+/* Two engines with memory for 10,000 tokens each, and asks of 4,000 tokens:
+   four fit, the others wait.  */
 
 enum
 {
@@ -23,11 +23,11 @@
 static csp_ask_answer_t answers[ANSWERS_MAX];
 static size_t answer_count;
 
-static const csp_peer_address_t here = { 0, 0 };
-static const csp_peer_address_t there = { 9, 10 };
+static const csp_peer_address_t this_host = { 0, 0 };
+static const csp_peer_address_t other_host = { 9, 10 };
 
 static void
-take (void *state, const csp_ask_answer_t *answer)
+record_answer (void *state, const csp_ask_answer_t *answer)
 {
   (void)state;
   ck_assert_uint_lt (answer_count, ANSWERS_MAX);
@@ -35,7 +35,7 @@
 }
 
 static void
-list (const char *id, uint32_t slots)
+list_target (const char *id, uint32_t slots)
 {
   csp_fleet_row_t row = { .slots = slots };
 
@@ -49,10 +49,10 @@
 {
   answer_count = 0;
   fleet = csp_create_fleet (NULL, NULL, NULL);
-  dispatch = csp_create_dispatch (fleet, take, NULL, 3);
+  dispatch = csp_create_dispatch (fleet, record_answer, NULL, 3);
   ck_assert_ptr_nonnull (dispatch);
-  list ("t", 24);
-  list ("u", 24);
+  list_target ("t", 24);
+  list_target ("u", 24);
 }
 
 static void
@@ -63,8 +63,8 @@
 }
 
 static csp_ask_outcome_t
-ask (csp_peer_address_t host, uint64_t id, uint32_t organisation,
-     int64_t now_ms)
+push_ask (csp_peer_address_t host, uint64_t id, uint32_t organisation,
+          int64_t now_ms)
 {
   csp_ask_t row = { .host = host,
                     .id = id,
@@ -80,9 +80,9 @@
   return answers[answer_count - 1].outcome;
 }
 
-/* What the hosts tell of their runs: each engine holds so many.  */
+/* Reports the hosts' runs: this many at each engine.  */
 static void
-tell (uint32_t runs)
+report_runs (uint32_t runs)
 {
   const char *const ids[] = { "t", "u" };
   size_t i;
@@ -99,15 +99,15 @@
     }
 }
 
-/* Five hosts see the last free place in the same moment.  Were each to take
-   it, the engine would throw four runs out and read them again.  */
-START_TEST (a_place_is_given_once)
+/* Five hosts see the last free capacity at the same moment.  If each used it,
+   the engine would evict four runs and recompute them.  */
+START_TEST (capacity_is_placed_once)
 {
   int placed = 0;
   uint64_t id;
 
   for (id = 1; id <= 5; id++)
-    placed += ask (there, id, 1, 1000) == CSP_ASK_PLACED;
+    placed += push_ask (other_host, id, 1, 1000) == CSP_ASK_PLACED;
   ck_assert_int_eq (placed, 4);
   ck_assert_uint_eq (csp_count_waiting_asks (dispatch), 1);
   ck_assert_uint_eq (csp_find_fleet_target (fleet, "t")->reserved.requests, 2);
@@ -115,36 +115,36 @@
 END_TEST
 
 static csp_ask_outcome_t
-ask_without (uint64_t id, const char *left_out, int64_t now_ms)
+push_ask_excluding (uint64_t id, const char *excluded, int64_t now_ms)
 {
-  csp_ask_t row = { .host = there,
+  csp_ask_t row = { .host = other_host,
                     .id = id,
                     .organisation = 1,
                     .tokens = RUN,
                     .start_within_ms = PATIENCE_MS };
 
-  if (left_out != NULL)
+  if (excluded != NULL)
     row.backoffs[row.backoff_count++]
-        = csp_find_fleet_target (fleet, left_out)->hash;
+        = csp_find_fleet_target (fleet, excluded)->hash;
   csp_push_ask (dispatch, &row, "s", MEMORY, now_ms);
   return answers[answer_count - 1].outcome;
 }
 
-/* Guards against places at an engine that has asked the host for a wait, which
-   the host can't use.  */
-START_TEST (an_ask_gets_no_place_at_an_engine_that_it_leaves_out)
+/* Guards against placements on an engine that told the asking host to back
+   off, which that host can't use.  */
+START_TEST (ask_is_not_placed_on_backed_off_engine)
 {
   uint64_t id;
 
   for (id = 1; id <= 2; id++)
     {
-      ck_assert_int_eq (ask_without (id, "t", 1000), CSP_ASK_PLACED);
+      ck_assert_int_eq (push_ask_excluding (id, "t", 1000), CSP_ASK_PLACED);
       ck_assert_uint_eq (answers[answer_count - 1].target,
                          csp_find_fleet_target (fleet, "u")->hash);
     }
-  ck_assert_int_eq (ask_without (3, "t", 1000), CSP_ASK_WAITS);
-  /* Its wait is over.  */
-  ask_without (3, NULL, 1100);
+  ck_assert_int_eq (push_ask_excluding (3, "t", 1000), CSP_ASK_WAITS);
+  /* The backoff is over.  */
+  push_ask_excluding (3, NULL, 1100);
   csp_pump_dispatch (dispatch, 1110);
   ck_assert_int_eq (answers[answer_count - 1].outcome, CSP_ASK_PLACED);
   ck_assert_uint_eq (answers[answer_count - 1].target,
@@ -152,19 +152,19 @@
 }
 END_TEST
 
-/* The hosts' own words of the runs replace what was counted here; until a run
-   ends, nobody else gets its place.  */
-START_TEST (a_place_that_is_free_again_goes_to_who_waits)
+/* The hosts' own reports replace the reservations; until a run ends, no other
+   ask gets its capacity.  */
+START_TEST (freed_capacity_goes_to_waiting_ask)
 {
   uint64_t id;
 
   for (id = 1; id <= 5; id++)
-    ask (there, id, 1, 1000);
-  tell (2);
+    push_ask (other_host, id, 1, 1000);
+  report_runs (2);
   csp_pump_dispatch (dispatch, 1100);
   ck_assert_uint_eq (csp_find_fleet_target (fleet, "t")->reserved.requests, 0);
   ck_assert_uint_eq (csp_count_waiting_asks (dispatch), 1);
-  tell (1);
+  report_runs (1);
   answer_count = 0;
   csp_pump_dispatch (dispatch, 1200);
   ck_assert_uint_eq (answer_count, 1);
@@ -173,24 +173,24 @@
 }
 END_TEST
 
-/* One organisation sends a hundred requests before another sends one.  The one
-   doesn't wait behind the hundred.  */
-START_TEST (a_large_organisation_does_not_starve_a_small_one)
+/* One organisation sends a hundred requests before another sends one, which
+   must not wait behind the hundred.  */
+START_TEST (large_organisation_does_not_starve_small_one)
 {
   size_t before = 0;
   uint64_t id;
   int64_t now_ms;
 
-  tell (2);
+  report_runs (2);
   for (id = 1; id <= 100; id++)
-    ask (there, id, 1, 1000);
-  ask (here, 500, 2, 1001);
+    push_ask (other_host, id, 1, 1000);
+  push_ask (this_host, 500, 2, 1001);
   answer_count = 0;
   for (now_ms = 1100; now_ms < 1200; now_ms += 10)
     {
-      tell (1);
+      report_runs (1);
       csp_pump_dispatch (dispatch, now_ms);
-      tell (2);
+      report_runs (2);
       csp_pump_dispatch (dispatch, now_ms + 5);
     }
   while (before < answer_count && answers[before].id != 500)
@@ -201,42 +201,42 @@
 }
 END_TEST
 
-/* Datagrams get lost: an ask comes again, and so does its answer, and neither
-   takes a second place.  */
-START_TEST (an_ask_that_comes_again_is_answered_again)
+/* Datagrams get lost: a repeated ask is answered again, and no second
+   placement is counted.  */
+START_TEST (repeated_ask_is_answered_again)
 {
-  ck_assert_int_eq (ask (there, 1, 1, 1000), CSP_ASK_PLACED);
-  ck_assert_int_eq (ask (there, 1, 1, 1040), CSP_ASK_PLACED);
+  ck_assert_int_eq (push_ask (other_host, 1, 1, 1000), CSP_ASK_PLACED);
+  ck_assert_int_eq (push_ask (other_host, 1, 1, 1040), CSP_ASK_PLACED);
   ck_assert_uint_eq (answers[0].target, answers[1].target);
-  tell (2);
-  ck_assert_int_eq (ask (there, 2, 1, 1100), CSP_ASK_WAITS);
-  ck_assert_int_eq (ask (there, 2, 1, 1140), CSP_ASK_WAITS);
+  report_runs (2);
+  ck_assert_int_eq (push_ask (other_host, 2, 1, 1100), CSP_ASK_WAITS);
+  ck_assert_int_eq (push_ask (other_host, 2, 1, 1140), CSP_ASK_WAITS);
   ck_assert_uint_eq (csp_count_waiting_asks (dispatch), 1);
-  /* The same number of another host is another ask.  */
-  ck_assert_int_eq (ask (here, 2, 1, 1150), CSP_ASK_WAITS);
+  /* The same id from another host is another ask.  */
+  ck_assert_int_eq (push_ask (this_host, 2, 1, 1150), CSP_ASK_WAITS);
   ck_assert_uint_eq (csp_count_waiting_asks (dispatch), 2);
 }
 END_TEST
 
-START_TEST (an_ask_that_is_over_waits_no_longer)
+START_TEST (cancelled_ask_stops_waiting)
 {
-  tell (2);
-  ask (there, 1, 1, 1000);
-  csp_cancel_ask (dispatch, there, 7);
+  report_runs (2);
+  push_ask (other_host, 1, 1, 1000);
+  csp_cancel_ask (dispatch, other_host, 7);
   ck_assert_uint_eq (csp_count_waiting_asks (dispatch), 1);
-  csp_cancel_ask (dispatch, there, 1);
+  csp_cancel_ask (dispatch, other_host, 1);
   ck_assert_uint_eq (csp_count_waiting_asks (dispatch), 0);
 }
 END_TEST
 
-/* No place comes free in time.  The caller hears it then, with a time to come
-   back, and not when its own patience ends.  */
-START_TEST (an_ask_that_waits_in_vain_is_refused_in_time)
+/* No capacity gets free in time.  The ask must be refused, with a time after
+   which to retry, before the caller's own limit ends.  */
+START_TEST (unplaced_ask_is_refused_in_time)
 {
   int64_t now_ms;
 
-  tell (2);
-  ck_assert_int_eq (ask (there, 1, 1, 1000), CSP_ASK_WAITS);
+  report_runs (2);
+  ck_assert_int_eq (push_ask (other_host, 1, 1, 1000), CSP_ASK_WAITS);
   answer_count = 0;
   for (now_ms = 1000; now_ms <= 1000 + PATIENCE_MS && answer_count == 0;
        now_ms += 100)
@@ -247,11 +247,11 @@
 }
 END_TEST
 
-/* Half more is asked for than the engines can hold, for a minute: four places,
-   each taken for two seconds, and three asks a second.  Places don't stand
-   empty, and most of those who get none hear it at once and not when their
-   first token would be late.  */
-START_TEST (in_overload_most_hear_at_once)
+/* For a minute, requests need half more than the engines can hold: four
+   places, each taken for two seconds, and three asks a second.  No place may
+   stay unused, and most of the asks that get none must be refused on arrival
+   and not when their first token would be late.  */
+START_TEST (overload_refuses_most_on_arrival)
 {
   enum
   {
@@ -265,8 +265,8 @@
   int64_t ends_ms[PLACES] = { 0 };
   uint64_t id = 0;
   int placed = 0;
-  int at_once = 0;
-  int in_vain = 0;
+  int refused_at_once = 0;
+  int refused_late = 0;
   int64_t now_ms;
 
   for (now_ms = 0; now_ms < PLAYED_MS; now_ms += STEP_MS)
@@ -286,10 +286,11 @@
           }
       answer_count = 0;
       csp_pump_dispatch (dispatch, now_ms);
-      in_vain += answer_count > 0 && answers[0].outcome == CSP_ASK_REFUSED;
+      refused_late
+          += answer_count > 0 && answers[0].outcome == CSP_ASK_REFUSED;
       if (now_ms % ASK_EVERY_MS < STEP_MS)
         {
-          csp_ask_t row = { .host = there,
+          csp_ask_t row = { .host = other_host,
                             .id = ++id,
                             .organisation = 1,
                             .prompt_tokens = RUN / 2,
@@ -297,7 +298,8 @@
                             .start_within_ms = ASK_PATIENCE_MS };
 
           csp_push_ask (dispatch, &row, "s", MEMORY, now_ms);
-          at_once += answers[answer_count - 1].outcome == CSP_ASK_REFUSED;
+          refused_at_once
+              += answers[answer_count - 1].outcome == CSP_ASK_REFUSED;
         }
       for (i = 0; i < answer_count; i++)
         if (answers[i].outcome == CSP_ASK_PLACED)
@@ -310,30 +312,30 @@
             placed++;
           }
     }
-  /* 120 places could be given in a minute.  */
+  /* At most 120 placements fit into a minute.  */
   ck_assert_int_ge (placed, 105);
-  ck_assert_int_gt (at_once, in_vain);
+  ck_assert_int_gt (refused_at_once, refused_late);
 }
 END_TEST
 
-/* An engine with memory left runs no more requests at once than it has
+/* An engine with free memory still runs no more requests at once than it has
    slots.  */
-START_TEST (slots_are_places_too)
+START_TEST (slots_limit_placements)
 {
-  list ("t", 1);
-  list ("u", 1);
-  ck_assert_int_eq (ask (there, 1, 1, 1000), CSP_ASK_PLACED);
-  ck_assert_int_eq (ask (there, 2, 1, 1000), CSP_ASK_PLACED);
-  ck_assert_int_eq (ask (there, 3, 1, 1000), CSP_ASK_WAITS);
+  list_target ("t", 1);
+  list_target ("u", 1);
+  ck_assert_int_eq (push_ask (other_host, 1, 1, 1000), CSP_ASK_PLACED);
+  ck_assert_int_eq (push_ask (other_host, 2, 1, 1000), CSP_ASK_PLACED);
+  ck_assert_int_eq (push_ask (other_host, 3, 1, 1000), CSP_ASK_WAITS);
 }
 END_TEST
 
-/* An engine has just come and is empty, while all others are full: what waits
-   would all be placed there at once.  It reads all prompts at the same time,
-   so that each gets its first token when all are read, and all are late.  */
-START_TEST (a_new_engine_is_not_given_more_prompts_than_it_reads_in_time)
+/* A new engine is empty while all others are full, so everything that waits
+   would be placed there at once.  It processes all prompts together, so that
+   all first tokens would be late.  */
+START_TEST (new_engine_gets_limited_prompt_tokens)
 {
-  csp_ask_t row = { .host = there,
+  csp_ask_t row = { .host = other_host,
                     .organisation = 1,
                     .prompt_tokens = 2000,
                     .tokens = 2100,
@@ -351,7 +353,7 @@
       placed += answers[answer_count - 1].outcome == CSP_ASK_PLACED;
     }
   ck_assert_int_eq (placed, 2);
-  /* Their hosts tell of them, and one prompt has been read.  */
+  /* Their hosts have reported them, and one prompt has been processed.  */
   csp_count_other_load (fleet, &load);
   csp_pump_dispatch (dispatch, 1100);
   ck_assert_uint_eq (csp_count_waiting_asks (dispatch), 1);
@@ -363,10 +365,10 @@
 }
 END_TEST
 
-/* A data centre has come back: one empty engine that is cold beside a full
-   one, and twenty short requests that waited.  Its slots and memory take them
-   all at once, it stands two a second, and it crashes.  */
-START_TEST (a_cold_engine_gets_no_more_than_it_stands)
+/* A data centre has come back: one cold, empty engine beside a full one, and
+   twenty short requests that waited.  By slots and memory it could take them
+   all at once, but it withstands only two a second and would crash.  */
+START_TEST (cold_engine_gets_limited_rate)
 {
   enum
   {
@@ -380,7 +382,7 @@
                                               .data_centres_listed = 1 } };
   csp_fleet_row_t cold
       = { .id = "v", .service = "s", .slots = 24, .warming_up_ms = 5000 };
-  csp_ask_t row = { .host = there,
+  csp_ask_t row = { .host = other_host,
                     .organisation = 1,
                     .tokens = 10,
                     .start_within_ms = PATIENCE_MS };
@@ -397,16 +399,16 @@
       placed += answers[answer_count - 1].outcome == CSP_ASK_PLACED;
     }
   ck_assert_int_eq (placed, BOUND / 2);
-  /* Warm, it takes what is left.  */
+  /* Once warm, it takes the remaining asks.  */
   csp_pump_dispatch (dispatch, 15000);
   ck_assert_uint_eq (csp_count_waiting_asks (dispatch), 0);
 }
 END_TEST
 
-/* One prompt alone is placed, however long it is.  */
-START_TEST (a_long_prompt_finds_an_engine_that_reads_nothing)
+/* A single prompt is placed, however long it is.  */
+START_TEST (long_prompt_is_placed_on_idle_engine)
 {
-  csp_ask_t row = { .host = there,
+  csp_ask_t row = { .host = other_host,
                     .id = 1,
                     .organisation = 1,
                     .prompt_tokens = 9000,
@@ -425,19 +427,18 @@
   TCase *tcase = tcase_create ("dispatch");
 
   tcase_add_checked_fixture (tcase, set_up, tear_down);
-  tcase_add_test (tcase, a_place_is_given_once);
-  tcase_add_test (tcase, a_place_that_is_free_again_goes_to_who_waits);
-  tcase_add_test (tcase, an_ask_gets_no_place_at_an_engine_that_it_leaves_out);
-  tcase_add_test (tcase, a_large_organisation_does_not_starve_a_small_one);
-  tcase_add_test (tcase, an_ask_that_comes_again_is_answered_again);
-  tcase_add_test (tcase, an_ask_that_is_over_waits_no_longer);
-  tcase_add_test (tcase, an_ask_that_waits_in_vain_is_refused_in_time);
-  tcase_add_test (tcase, in_overload_most_hear_at_once);
-  tcase_add_test (tcase, slots_are_places_too);
-  tcase_add_test (
-      tcase, a_new_engine_is_not_given_more_prompts_than_it_reads_in_time);
-  tcase_add_test (tcase, a_cold_engine_gets_no_more_than_it_stands);
-  tcase_add_test (tcase, a_long_prompt_finds_an_engine_that_reads_nothing);
+  tcase_add_test (tcase, capacity_is_placed_once);
+  tcase_add_test (tcase, freed_capacity_goes_to_waiting_ask);
+  tcase_add_test (tcase, ask_is_not_placed_on_backed_off_engine);
+  tcase_add_test (tcase, large_organisation_does_not_starve_small_one);
+  tcase_add_test (tcase, repeated_ask_is_answered_again);
+  tcase_add_test (tcase, cancelled_ask_stops_waiting);
+  tcase_add_test (tcase, unplaced_ask_is_refused_in_time);
+  tcase_add_test (tcase, overload_refuses_most_on_arrival);
+  tcase_add_test (tcase, slots_limit_placements);
+  tcase_add_test (tcase, new_engine_gets_limited_prompt_tokens);
+  tcase_add_test (tcase, cold_engine_gets_limited_rate);
+  tcase_add_test (tcase, long_prompt_is_placed_on_idle_engine);
   suite_add_tcase (suite, tcase);
   return run_suite (suite);
 }
