--- a/source/link/link.c
+++ b/source/link/link.c
@@ -23,25 +23,26 @@
   void *events_state;
   csp_link_lost_t lost;
   void *lost_state;
-  csp_buffer_t unsent; /* what waits for the connection */
+  csp_buffer_t unsent; /* written before the connection */
   bool sent;
-  bool request_whole;
-  bool answer_whole;
+  bool request_complete;
+  bool answer_complete;
   bool headless;
-  bool stray_bytes;
+  bool unexpected_bytes;
   bool reading;
   uint32_t usable_ms;
 };
 
 enum
 {
-  /* Kept links whose server names no time; the common default of servers is
-     5 s, and a request that meets the close has to count as run.  */
-  KEEP_DEFAULT_MS = 4000,
+  /* Keep-alive time of a server that states none.  The common default of
+     servers is 5 s; a request that is sent while the server closes must count
+     as possibly run, so links are given up earlier.  */
+  DEFAULT_KEEP_ALIVE_MS = 4000,
   MS_PER_S = 1000
 };
 
-/* Answers are bounded by whoever takes them; heads are bounded here.  */
+/* Bodies are limited by the owner of the request; heads are limited here.  */
 static const csp_http_limits_t answer_limits
     = { .head_max_bytes = 65536, .body_max_bytes = UINT64_MAX };
 
@@ -69,9 +70,10 @@
   uv_close ((uv_handle_t *)&link->timer, free_closed);
 }
 
-/* Tell the owner, or whoever parked the link, that it is of no use.  */
+/* Reports to the owner, or to the owner of the idle link, that the link can't
+   be used any more.  */
 static void
-fail (csp_link_t *link, csp_link_failure_t why)
+fail_link (csp_link_t *link, csp_link_failure_t failure)
 {
   const csp_link_events_t *events = link->events;
   csp_link_lost_t lost = link->lost;
@@ -79,9 +81,9 @@
   link->events = NULL;
   link->lost = NULL;
   link->usable_ms = 0;
-  link->stray_bytes = true;
+  link->unexpected_bytes = true;
   if (events != NULL)
-    events->failed (link->events_state, why);
+    events->failed (link->events_state, failure);
   else if (lost != NULL)
     {
       lost (link->lost_state, link);
@@ -89,10 +91,10 @@
     }
 }
 
-/* How long the server says it keeps the connection, from "timeout=5" in
-   Keep-Alive.  */
+/* How long the server keeps the connection, from "timeout=5" in Keep-Alive; 0
+   when it doesn't.  */
 static uint32_t
-kept_ms (const csp_http_head_t *head)
+read_keep_alive_ms (const csp_http_head_t *head)
 {
   const char *value = csp_find_http_field (head, "Keep-Alive");
   const char *timeout = value == NULL ? NULL : strstr (value, "timeout=");
@@ -100,23 +102,23 @@
   if (!head->keep_alive)
     return 0;
   if (timeout == NULL)
-    return KEEP_DEFAULT_MS;
+    return DEFAULT_KEEP_ALIVE_MS;
   return (uint32_t)strtoul (timeout + strlen ("timeout="), NULL, 10)
          * MS_PER_S;
 }
 
 static void
-end_answer (csp_link_t *link, bool stray_bytes)
+end_answer (csp_link_t *link, bool unexpected_bytes)
 {
   const csp_link_events_t *events = link->events;
   const csp_http_head_t *head = csp_http_head (link->reader);
 
-  link->answer_whole = true;
-  link->stray_bytes = stray_bytes;
+  link->answer_complete = true;
+  link->unexpected_bytes = unexpected_bytes;
   link->usable_ms = 0;
-  if (link->request_whole && !stray_bytes
+  if (link->request_complete && !unexpected_bytes
       && head->framing != CSP_BODY_UNTIL_CLOSE)
-    link->usable_ms = kept_ms (head);
+    link->usable_ms = read_keep_alive_ms (head);
   link->events = NULL;
   if (events != NULL)
     events->ended (link->events_state);
@@ -127,7 +129,7 @@
   STATUS_FINAL = 200
 };
 
-/* Feed what arrived; the owner may close the link within any callback.  */
+/* Parses received bytes; the owner may close the link within any callback.  */
 static void
 read_answer (csp_link_t *link, const char *data, size_t size_bytes)
 {
@@ -160,18 +162,18 @@
           end_answer (link, size_bytes > 0);
           return;
         case CSP_HTTP_FAULT:
-          fail (link, CSP_LINK_MALFORMED);
+          fail_link (link, CSP_LINK_MALFORMED);
           return;
         }
     }
 }
 
-/* Whether the server closed in order.  The event loop reports the end of the
-   stream also where a reset came right behind the last bytes, and an answer
-   without a length would then look whole though it was cut; the socket itself
-   still knows.  */
+/* Whether the server closed the connection orderly.  libuv reports the end of
+   the stream also when a reset followed directly after the last bytes, and a
+   truncated answer without a length would look complete.  The socket itself
+   still tells the two apart.  */
 static bool
-closed_in_order (csp_link_t *link)
+is_orderly_close (csp_link_t *link)
 {
   uv_os_fd_t descriptor;
   char byte;
@@ -182,28 +184,28 @@
 }
 
 static void
-on_read (uv_stream_t *stream, ssize_t size_bytes, const uv_buf_t *room)
+on_read (uv_stream_t *stream, ssize_t size_bytes, const uv_buf_t *buffer)
 {
   csp_link_t *link = stream->data;
-  bool in_order;
+  bool orderly;
 
   if (size_bytes == 0 || link->state != LINK_OPEN)
     return;
   if (size_bytes > 0)
     {
       if (link->events != NULL)
-        read_answer (link, room->base, (size_t)size_bytes);
+        read_answer (link, buffer->base, (size_t)size_bytes);
       else
-        fail (link, CSP_LINK_MALFORMED);
+        fail_link (link, CSP_LINK_MALFORMED);
       return;
     }
   uv_read_stop (stream);
   link->reading = false;
-  in_order = size_bytes == UV_EOF && closed_in_order (link);
-  if (link->events != NULL && in_order && csp_close_http (link->reader))
+  orderly = size_bytes == UV_EOF && is_orderly_close (link);
+  if (link->events != NULL && orderly && csp_close_http (link->reader))
     end_answer (link, true);
   else
-    fail (link, in_order ? CSP_LINK_CLOSED : CSP_LINK_RESET);
+    fail_link (link, orderly ? CSP_LINK_CLOSED : CSP_LINK_RESET);
 }
 
 static void
@@ -213,8 +215,8 @@
 
   if (link->state != LINK_OPEN || link->events == NULL)
     return;
-  /* A broken write is told by the read side too, which may still hold an
-     early answer; only the backlog is of interest here.  */
+  /* The read side reports a broken connection too and may still have an early
+     answer, so a failed write is ignored here.  */
   if (status == 0 && link->events->drained != NULL)
     link->events->drained (link->events_state);
 }
@@ -230,7 +232,7 @@
   uv_timer_stop (&link->timer);
   if (status < 0)
     {
-      fail (link, CSP_LINK_UNREACHABLE);
+      fail_link (link, CSP_LINK_UNREACHABLE);
       return;
     }
   link->state = LINK_OPEN;
@@ -251,7 +253,7 @@
   csp_link_t *link = timer->data;
 
   if (link->state == LINK_CONNECTING)
-    fail (link, CSP_LINK_UNREACHABLE);
+    fail_link (link, CSP_LINK_UNREACHABLE);
 }
 
 csp_link_t *
@@ -294,8 +296,8 @@
   link->events_state = state;
   link->lost = NULL;
   link->sent = false;
-  link->request_whole = false;
-  link->answer_whole = false;
+  link->request_complete = false;
+  link->answer_complete = false;
   link->headless = headless;
   csp_next_http_message (link->reader, answer_limits, headless);
 }
@@ -315,7 +317,7 @@
 void
 csp_finish_link_request (csp_link_t *link)
 {
-  link->request_whole = true;
+  link->request_complete = true;
 }
 
 size_t
@@ -345,7 +347,8 @@
 uint32_t
 csp_link_usable_ms (const csp_link_t *link)
 {
-  return link->state == LINK_OPEN && link->answer_whole && !link->stray_bytes
+  return link->state == LINK_OPEN && link->answer_complete
+                 && !link->unexpected_bytes
              ? link->usable_ms
              : 0;
 }
--- a/source/link/stream-write.c
+++ b/source/link/stream-write.c
@@ -5,25 +5,25 @@
 
 enum
 {
-  READ_ROOM_BYTES = 65536
+  READ_BUFFER_BYTES = 65536
 };
 
-/* A queued rest of a write, with its own copy of the bytes.  */
+/* The queued rest of a write, with its own copy of the bytes.  */
 typedef struct
 {
   uv_write_t request;
   uv_write_cb written;
   char data[];
-} write_rest_t;
+} pending_write_t;
 
 static void
 finish_write (uv_write_t *request, int status)
 {
-  write_rest_t *rest = (write_rest_t *)request;
+  pending_write_t *pending = (pending_write_t *)request;
 
-  if (rest->written != NULL)
-    rest->written (request, status);
-  free (rest);
+  if (pending->written != NULL)
+    pending->written (request, status);
+  free (pending);
 }
 
 bool
@@ -31,40 +31,40 @@
                   uv_write_cb written, void *state)
 {
   uv_buf_t buffer = uv_buf_init ((char *)data, (unsigned)size_bytes);
-  write_rest_t *rest;
-  int done = 0;
+  pending_write_t *pending;
+  int written_bytes = 0;
 
   if (stream->write_queue_size == 0)
     {
-      done = uv_try_write (stream, &buffer, 1);
-      if (done < 0 && done != UV_EAGAIN)
+      written_bytes = uv_try_write (stream, &buffer, 1);
+      if (written_bytes < 0 && written_bytes != UV_EAGAIN)
         return false;
-      if (done < 0)
-        done = 0;
+      if (written_bytes < 0)
+        written_bytes = 0;
     }
-  if ((size_t)done == size_bytes)
+  if ((size_t)written_bytes == size_bytes)
     return true;
-  size_bytes -= (size_t)done;
-  rest = malloc (sizeof *rest + size_bytes);
-  if (rest == NULL)
+  size_bytes -= (size_t)written_bytes;
+  pending = malloc (sizeof *pending + size_bytes);
+  if (pending == NULL)
     return false;
-  memcpy (rest->data, (const char *)data + done, size_bytes);
-  rest->written = written;
-  rest->request.data = state;
-  buffer = uv_buf_init (rest->data, (unsigned)size_bytes);
-  if (uv_write (&rest->request, stream, &buffer, 1, finish_write) == 0)
+  memcpy (pending->data, (const char *)data + written_bytes, size_bytes);
+  pending->written = written;
+  pending->request.data = state;
+  buffer = uv_buf_init (pending->data, (unsigned)size_bytes);
+  if (uv_write (&pending->request, stream, &buffer, 1, finish_write) == 0)
     return true;
-  free (rest);
+  free (pending);
   return false;
 }
 
 void
 csp_share_read_room (uv_handle_t *handle, size_t suggested_bytes,
-                     uv_buf_t *room)
+                     uv_buf_t *read_buffer)
 {
-  static __thread char bytes[READ_ROOM_BYTES];
+  static __thread char bytes[READ_BUFFER_BYTES];
 
   (void)handle;
   (void)suggested_bytes;
-  *room = uv_buf_init (bytes, sizeof bytes);
+  *read_buffer = uv_buf_init (bytes, sizeof bytes);
 }
--- a/tests/link/link-test.c
+++ b/tests/link/link-test.c
@@ -9,8 +9,9 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* A link on an event loop that the test turns by hand: the server acts while
-   the loop stands still, so what it did is seen all at once.  */
+/* A link on an event loop that the test runs step by step.  The server acts
+   while the loop doesn't run, so that the link sees everything it did at
+   once.  */
 
 static uv_loop_t loop;
 static int listener;
@@ -21,40 +22,40 @@
   int answered;
   int ended;
   int failed;
-  csp_link_failure_t why;
+  csp_link_failure_t failure;
   char body[64];
   size_t body_bytes;
-} seen_t;
+} observed_t;
 
 static void
 on_answered (void *state, const csp_http_head_t *head)
 {
   (void)head;
-  ((seen_t *)state)->answered++;
+  ((observed_t *)state)->answered++;
 }
 
 static void
 on_body (void *state, const char *piece, size_t piece_bytes)
 {
-  seen_t *seen = state;
+  observed_t *observed = state;
 
-  memcpy (seen->body + seen->body_bytes, piece, piece_bytes);
-  seen->body_bytes += piece_bytes;
+  memcpy (observed->body + observed->body_bytes, piece, piece_bytes);
+  observed->body_bytes += piece_bytes;
 }
 
 static void
 on_ended (void *state)
 {
-  ((seen_t *)state)->ended++;
+  ((observed_t *)state)->ended++;
 }
 
 static void
-on_failed (void *state, csp_link_failure_t why)
+on_failed (void *state, csp_link_failure_t failure)
 {
-  seen_t *seen = state;
+  observed_t *observed = state;
 
-  seen->failed++;
-  seen->why = why;
+  observed->failed++;
+  observed->failure = failure;
 }
 
 static const csp_link_events_t events = { .answered = on_answered,
@@ -62,18 +63,18 @@
                                           .ended = on_ended,
                                           .failed = on_failed };
 
-/* Turn the loop until something is seen; the test's own limit ends a wait
-   that is in vain.  */
+/* Runs the loop until the count is above 0; the test's time limit ends a wait
+   in vain.  */
 static void
-turn_until (const int *count)
+run_loop_until (const int *count)
 {
   while (*count == 0)
     uv_run (&loop, UV_RUN_ONCE);
 }
 
-/* Open the link and send a request; returns the server's connection.  */
+/* Opens the link and sends a request; returns the server's socket.  */
 static int
-start (seen_t *seen)
+start_request (observed_t *observed)
 {
   struct sockaddr_in address = { .sin_family = AF_INET };
   socklen_t size_bytes = sizeof address;
@@ -89,7 +90,7 @@
   getsockname (listener, (struct sockaddr *)&address, &size_bytes);
   client = csp_open_link (&loop, &address, 5000);
   ck_assert_ptr_nonnull (client);
-  csp_start_link_request (client, &events, seen, false);
+  csp_start_link_request (client, &events, observed, false);
   ck_assert (!csp_link_sent (client));
   csp_write_link (client, "GET / HTTP/1.1\r\n\r\n", 18);
   csp_finish_link_request (client);
@@ -101,7 +102,7 @@
 }
 
 static void
-finish (int server)
+close_all (int server)
 {
   csp_close_link (client);
   uv_run (&loop, UV_RUN_DEFAULT);
@@ -113,45 +114,45 @@
 #define UNFRAMED "HTTP/1.1 200 OK\r\n\r\nhalf"
 
 /* A server crashes in the middle of an answer that ends with its connection.
-   The event loop reports the end of the stream where the reset came right
-   behind the bytes, and half an answer would pass for a whole one.  */
-START_TEST (a_reset_right_behind_the_bytes_is_no_end)
+   libuv reports the end of the stream when the reset came directly after the
+   bytes, and a truncated answer would count as complete.  */
+START_TEST (reset_after_bytes_is_a_failure)
 {
   struct linger hard = { .l_onoff = 1, .l_linger = 0 };
-  seen_t seen = { 0 };
-  int server = start (&seen);
+  observed_t observed = { 0 };
+  int server = start_request (&observed);
 
   send (server, UNFRAMED, strlen (UNFRAMED), 0);
   setsockopt (server, SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
   close (server);
-  turn_until (&seen.failed);
-  ck_assert_int_eq (seen.ended, 0);
-  ck_assert_int_eq (seen.why, CSP_LINK_RESET);
-  finish (-1);
+  run_loop_until (&observed.failed);
+  ck_assert_int_eq (observed.ended, 0);
+  ck_assert_int_eq (observed.failure, CSP_LINK_RESET);
+  close_all (-1);
 }
 END_TEST
 
-START_TEST (an_orderly_close_ends_an_answer_without_length)
+START_TEST (orderly_close_ends_answer_without_length)
 {
-  seen_t seen = { 0 };
-  int server = start (&seen);
+  observed_t observed = { 0 };
+  int server = start_request (&observed);
 
   send (server, UNFRAMED, strlen (UNFRAMED), 0);
   close (server);
-  turn_until (&seen.ended);
-  ck_assert_int_eq (seen.failed, 0);
-  ck_assert_uint_eq (seen.body_bytes, 4);
+  run_loop_until (&observed.ended);
+  ck_assert_int_eq (observed.failed, 0);
+  ck_assert_uint_eq (observed.body_bytes, 4);
   ck_assert_uint_eq (csp_link_usable_ms (client), 0);
-  finish (-1);
+  close_all (-1);
 }
 END_TEST
 
-/* Which connections may carry another request.  */
+/* Which connections may be reused, and for how long.  */
 static const struct
 {
   const char *answer;
   uint32_t usable_ms;
-} kept[] = {
+} reuse_rows[] = {
   { "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", 4000 },
   { "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=7\r\nContent-Length: 2\r\n\r\nok",
     7000 },
@@ -163,16 +164,16 @@
     4000 },
 };
 
-START_TEST (a_link_is_kept_without_any_doubt)
+START_TEST (link_is_reused_only_after_complete_exchange)
 {
-  seen_t seen = { 0 };
-  int server = start (&seen);
-
-  send (server, kept[_i].answer, strlen (kept[_i].answer), 0);
-  turn_until (&seen.ended);
-  ck_assert_int_eq (seen.answered, 1);
-  ck_assert_uint_eq (csp_link_usable_ms (client), kept[_i].usable_ms);
-  finish (server);
+  observed_t observed = { 0 };
+  int server = start_request (&observed);
+
+  send (server, reuse_rows[_i].answer, strlen (reuse_rows[_i].answer), 0);
+  run_loop_until (&observed.ended);
+  ck_assert_int_eq (observed.answered, 1);
+  ck_assert_uint_eq (csp_link_usable_ms (client), reuse_rows[_i].usable_ms);
+  close_all (server);
 }
 END_TEST
 
@@ -183,18 +184,19 @@
   ++*(int *)state;
 }
 
-/* Bytes on an idle connection belong to no request.  */
-START_TEST (an_idle_link_that_speaks_is_lost)
+/* Bytes on an idle connection belong to no request, so the link must be
+   dropped.  */
+START_TEST (idle_link_with_unexpected_bytes_is_lost)
 {
-  seen_t seen = { 0 };
-  int server = start (&seen);
+  observed_t observed = { 0 };
+  int server = start_request (&observed);
   int lost = 0;
 
-  send (server, kept[0].answer, strlen (kept[0].answer), 0);
-  turn_until (&seen.ended);
+  send (server, reuse_rows[0].answer, strlen (reuse_rows[0].answer), 0);
+  run_loop_until (&observed.ended);
   csp_park_link (client, on_lost, &lost);
   send (server, "x", 1, 0);
-  turn_until (&lost);
+  run_loop_until (&lost);
   uv_run (&loop, UV_RUN_DEFAULT);
   ck_assert_int_eq (uv_loop_close (&loop), 0);
   close (server);
@@ -209,11 +211,11 @@
   TCase *tcase = tcase_create ("link");
 
   tcase_set_timeout (tcase, 30);
-  tcase_add_test (tcase, a_reset_right_behind_the_bytes_is_no_end);
-  tcase_add_test (tcase, an_orderly_close_ends_an_answer_without_length);
-  tcase_add_loop_test (tcase, a_link_is_kept_without_any_doubt, 0,
-                       sizeof kept / sizeof kept[0]);
-  tcase_add_test (tcase, an_idle_link_that_speaks_is_lost);
+  tcase_add_test (tcase, reset_after_bytes_is_a_failure);
+  tcase_add_test (tcase, orderly_close_ends_answer_without_length);
+  tcase_add_loop_test (tcase, link_is_reused_only_after_complete_exchange, 0,
+                       sizeof reuse_rows / sizeof reuse_rows[0]);
+  tcase_add_test (tcase, idle_link_with_unexpected_bytes_is_lost);
   suite_add_tcase (suite, tcase);
   return run_suite (suite);
 }
