--- a/include/cowslipspoke/engine.h
+++ b/include/cowslipspoke/engine.h
@@ -9,18 +9,18 @@
 #include "cowslipspoke/names.h"
 #include "cowslipspoke/recovery.h"
 
-/* Calls to one target over HTTP, as docs/ENGINE.md states them.  Every call
-   opens a connection of its own: a library that keeps connections sends a
-   request a second time by itself when a kept one turns out to be dead, and
-   a call that must run once would run twice.  */
+/* HTTP calls to a target, as docs/ENGINE.md defines them.  Every call opens
+   its own connection: a library that reuses connections repeats a request by
+   itself when a reused connection turns out to be dead, and a call that must
+   run once would run twice.  */
 
 enum
 {
   CSP_ENGINE_MESSAGE_BYTES = 160
 };
 
-/* Where a target listens; ca_file names the certificates that it is checked
-   against and is NULL for plain HTTP.  */
+/* Where a target listens.  ca_file has the certificates that verify the
+   target; NULL for plain HTTP.  */
 typedef struct
 {
   char address[CSP_ADDRESS_BYTES];
@@ -28,20 +28,21 @@
   const char *ca_file;
 } csp_endpoint_t;
 
-/* Takes a token that is to be delivered; chunk_json is the event as it came.
-   Non-zero when the caller is gone.  */
+/* Delivers a token to the caller; chunk_json is the event as it was received.
+   Returns non-zero when the caller has gone.  */
 typedef int (*csp_take_delivery_t) (void *state, const csp_token_t *token,
                                     const char *chunk_json);
 
-/* Asked a few times a second while a link is open; an answer other than
-   CSP_LINK_COMPLETE ends the link with it.  */
+/* Called a few times a second while a link is open; a result other than
+   CSP_LINK_COMPLETE ends the link with that result.  */
 typedef csp_link_end_t (*csp_check_link_t) (void *state);
 
-/* Asked when a connection stands and no byte of the request has left; false
-   ends the link as CSP_LINK_NO_CONNECT.  */
+/* Called when the connection is established and before any byte of the request
+   is sent; false ends the link as CSP_LINK_NO_CONNECT.  */
 typedef bool (*csp_may_send_t) (void *state);
 
-/* One link to an engine: a start, or a resume when resume is true.  */
+/* A link to an engine is one HTTP call that starts a generation or, when
+   resume is true, resumes it.  */
 typedef struct
 {
   csp_endpoint_t endpoint;
@@ -60,21 +61,22 @@
   void *state;
 } csp_link_t;
 
-/* What a link left behind besides its end.  */
+/* Details of a link that ended.  */
 typedef struct
 {
-  bool byte_left;     /* a byte that could start work may have left */
-  uint16_t status;    /* of HTTP; 0 when none arrived */
-  uint64_t delivered; /* tokens on this link */
-  char message[CSP_ENGINE_MESSAGE_BYTES]; /* the target's own words */
+  bool byte_left;     /* a byte that could start work may have been sent */
+  uint16_t status;    /* HTTP status; 0 when none was received */
+  uint64_t delivered; /* tokens delivered on this link */
+  char message[CSP_ENGINE_MESSAGE_BYTES]; /* the target's error message */
 } csp_link_report_t;
 
-/* Run one link to its end.  Blocks; for a traffic thread.  */
+/* Runs one link until it ends.  Blocks; to be called on a traffic thread.  */
 csp_link_end_t csp_run_link (const csp_link_t *link,
                              csp_generation_t *generation,
                              csp_link_report_t *report);
 
-/* Tell an engine to stop a generation.  0 when it answered.  */
+/* Tells an engine to stop a generation.  Returns 0 when the engine
+   answered.  */
 int csp_cancel_generation (const csp_endpoint_t *endpoint,
                            const char *generation_id, uint32_t timeout_ms);
 
--- a/include/cowslipspoke/service-call.h
+++ b/include/cowslipspoke/service-call.h
@@ -3,12 +3,12 @@
 
 #include "cowslipspoke/engine.h"
 
-/* One call of a plain service.  */
+/* One HTTP call of a plain service.  */
 typedef struct
 {
   csp_endpoint_t endpoint;
   const char *method;
-  const char *path; /* with the query */
+  const char *path; /* including the query */
   const char *content_type;
   const char *body;
   size_t body_bytes;
@@ -25,7 +25,7 @@
   CSP_CONTENT_TYPE_BYTES = 128
 };
 
-/* What the service answered; body is freed by the caller.  */
+/* The service's answer; the caller of this interface frees body.  */
 typedef struct
 {
   uint16_t status;
@@ -35,8 +35,8 @@
   bool byte_left;
 } csp_service_answer_t;
 
-/* Make the call.  CSP_LINK_COMPLETE with any answer that the service gave,
-   errors of its own included.  Blocks; for a traffic thread.  */
+/* Makes the call.  Returns CSP_LINK_COMPLETE for any answer of the service,
+   also for its own errors.  Blocks; to be called on a traffic thread.  */
 csp_link_end_t csp_run_service_link (const csp_service_link_t *link,
                                      csp_service_answer_t *answer);
 
--- a/source/target/engine.c
+++ b/source/target/engine.c
@@ -20,7 +20,7 @@
   HTTP_UNPROCESSABLE = 422
 };
 
-/* One transfer on its way.  */
+/* The state of one HTTP transfer.  */
 typedef struct
 {
   const csp_link_t *link;
@@ -28,8 +28,8 @@
   csp_link_report_t *report;
   CURL *call;
   csp_sse_reader_t *reader;
-  csp_link_end_t end; /* CSP_LINK_END_COUNT while undecided */
-  bool said_not_run;
+  csp_link_end_t end; /* CSP_LINK_END_COUNT while open */
+  bool not_run_stated;
   csp_send_gate_t gate;
   int64_t last_token_ms;
   size_t error_bytes;
@@ -44,7 +44,7 @@
 }
 
 static int
-judge_token (transfer_t *transfer, const csp_token_t *token, const char *json)
+handle_token (transfer_t *transfer, const csp_token_t *token, const char *json)
 {
   const csp_link_t *link = transfer->link;
 
@@ -54,7 +54,7 @@
       transfer->report->delivered++;
       if (link->deliver (link->state, token, json) != 0)
         return stop_transfer (transfer, CSP_LINK_CALLER_GONE);
-      /* Read behind the delivery: a slow caller would otherwise look like a
+      /* Read after the delivery: otherwise a slow caller would look like a
          stalled engine.  */
       transfer->last_token_ms = csp_now_ms (link->clock);
       return 0;
@@ -70,7 +70,7 @@
 }
 
 static int
-take_event (void *state, char *payload, size_t size_bytes)
+handle_event (void *state, char *payload, size_t size_bytes)
 {
   transfer_t *transfer = state;
   csp_token_t token;
@@ -85,13 +85,13 @@
   chunk = csp_parse_chunk (payload, &token);
   if (chunk == NULL)
     return stop_transfer (transfer, CSP_LINK_BROKEN);
-  result = judge_token (transfer, &token, payload);
+  result = handle_token (transfer, &token, payload);
   csp_destroy_chunk (chunk);
   return result;
 }
 
 static void
-keep_error_body (transfer_t *transfer, const char *data, size_t size_bytes)
+append_error_body (transfer_t *transfer, const char *data, size_t size_bytes)
 {
   size_t room = ERROR_BODY_BYTES - 1 - transfer->error_bytes;
   size_t take = size_bytes < room ? size_bytes : room;
@@ -101,7 +101,7 @@
 }
 
 static size_t
-take_body (char *data, size_t unit, size_t count, void *state)
+handle_body (char *data, size_t unit, size_t count, void *state)
 {
   transfer_t *transfer = state;
   long status = 0;
@@ -109,10 +109,11 @@
   curl_easy_getinfo (transfer->call, CURLINFO_RESPONSE_CODE, &status);
   if (status != HTTP_OK)
     {
-      keep_error_body (transfer, data, unit * count);
+      append_error_body (transfer, data, unit * count);
       return unit * count;
     }
-  if (csp_feed_sse (transfer->reader, data, unit * count, take_event, transfer)
+  if (csp_feed_sse (transfer->reader, data, unit * count, handle_event,
+                    transfer)
       != 0)
     {
       if (transfer->end == CSP_LINK_END_COUNT)
@@ -123,19 +124,19 @@
 }
 
 static size_t
-take_header (char *data, size_t unit, size_t count, void *state)
+handle_header (char *data, size_t unit, size_t count, void *state)
 {
   transfer_t *transfer = state;
 
-  if (csp_says_not_run (data, unit * count))
-    transfer->said_not_run = true;
+  if (csp_is_not_run_header (data, unit * count))
+    transfer->not_run_stated = true;
   return unit * count;
 }
 
-/* The gap since the last token tells a dead link; the length of the answer
-   tells nothing, since nobody knows how long it will be.  */
+/* Only the time since the last token shows that a link is dead; the total
+   duration doesn't, since the length of the answer is unknown.  */
 static csp_link_end_t
-check_time (const transfer_t *transfer)
+check_limits (const transfer_t *transfer)
 {
   const csp_link_t *link = transfer->link;
   int64_t gap_ms = csp_now_ms (link->clock) - transfer->last_token_ms;
@@ -149,7 +150,7 @@
 }
 
 static void
-drive_transfer (transfer_t *transfer, CURLM *multi)
+run_transfer (transfer_t *transfer, CURLM *multi)
 {
   CURLMsg *message;
   int running = 1;
@@ -162,9 +163,9 @@
       message = curl_multi_info_read (multi, &left);
       if (message != NULL && message->msg == CURLMSG_DONE)
         return;
-      if (check_time (transfer) != CSP_LINK_COMPLETE)
+      if (check_limits (transfer) != CSP_LINK_COMPLETE)
         {
-          transfer->end = check_time (transfer);
+          transfer->end = check_limits (transfer);
           break;
         }
       curl_multi_poll (multi, NULL, 0, POLL_MS, NULL);
@@ -183,9 +184,10 @@
   return json_object_get_string (member);
 }
 
-/* Read what the target says of a refusal.  */
+/* Reads the target's error message and derives the end from status and
+   headers.  */
 static csp_link_end_t
-judge_status (transfer_t *transfer)
+classify_status (transfer_t *transfer)
 {
   uint16_t status = transfer->report->status;
   json_object *document = json_tokener_parse (transfer->error_body);
@@ -194,7 +196,7 @@
   if (document != NULL)
     snprintf (transfer->report->message, sizeof transfer->report->message,
               "%s", error_text (document, "message"));
-  if (transfer->said_not_run)
+  if (transfer->not_run_stated)
     end = CSP_LINK_NOT_STARTED;
   else if (transfer->link->resume)
     end = status == HTTP_NOT_FOUND ? CSP_LINK_UNKNOWN : CSP_LINK_FAILED;
@@ -208,20 +210,20 @@
 }
 
 static csp_link_end_t
-judge_end (transfer_t *transfer)
+classify_end (transfer_t *transfer)
 {
   csp_link_report_t *report = transfer->report;
   long status = 0;
 
   curl_easy_getinfo (transfer->call, CURLINFO_RESPONSE_CODE, &status);
   report->status = (uint16_t)status;
-  report->byte_left = !csp_nothing_left (transfer->call);
+  report->byte_left = !csp_is_nothing_sent (transfer->call);
   if (transfer->end != CSP_LINK_END_COUNT)
     return transfer->end;
   if (!report->byte_left)
     return CSP_LINK_NO_CONNECT;
   if (status != 0 && status != HTTP_OK)
-    return judge_status (transfer);
+    return classify_status (transfer);
   return CSP_LINK_CUT;
 }
 
@@ -257,9 +259,9 @@
   else
     curl_easy_setopt (call, CURLOPT_POSTFIELDS, transfer->link->body);
   csp_set_send_gate (call, &transfer->gate);
-  curl_easy_setopt (call, CURLOPT_WRITEFUNCTION, take_body);
+  curl_easy_setopt (call, CURLOPT_WRITEFUNCTION, handle_body);
   curl_easy_setopt (call, CURLOPT_WRITEDATA, transfer);
-  curl_easy_setopt (call, CURLOPT_HEADERFUNCTION, take_header);
+  curl_easy_setopt (call, CURLOPT_HEADERFUNCTION, handle_header);
   curl_easy_setopt (call, CURLOPT_HEADERDATA, transfer);
 }
 
@@ -291,8 +293,8 @@
     goto done;
   set_request (&transfer, headers);
   curl_multi_add_handle (multi, transfer.call);
-  drive_transfer (&transfer, multi);
-  end = judge_end (&transfer);
+  run_transfer (&transfer, multi);
+  end = classify_end (&transfer);
   curl_multi_remove_handle (multi, transfer.call);
 
 done:
@@ -304,7 +306,7 @@
 }
 
 static size_t
-drop_body (char *data, size_t unit, size_t count, void *state)
+discard_body (char *data, size_t unit, size_t count, void *state)
 {
   (void)data;
   (void)state;
@@ -325,7 +327,7 @@
     return -1;
   curl_easy_setopt (call, CURLOPT_POSTFIELDS, "");
   curl_easy_setopt (call, CURLOPT_TIMEOUT_MS, (long)timeout_ms);
-  curl_easy_setopt (call, CURLOPT_WRITEFUNCTION, drop_body);
+  curl_easy_setopt (call, CURLOPT_WRITEFUNCTION, discard_body);
   code = curl_easy_perform (call);
   curl_easy_cleanup (call);
   return code == CURLE_OK ? 0 : -1;
--- a/source/target/http.c
+++ b/source/target/http.c
@@ -28,7 +28,7 @@
 }
 
 bool
-csp_nothing_left (CURL *call)
+csp_is_nothing_sent (CURL *call)
 {
   long request_bytes = 0;
 
@@ -37,8 +37,8 @@
 }
 
 static int
-ask_gate (void *state, char *address, char *local_address, int port,
-          int local_port)
+query_gate (void *state, char *address, char *local_address, int port,
+            int local_port)
 {
   const csp_send_gate_t *gate = state;
 
@@ -55,15 +55,15 @@
 {
   if (gate->may_send == NULL)
     return;
-  curl_easy_setopt (call, CURLOPT_PREREQFUNCTION, ask_gate);
+  curl_easy_setopt (call, CURLOPT_PREREQFUNCTION, query_gate);
   curl_easy_setopt (call, CURLOPT_PREREQDATA, gate);
 }
 
 bool
-csp_says_not_run (const char *line, size_t size_bytes)
+csp_is_not_run_header (const char *line, size_t size_bytes)
 {
-  static const char mark[] = "X-Verdict: not run";
+  static const char not_run_prefix[] = "X-Verdict: not run";
 
-  return size_bytes >= sizeof mark - 1
-         && strncasecmp (line, mark, sizeof mark - 1) == 0;
+  return size_bytes >= sizeof not_run_prefix - 1
+         && strncasecmp (line, not_run_prefix, sizeof not_run_prefix - 1) == 0;
 }
--- a/source/target/service-call.c
+++ b/source/target/service-call.c
@@ -16,12 +16,12 @@
 {
   const csp_service_link_t *link;
   csp_service_answer_t *answer;
-  bool said_not_run;
+  bool not_run_stated;
   csp_send_gate_t gate;
 } service_transfer_t;
 
 static size_t
-keep_body (char *data, size_t unit, size_t count, void *state)
+append_body (char *data, size_t unit, size_t count, void *state)
 {
   service_transfer_t *transfer = state;
   csp_service_answer_t *answer = transfer->answer;
@@ -41,12 +41,12 @@
 }
 
 static size_t
-read_header (char *data, size_t unit, size_t count, void *state)
+handle_header (char *data, size_t unit, size_t count, void *state)
 {
   service_transfer_t *transfer = state;
 
-  if (csp_says_not_run (data, unit * count))
-    transfer->said_not_run = true;
+  if (csp_is_not_run_header (data, unit * count))
+    transfer->not_run_stated = true;
   return unit * count;
 }
 
@@ -77,18 +77,18 @@
     curl_easy_setopt (call, CURLOPT_NOBODY, 1L);
   csp_set_send_gate (call, &transfer->gate);
   curl_easy_setopt (call, CURLOPT_CUSTOMREQUEST, link->method);
-  curl_easy_setopt (call, CURLOPT_WRITEFUNCTION, keep_body);
+  curl_easy_setopt (call, CURLOPT_WRITEFUNCTION, append_body);
   curl_easy_setopt (call, CURLOPT_WRITEDATA, transfer);
-  curl_easy_setopt (call, CURLOPT_HEADERFUNCTION, read_header);
+  curl_easy_setopt (call, CURLOPT_HEADERFUNCTION, handle_header);
   curl_easy_setopt (call, CURLOPT_HEADERDATA, transfer);
 }
 
-/* Returns how the caller's side wants it ended, CSP_LINK_COMPLETE when the
-   transfer ended by itself.  */
+/* Runs the transfer.  Returns CSP_LINK_COMPLETE when it ended by itself, the
+   end that link->check requested, or CSP_LINK_CUT when curl fails.  */
 static csp_link_end_t
-drive_call (const csp_service_link_t *link, CURLM *multi, CURLcode *code)
+run_call (const csp_service_link_t *link, CURLM *multi, CURLcode *code)
 {
-  csp_link_end_t wish;
+  csp_link_end_t requested_end;
   CURLMsg *message;
   int running = 1;
   int left;
@@ -103,22 +103,22 @@
           *code = message->data.result;
           return CSP_LINK_COMPLETE;
         }
-      wish = link->check (link->state);
-      if (wish != CSP_LINK_COMPLETE)
-        return wish;
+      requested_end = link->check (link->state);
+      if (requested_end != CSP_LINK_COMPLETE)
+        return requested_end;
       curl_multi_poll (multi, NULL, 0, POLL_MS, NULL);
     }
 }
 
 static csp_link_end_t
-judge_call (CURL *call, const service_transfer_t *transfer, CURLcode code,
-            csp_link_end_t end)
+classify_result (CURL *call, const service_transfer_t *transfer, CURLcode code,
+                 csp_link_end_t end)
 {
   csp_service_answer_t *answer = transfer->answer;
   const char *type = NULL;
   long status = 0;
 
-  answer->byte_left = !csp_nothing_left (call);
+  answer->byte_left = !csp_is_nothing_sent (call);
   curl_easy_getinfo (call, CURLINFO_RESPONSE_CODE, &status);
   curl_easy_getinfo (call, CURLINFO_CONTENT_TYPE, &type);
   answer->status = (uint16_t)status;
@@ -130,7 +130,7 @@
     return CSP_LINK_NO_CONNECT;
   if (code != CURLE_OK)
     return CSP_LINK_CUT;
-  return transfer->said_not_run ? CSP_LINK_NOT_STARTED : CSP_LINK_COMPLETE;
+  return transfer->not_run_stated ? CSP_LINK_NOT_STARTED : CSP_LINK_COMPLETE;
 }
 
 csp_link_end_t
@@ -151,8 +151,8 @@
     goto done;
   set_call (call, &transfer, headers);
   curl_multi_add_handle (multi, call);
-  end = drive_call (link, multi, &code);
-  end = judge_call (call, &transfer, code, end);
+  end = run_call (link, multi, &code);
+  end = classify_result (call, &transfer, code, end);
   curl_multi_remove_handle (multi, call);
 
 done:
