--- a/source/stream/chunk.c
+++ b/source/stream/chunk.c
@@ -2,7 +2,8 @@
 
 #include <json-c/json.h>
 
-/* A chunk is the JSON document whose strings the token points into.  */
+/* csp_chunk_t is the parsed JSON document; the token points to strings in
+   it.  */
 
 static json_object *
 get_member (json_object *object, const char *name, json_type type)
@@ -28,12 +29,12 @@
 csp_parse_chunk (const char *json, csp_token_t *token)
 {
   json_object *document = json_tokener_parse (json);
-  json_object *mark = get_member (document, "token", json_type_object);
-  json_object *index = get_member (mark, "index", json_type_int);
+  json_object *token_object = get_member (document, "token", json_type_object);
+  json_object *index = get_member (token_object, "index", json_type_int);
   json_object *choices = get_member (document, "choices", json_type_array);
   json_object *choice;
 
-  token->generation = get_text (mark, "generation");
+  token->generation = get_text (token_object, "generation");
   if (token->generation == NULL || index == NULL || choices == NULL
       || json_object_array_length (choices) == 0
       || json_object_get_int64 (index) < 0)
--- a/source/stream/recovery.c
+++ b/source/stream/recovery.c
@@ -5,19 +5,20 @@
   RESUME_WINDOW_MS = 30000,
   RESUME_LIMIT = 6,
   RESUME_PAUSE_MS = 200,
-  RETRY_SOON_MS = 1000
+  RETRY_AFTER_MS = 1000
 };
 
-/* Per end of a link: the reason a caller reads, whether the same generation
-   may still be there, and whether the end itself promises that nothing was
-   started.  */
+/* For each end of a link: its name in logs, the reason given to the caller,
+   whether the target may still have the generation, whether the end guarantees
+   that nothing was started, and whether a retry on another target makes
+   sense.  */
 typedef struct
 {
   const char *name;
   csp_reason_t reason;
   bool resumable;
-  bool surely_not_started;
-  bool worth_elsewhere;
+  bool certainly_not_started;
+  bool retry_elsewhere;
 } end_row_t;
 
 static const end_row_t end_table[CSP_LINK_END_COUNT] = {
@@ -66,7 +67,7 @@
 csp_note_link_end (csp_attempt_t *attempt, csp_link_end_t end, bool byte_left,
                    uint64_t delivered)
 {
-  if (byte_left && !end_table[end].surely_not_started)
+  if (byte_left && !end_table[end].certainly_not_started)
     attempt->may_have_started = true;
   attempt->delivered += delivered;
   attempt->idle_resumes = delivered > 0 ? 0 : attempt->idle_resumes + 1;
@@ -82,7 +83,7 @@
 }
 
 static csp_verdict_t
-verdict_of (const csp_attempt_t *attempt)
+derive_verdict (const csp_attempt_t *attempt)
 {
   if (attempt->delivered > 0)
     return CSP_VERDICT_RAN;
@@ -91,8 +92,9 @@
   return CSP_VERDICT_NOT_RUN;
 }
 
-/* Resuming helps only where the target may have the generation: something was
-   started, and neither the window nor the count of idle tries is used up.  */
+/* A resume is useful only when the target may have the generation: something
+   was started, and neither the time window nor the number of resumes without a
+   token is used up.  */
 static bool
 may_resume (const csp_recovery_policy_t *policy, const csp_attempt_t *attempt,
             const end_row_t *row)
@@ -102,12 +104,12 @@
          && attempt->idle_ms < policy->resume_window_ms;
 }
 
-/* Another target may run the request when nobody has seen a token of it, and
-   either running it twice does no harm or it surely has not run.  */
+/* Another target may run the request when no token was delivered, and either
+   running it twice is harmless or it certainly hasn't run.  */
 static bool
-may_go_elsewhere (const csp_attempt_t *attempt, const end_row_t *row)
+may_retry_elsewhere (const csp_attempt_t *attempt, const end_row_t *row)
 {
-  return row->worth_elsewhere && attempt->delivered == 0
+  return row->retry_elsewhere && attempt->delivered == 0
          && (attempt->idempotent || !attempt->may_have_started);
 }
 
@@ -117,7 +119,7 @@
 {
   const end_row_t *row = &end_table[end];
   csp_recovery_t recovery = { CSP_RECOVER_GIVE_UP, 0, false, { 0 } };
-  csp_verdict_t verdict = verdict_of (attempt);
+  csp_verdict_t verdict = derive_verdict (attempt);
 
   if (end == CSP_LINK_COMPLETE)
     {
@@ -126,11 +128,12 @@
     }
   recovery.cancel = attempt->may_have_started && end != CSP_LINK_UNKNOWN;
   csp_set_error (&recovery.error, verdict, row->reason,
-                 row->worth_elsewhere ? RETRY_SOON_MS : 0,
+                 row->retry_elsewhere ? RETRY_AFTER_MS : 0,
                  "the link to the target ended: %s", row->name);
-  /* Before the first token a new start elsewhere is sooner than a resume; a
-     stalled or dead engine would otherwise hold the caller for the window. */
-  if (may_go_elsewhere (attempt, row))
+  /* Before the first token a new start on another target is faster than a
+     resume; with a resume, a stalled or dead engine would delay the caller for
+     the whole resume window.  */
+  if (may_retry_elsewhere (attempt, row))
     recovery.kind = CSP_RECOVER_ELSEWHERE;
   else if (may_resume (policy, attempt, row))
     {
--- a/source/stream/sse.c
+++ b/source/stream/sse.c
@@ -9,13 +9,13 @@
 {
   char *line;
   size_t used_bytes;
-  size_t room_bytes;
+  size_t capacity_bytes;
   size_t limit_bytes;
 };
 
 enum
 {
-  FIRST_ROOM_BYTES = 512
+  INITIAL_CAPACITY_BYTES = 512
 };
 
 csp_sse_reader_t *
@@ -46,22 +46,22 @@
 static int
 append_bytes (csp_sse_reader_t *reader, const char *data, size_t size_bytes)
 {
-  size_t need = reader->used_bytes + size_bytes + 1;
-  size_t room
-      = reader->room_bytes == 0 ? FIRST_ROOM_BYTES : reader->room_bytes;
+  size_t needed_bytes = reader->used_bytes + size_bytes + 1;
+  size_t capacity = reader->capacity_bytes == 0 ? INITIAL_CAPACITY_BYTES
+                                                : reader->capacity_bytes;
   char *line;
 
-  if (need > reader->limit_bytes)
+  if (needed_bytes > reader->limit_bytes)
     return -1;
-  while (room < need)
-    room *= 2;
-  if (room != reader->room_bytes)
+  while (capacity < needed_bytes)
+    capacity *= 2;
+  if (capacity != reader->capacity_bytes)
     {
-      line = realloc (reader->line, room);
+      line = realloc (reader->line, capacity);
       if (line == NULL)
         return -1;
       reader->line = line;
-      reader->room_bytes = room;
+      reader->capacity_bytes = capacity;
     }
   memcpy (reader->line + reader->used_bytes, data, size_bytes);
   reader->used_bytes += size_bytes;
@@ -69,7 +69,8 @@
 }
 
 static int
-finish_line (csp_sse_reader_t *reader, csp_sse_take_t take, void *state)
+finish_line (csp_sse_reader_t *reader, csp_sse_callback_t callback,
+             void *state)
 {
   size_t skip = sizeof data_field - 1;
   size_t size = reader->used_bytes;
@@ -82,12 +83,12 @@
   reader->line[size] = '\0';
   if (reader->line[skip] == ' ')
     skip++;
-  return take (state, reader->line + skip, size - skip) == 0 ? 0 : -1;
+  return callback (state, reader->line + skip, size - skip) == 0 ? 0 : -1;
 }
 
 int
 csp_feed_sse (csp_sse_reader_t *reader, const char *data, size_t size_bytes,
-              csp_sse_take_t take, void *state)
+              csp_sse_callback_t callback, void *state)
 {
   const char *end = data + size_bytes;
   const char *newline;
@@ -99,7 +100,7 @@
         return append_bytes (reader, data, (size_t)(end - data));
       if (append_bytes (reader, data, (size_t)(newline - data)) != 0)
         return -1;
-      if (finish_line (reader, take, state) != 0)
+      if (finish_line (reader, callback, state) != 0)
         return -1;
       data = newline + 1;
     }
--- a/tests/stream/recovery-test.c
+++ b/tests/stream/recovery-test.c
@@ -20,146 +20,148 @@
 
 enum
 {
-  FRESH_MS = 100,
-  OLD_MS = 60000
+  RECENT_MS = 100,
+  EXPIRED_MS = 60000
 };
 
 #define IDEMPOTENT true
-#define ONCE false
+#define AT_MOST_ONCE false
 
-/* An engine's link can end in many ways while a caller waits.  The table says
-   for each, by what the caller already has, what is done next and what the
-   caller is told if that is an error.  A wrong row is either a second run, an
-   answer given up that could have been saved, or a false "not run".  */
+/* For each way in which a link can end, and by what the caller already has:
+   the next step and the verdict that the caller gets in case of an error.  A
+   wrong row causes a second run, the loss of an answer that could have been
+   resumed, or a wrong "not run".  */
 static const recovery_case_t recovery_cases[] = {
-  { "whole answer",
-    { IDEMPOTENT, true, true, 9, 0, FRESH_MS },
+  { "complete answer",
+    { IDEMPOTENT, true, true, 9, 0, RECENT_MS },
     CSP_LINK_COMPLETE,
     CSP_RECOVER_DONE,
     CSP_VERDICT_NOT_RUN },
   { "engine dead before connect",
-    { IDEMPOTENT, true, false, 0, 0, FRESH_MS },
+    { IDEMPOTENT, true, false, 0, 0, RECENT_MS },
     CSP_LINK_NO_CONNECT,
     CSP_RECOVER_ELSEWHERE,
     CSP_VERDICT_NOT_RUN },
   { "engine dead before connect, once",
-    { ONCE, true, false, 0, 0, FRESH_MS },
+    { AT_MOST_ONCE, true, false, 0, 0, RECENT_MS },
     CSP_LINK_NO_CONNECT,
     CSP_RECOVER_ELSEWHERE,
     CSP_VERDICT_NOT_RUN },
   { "engine full, once",
-    { ONCE, true, false, 0, 0, FRESH_MS },
+    { AT_MOST_ONCE, true, false, 0, 0, RECENT_MS },
     CSP_LINK_NOT_STARTED,
     CSP_RECOVER_ELSEWHERE,
     CSP_VERDICT_NOT_RUN },
   { "bad request",
-    { IDEMPOTENT, true, false, 0, 0, FRESH_MS },
+    { IDEMPOTENT, true, false, 0, 0, RECENT_MS },
     CSP_LINK_REJECTED,
     CSP_RECOVER_GIVE_UP,
     CSP_VERDICT_NOT_RUN },
   { "cut before the first token",
-    { IDEMPOTENT, true, true, 0, 0, FRESH_MS },
+    { IDEMPOTENT, true, true, 0, 0, RECENT_MS },
     CSP_LINK_CUT,
     CSP_RECOVER_ELSEWHERE,
     CSP_VERDICT_MAY_HAVE_RUN },
   { "cut before the first token, once: only the same generation",
-    { ONCE, true, true, 0, 0, FRESH_MS },
+    { AT_MOST_ONCE, true, true, 0, 0, RECENT_MS },
     CSP_LINK_CUT,
     CSP_RECOVER_RESUME,
     CSP_VERDICT_MAY_HAVE_RUN },
-  { "engine unknown to it after a cut, once: it may have run and be gone",
-    { ONCE, true, true, 0, 1, FRESH_MS },
+  { "generation unknown after a cut, once: it may have run",
+    { AT_MOST_ONCE, true, true, 0, 1, RECENT_MS },
     CSP_LINK_UNKNOWN,
     CSP_RECOVER_GIVE_UP,
     CSP_VERDICT_MAY_HAVE_RUN },
   { "cut in the middle",
-    { IDEMPOTENT, true, true, 7, 0, FRESH_MS },
+    { IDEMPOTENT, true, true, 7, 0, RECENT_MS },
     CSP_LINK_CUT,
     CSP_RECOVER_RESUME,
     CSP_VERDICT_RAN },
   { "stalled in the middle",
-    { IDEMPOTENT, true, true, 7, 0, FRESH_MS },
+    { IDEMPOTENT, true, true, 7, 0, RECENT_MS },
     CSP_LINK_STALLED,
     CSP_RECOVER_RESUME,
     CSP_VERDICT_RAN },
   { "engine restarting in the middle",
-    { IDEMPOTENT, true, true, 7, 2, FRESH_MS },
+    { IDEMPOTENT, true, true, 7, 2, RECENT_MS },
     CSP_LINK_NO_CONNECT,
     CSP_RECOVER_RESUME,
     CSP_VERDICT_RAN },
-  { "a gap in the middle",
-    { IDEMPOTENT, true, true, 7, 0, FRESH_MS },
+  { "missing token in the middle",
+    { IDEMPOTENT, true, true, 7, 0, RECENT_MS },
     CSP_LINK_BROKEN,
     CSP_RECOVER_RESUME,
     CSP_VERDICT_RAN },
-  { "another generation's words in the middle: its own may still be there",
-    { IDEMPOTENT, true, true, 7, 0, FRESH_MS },
+  { "tokens of another generation: its own may still exist",
+    { IDEMPOTENT, true, true, 7, 0, RECENT_MS },
     CSP_LINK_FOREIGN,
     CSP_RECOVER_RESUME,
     CSP_VERDICT_RAN },
-  { "another generation's words at every resume",
-    { IDEMPOTENT, true, true, 7, 6, FRESH_MS },
+  { "tokens of another generation at every resume",
+    { IDEMPOTENT, true, true, 7, 6, RECENT_MS },
     CSP_LINK_FOREIGN,
     CSP_RECOVER_GIVE_UP,
     CSP_VERDICT_RAN },
-  { "engine forgot it in the middle",
-    { IDEMPOTENT, true, true, 7, 1, FRESH_MS },
+  { "generation unknown in the middle",
+    { IDEMPOTENT, true, true, 7, 1, RECENT_MS },
     CSP_LINK_UNKNOWN,
     CSP_RECOVER_GIVE_UP,
     CSP_VERDICT_RAN },
   { "too many idle resumes",
-    { IDEMPOTENT, true, true, 7, 6, FRESH_MS },
+    { IDEMPOTENT, true, true, 7, 6, RECENT_MS },
     CSP_LINK_CUT,
     CSP_RECOVER_GIVE_UP,
     CSP_VERDICT_RAN },
-  { "the engine's window is over",
-    { IDEMPOTENT, true, true, 7, 1, OLD_MS },
+  { "resume window has passed",
+    { IDEMPOTENT, true, true, 7, 1, EXPIRED_MS },
     CSP_LINK_NO_CONNECT,
     CSP_RECOVER_GIVE_UP,
     CSP_VERDICT_RAN },
-  { "error that says nothing, once",
-    { ONCE, true, true, 0, 0, FRESH_MS },
+  { "unspecific error, once",
+    { AT_MOST_ONCE, true, true, 0, 0, RECENT_MS },
     CSP_LINK_FAILED,
     CSP_RECOVER_RESUME,
     CSP_VERDICT_MAY_HAVE_RUN },
   { "a plain service's answer is cut, once: nothing to resume",
-    { ONCE, false, true, 0, 0, FRESH_MS },
+    { AT_MOST_ONCE, false, true, 0, 0, RECENT_MS },
     CSP_LINK_CUT,
     CSP_RECOVER_GIVE_UP,
     CSP_VERDICT_MAY_HAVE_RUN },
   { "deadline in the middle",
-    { IDEMPOTENT, true, true, 7, 0, FRESH_MS },
+    { IDEMPOTENT, true, true, 7, 0, RECENT_MS },
     CSP_LINK_DEADLINE,
     CSP_RECOVER_GIVE_UP,
     CSP_VERDICT_RAN },
-  { "deadline before anything left",
-    { IDEMPOTENT, true, false, 0, 0, FRESH_MS },
+  { "deadline before a byte was sent",
+    { IDEMPOTENT, true, false, 0, 0, RECENT_MS },
     CSP_LINK_DEADLINE,
     CSP_RECOVER_GIVE_UP,
     CSP_VERDICT_NOT_RUN },
 };
 
-START_TEST (each_end_of_a_link_is_recovered_by_its_row)
+START_TEST (link_ends_recover_as_listed)
 {
   const recovery_case_t *row = &recovery_cases[_i];
   csp_recovery_policy_t policy = csp_default_recovery_policy ();
-  csp_recovery_t got = csp_decide_recovery (&policy, &row->attempt, row->end);
+  csp_recovery_t recovery
+      = csp_decide_recovery (&policy, &row->attempt, row->end);
 
-  ck_assert_msg (got.kind == row->kind, "%s: kind %d", row->name, got.kind);
-  ck_assert_msg (got.kind == CSP_RECOVER_DONE
-                     || got.error.verdict == row->verdict,
-                 "%s: verdict %d", row->name, got.error.verdict);
+  ck_assert_msg (recovery.kind == row->kind, "%s: kind %d", row->name,
+                 recovery.kind);
+  ck_assert_msg (recovery.kind == CSP_RECOVER_DONE
+                     || recovery.error.verdict == row->verdict,
+                 "%s: verdict %d", row->name, recovery.error.verdict);
 }
 END_TEST
 
-/* Whatever happens, a request that may run once only is never sent elsewhere
-   once a byte has left, and no request is once a token was delivered.  A user
-   would see a doubled quote, or two bulletins spliced.  */
+/* A request that must run at most once is never sent to another target after a
+   byte was sent, and no request is after a token was delivered: the caller
+   would get a quote twice, or two bulletins mixed.  */
 START_TEST (no_second_run_over_all_states)
 {
   csp_recovery_policy_t policy = csp_default_recovery_policy ();
   csp_attempt_t attempt = { 0 };
-  csp_recovery_t got;
+  csp_recovery_t recovery;
   int bits;
   int end;
 
@@ -169,14 +171,15 @@
         attempt.idempotent = (bits & 1) != 0;
         attempt.may_have_started = (bits & 2) != 0;
         attempt.delivered = (bits & 4) != 0 ? 3 : 0;
-        got = csp_decide_recovery (&policy, &attempt, (csp_link_end_t)end);
-        if (got.kind == CSP_RECOVER_ELSEWHERE)
+        recovery
+            = csp_decide_recovery (&policy, &attempt, (csp_link_end_t)end);
+        if (recovery.kind == CSP_RECOVER_ELSEWHERE)
           {
             ck_assert (attempt.delivered == 0);
             ck_assert (attempt.idempotent || !attempt.may_have_started);
           }
-        if (got.error.verdict == CSP_VERDICT_NOT_RUN
-            && got.kind == CSP_RECOVER_GIVE_UP)
+        if (recovery.error.verdict == CSP_VERDICT_NOT_RUN
+            && recovery.kind == CSP_RECOVER_GIVE_UP)
           ck_assert (!attempt.may_have_started && attempt.delivered == 0);
       }
 }
@@ -187,13 +190,14 @@
   const char *generation;
   uint64_t index;
   const char *finish;
-  csp_take_t take;
+  csp_take_t action;
 } token_case_t;
 
-/* A link is cut and resumed; the old link's last tokens arrive again, one is
-   skipped, and words of a generation that the engine began anew mix in.  The
-   caller must read each token of the first generation once, in order.  */
-START_TEST (only_the_next_token_of_the_same_generation_passes)
+/* A link is cut and resumed.  The old link's last tokens are received again,
+   one is skipped, and tokens of a generation that the engine started anew are
+   mixed in.  Only the first generation's tokens may be delivered, each once
+   and in order.  */
+START_TEST (only_next_token_of_same_generation_is_delivered)
 {
   static const token_case_t rows[] = {
     { "g1", 0, NULL, CSP_TAKE_DELIVER },
@@ -216,16 +220,16 @@
       token.generation = rows[i].generation;
       token.index = rows[i].index;
       token.finish_reason = rows[i].finish;
-      ck_assert_int_eq (csp_take_token (&generation, &token), rows[i].take);
+      ck_assert_int_eq (csp_take_token (&generation, &token), rows[i].action);
     }
   ck_assert (csp_take_end (&generation));
   ck_assert_uint_eq (generation.next_index, 3);
 }
 END_TEST
 
-/* An engine closes a stream politely although its answer stopped halfway.
-   A caller would take half a bulletin for a whole one.  */
-START_TEST (an_end_without_a_finish_reason_is_no_end)
+/* An engine sends the end mark although its answer stopped in the middle.  The
+   caller would take half a bulletin for a complete one.  */
+START_TEST (end_without_finish_reason_is_incomplete)
 {
   csp_generation_t generation;
   csp_token_t token = { "g", 0, "a", NULL };
@@ -251,21 +255,21 @@
   return 0;
 }
 
-/* A network cuts a stream of events at any byte.  */
-START_TEST (events_survive_every_cut)
+/* The network may split a stream of events at any byte.  */
+START_TEST (events_survive_any_split)
 {
   static const char text[]
       = ": hello\r\ndata: one\r\n\r\nevent: x\ndata:two\n\ndata: [DONE]\n\n";
   csp_sse_reader_t *reader = csp_create_sse_reader (64);
   char out[OUT_BYTES];
-  size_t cut;
+  size_t split;
 
-  for (cut = 0; cut < sizeof text - 1; cut++)
+  for (split = 0; split < sizeof text - 1; split++)
     {
       out[0] = '\0';
-      ck_assert_int_eq (csp_feed_sse (reader, text, cut, collect, out), 0);
-      ck_assert_int_eq (csp_feed_sse (reader, text + cut,
-                                      sizeof text - 1 - cut, collect, out),
+      ck_assert_int_eq (csp_feed_sse (reader, text, split, collect, out), 0);
+      ck_assert_int_eq (csp_feed_sse (reader, text + split,
+                                      sizeof text - 1 - split, collect, out),
                         0);
       ck_assert_str_eq (out, "one|two|[DONE]|");
     }
@@ -273,7 +277,7 @@
 }
 END_TEST
 
-START_TEST (a_line_beyond_the_limit_is_refused)
+START_TEST (line_beyond_limit_is_refused)
 {
   csp_sse_reader_t *reader = csp_create_sse_reader (8);
   char out[OUT_BYTES] = "";
@@ -290,13 +294,13 @@
   Suite *suite = suite_create ("stream");
   TCase *tcase = tcase_create ("stream");
 
-  tcase_add_loop_test (tcase, each_end_of_a_link_is_recovered_by_its_row, 0,
+  tcase_add_loop_test (tcase, link_ends_recover_as_listed, 0,
                        sizeof recovery_cases / sizeof recovery_cases[0]);
   tcase_add_test (tcase, no_second_run_over_all_states);
-  tcase_add_test (tcase, only_the_next_token_of_the_same_generation_passes);
-  tcase_add_test (tcase, an_end_without_a_finish_reason_is_no_end);
-  tcase_add_test (tcase, events_survive_every_cut);
-  tcase_add_test (tcase, a_line_beyond_the_limit_is_refused);
+  tcase_add_test (tcase, only_next_token_of_same_generation_is_delivered);
+  tcase_add_test (tcase, end_without_finish_reason_is_incomplete);
+  tcase_add_test (tcase, events_survive_any_split);
+  tcase_add_test (tcase, line_beyond_limit_is_refused);
   suite_add_tcase (suite, tcase);
   return run_suite (suite);
 }
