--- a/include/cowslipspoke/admission.h
+++ b/include/cowslipspoke/admission.h
@@ -91,8 +91,7 @@
   CSP_ADMIT_NEVER
 } csp_admit_t;
 
-/* A target's report of its own load.  report is the report's sequence
-   number.  */
+/* A target's report of its own load, with the report's sequence number.  */
 typedef struct
 {
   uint64_t report;
@@ -104,13 +103,13 @@
   bool leaving;
 } csp_load_report_t;
 
-/* A stream's state in the ledger.  since_ms is when it was added, progress_ms
+/* A stream's state in the ledger.  added_ms is when it was added, progress_ms
    when tokens were last noted.  */
 typedef struct
 {
   csp_stream_t stream;
   uint32_t made_tokens;
-  int64_t since_ms;
+  int64_t added_ms;
   int64_t progress_ms;
 } csp_stream_state_t;
 
--- a/include/cowslipspoke/order.h
+++ b/include/cowslipspoke/order.h
@@ -76,10 +76,10 @@
   int64_t fence;
 } csp_order_t;
 
-/* What an engine's load report says about orders.  report is the report's
-   sequence number.  asked_ms is when the report was requested, so that the
-   report never counts as newer than it is.  A version or role that the engine
-   doesn't report is NULL and counts as the wanted one.  */
+/* What an engine's load report says about orders, with the report's sequence
+   number.  asked_ms is when the report was requested, so that the report never
+   counts as newer than it is.  A version or role that the engine doesn't
+   report is NULL and counts as the wanted one.  */
 typedef struct
 {
   uint64_t report;
@@ -125,8 +125,8 @@
 {
   uint32_t interval_ms;
   uint32_t phase_thousandths;
-  int64_t next_ms;
-  int64_t wanted_ms;
+  int64_t next_load_ms;
+  int64_t last_wanted_ms;
 } csp_order_pace_t;
 
 /* Why no order is sent now.  */
--- a/include/cowslipspoke/queue.h
+++ b/include/cowslipspoke/queue.h
@@ -18,9 +18,9 @@
    Organisations are served by weighted deficit round robin over tokens: a
    request costs its prompt and its expected answer, and the difference from
    its real cost is settled when it ends.  Within an organisation the earliest
-   deadline goes first, and each step of priority moves a request's deadline
-   forward by age_ms; so later arrivals can overtake a request only for a
-   bounded time.  Fairness between organisations comes before priority, as
+   deadline goes first, and each step of priority makes a request due
+   priority_step_ms earlier; so later arrivals can overtake a request only for
+   a bounded time.  Fairness between organisations comes before priority, as
    otherwise the largest could mark everything urgent and starve the small
    ones.
 
@@ -33,44 +33,54 @@
 
    quantum_tokens: credit that weight 1 earns in a round; near the mean cost,
    so that a round serves each organisation about once.
+
    max_waiting, max_waiting_each: maximum number of waiting requests, in all
    and of one organisation.
+
    max_wait_ms: maximum wait when the caller states no deadline.
-   age_ms: how much earlier one step of priority makes a request due within its
-   organisation.  With strict priority instead, 11 to 14 in 100 of the largest
-   organisation's scores expired at load 0.9, and with first come, first served
-   14 in 100 of its lookups.
+
+   priority_step_ms: how much earlier one step of priority makes a request due
+   within its organisation.  With strict priority instead, 11 to 14 in 100 of
+   the largest organisation's scores expired at load 0.9, and with first come,
+   first served 14 in 100 of its lookups.
+
    lend_keep: share of memory that borrowers must leave free.  At load 1.5 on
    12 engines and 8 hosts the small organisations' p99 wait is 14 s with 0, 2.0
    s with 0.07 and 0.04 s with 0.1, at 3,037, 2,971 and 2,922 useful tokens a
    second; with one host 0.07 leaves almost no wait, and 0.1 costs 3 in 100 of
    the throughput.
+
    rate_half_life_ms: half-life of the moving average of the service rate.
-   hold_ms: a request of an organisation within its share that was skipped for
-   this long, as it needs more memory than gets free at once, blocks the others
-   until it fits; after three times hold_ms the others may pass again for
-   hold_ms.
+
+   blocking_after_ms: a request of an organisation within its share that was
+   skipped for this long, as it needs more memory than gets free at once,
+   blocks the others until it fits; after three times blocking_after_ms the
+   others may pass again for blocking_after_ms.
+
    max_skips_per_pump: maximum number of organisations skipped in one pump.
-   margin: a request is refused on arrival when margin times the predicted wait
-   exceeds its remaining time.  It is above 1, as later requests with earlier
-   deadlines overtake.  At load 1.5, 17 in 100 requests expired after a wait
-   with 1, and 2 in 100 with 3, which also answered more requests in all.
-   patience: a waiting request expires early when its predicted wait exceeds
-   patience times its remaining time.  It is above 1 so that fluctuations of
-   the measured rate don't matter.  */
+
+   wait_margin: a request is refused on arrival when wait_margin times the
+   predicted wait exceeds its remaining time.  It is above 1, as later requests
+   with earlier deadlines overtake.  At load 1.5, 17 in 100 requests expired
+   after a wait with 1, and 2 in 100 with 3, which also answered more requests
+   in all.
+
+   wait_patience: a waiting request expires early when its predicted wait
+   exceeds wait_patience times its remaining time.  It is above 1 so that
+   fluctuations of the measured rate don't matter.  */
 typedef struct
 {
   uint32_t quantum_tokens;
   uint32_t max_waiting;
   uint32_t max_waiting_each;
   uint32_t max_wait_ms;
-  uint32_t age_ms;
+  uint32_t priority_step_ms;
   double lend_keep;
   uint32_t rate_half_life_ms;
-  uint32_t hold_ms;
+  uint32_t blocking_after_ms;
   uint32_t max_skips_per_pump;
-  double margin;
-  double patience;
+  double wait_margin;
+  double wait_patience;
 } csp_queue_policy_t;
 
 csp_queue_policy_t csp_default_queue_policy (void);
--- a/include/cowslipspoke/recovery.h
+++ b/include/cowslipspoke/recovery.h
@@ -19,7 +19,7 @@
 /* How a link to a target ended.  */
 typedef enum
 {
-  CSP_LINK_COMPLETE,    /* the whole answer arrived */
+  CSP_LINK_COMPLETE,    /* the complete answer was received */
   CSP_LINK_NO_CONNECT,  /* no connection was made, no byte sent */
   CSP_LINK_NOT_STARTED, /* the target states that nothing was started */
   CSP_LINK_REJECTED,    /* the target rejected the request as invalid */
--- a/source/admission/admission-ledger.c
+++ b/source/admission/admission-ledger.c
@@ -201,7 +201,7 @@
   slot->used = true;
   slot->state.stream = *stream;
   slot->state.made_tokens = made_tokens;
-  slot->state.since_ms = now_ms;
+  slot->state.added_ms = now_ms;
   slot->state.progress_ms = now_ms;
   csp_forecast_stream (ledger->lengths, stream, made_tokens, &slot->forecast);
   add_forecast (ledger, &slot->forecast, 1);
--- a/source/dispatch/dispatch.c
+++ b/source/dispatch/dispatch.c
@@ -124,7 +124,7 @@
 {
   csp_queue_policy_t policy = csp_default_queue_policy ();
 
-  policy.margin = 8;
+  policy.wait_margin = 8;
   policy.rate_half_life_ms = 2000;
   return policy;
 }
--- a/source/order/order-decide.c
+++ b/source/order/order-decide.c
@@ -216,7 +216,7 @@
   action->kind = action->state <= CSP_ORDER_LEAVING ? CSP_ORDER_ACT_NOTHING
                                                     : CSP_ORDER_ACT_WAIT;
   if (action->state == CSP_ORDER_PACED)
-    until_ms = pace->next_ms;
+    until_ms = pace->next_load_ms;
   if (action->state == CSP_ORDER_EARLIER_OWNER)
     until_ms = engine->granted_ms + facts->longest_order_ms;
   action->is.wait.until_ms = until_ms;
--- a/source/order/order-pace.c
+++ b/source/order/order-pace.c
@@ -36,15 +36,16 @@
       = now_ms
         + (int64_t)pace->interval_ms * pace->phase_thousandths / THOUSAND;
 
-  if (now_ms - pace->wanted_ms > CSP_ORDER_IDLE_MS || pace->wanted_ms == 0)
-    if (pace->next_ms < first_ms)
-      pace->next_ms = first_ms;
-  pace->wanted_ms = now_ms;
-  return now_ms >= pace->next_ms;
+  if (now_ms - pace->last_wanted_ms > CSP_ORDER_IDLE_MS
+      || pace->last_wanted_ms == 0)
+    if (pace->next_load_ms < first_ms)
+      pace->next_load_ms = first_ms;
+  pace->last_wanted_ms = now_ms;
+  return now_ms >= pace->next_load_ms;
 }
 
 void
 csp_note_load_started (csp_order_pace_t *pace, int64_t now_ms)
 {
-  pace->next_ms = now_ms + pace->interval_ms;
+  pace->next_load_ms = now_ms + pace->interval_ms;
 }
--- a/source/queue/queue-imp.h
+++ b/source/queue/queue-imp.h
@@ -83,8 +83,8 @@
                                const csp_waiting_t *waiting,
                                uint64_t sequence);
 
-/* The time by which a request is sorted: its deadline less the advance of its
-   priority.  */
+/* The time by which a request is sorted: its deadline less priority_step_ms
+   for each step of its priority.  */
 int64_t csp_compute_due_ms (const csp_queue_t *queue,
                             const csp_waiting_t *waiting);
 
--- a/source/queue/queue-pump.c
+++ b/source/queue/queue-pump.c
@@ -8,8 +8,8 @@
 
 /* With strict priority an organisation's background requests would wait for as
    long as it sends urgent ones, and scores would expire even at load 0.9, when
-   nearly everything fits.  So a step of priority only moves the deadline that
-   the caller stated forward by a fixed time.  */
+   nearly everything fits.  So a step of priority only makes a request due
+   earlier, by a fixed time before the deadline that the caller stated.  */
 uint32_t
 csp_find_next_entry (const csp_queue_t *queue,
                      const organisation_t *organisation)
@@ -218,23 +218,23 @@
   return true;
 }
 
-/* A request that needs much memory would wait for ever while smaller ones take
-   all memory that gets free.  After hold_ms the pump stops at it, so that free
-   memory accumulates; only for a limited time, as it may need a target that is
-   unavailable.  A borrower blocks only other borrowers.  */
+/* A request that needs much memory would wait forever while smaller ones take
+   all memory that gets free.  After blocking_after_ms the pump stops at it, so
+   that free memory accumulates; only for a limited time, as it may need a
+   target that is unavailable.  A borrower blocks only other borrowers.  */
 static bool
 blocks_others (csp_queue_t *queue, organisation_t *organisation)
 {
-  int64_t hold_ms = queue->policy.hold_ms;
+  int64_t blocking_after_ms = queue->policy.blocking_after_ms;
   int64_t skipped_ms;
 
   if (organisation->skipped_since_ms == 0)
     organisation->skipped_since_ms = queue->pump_ms;
   skipped_ms = queue->pump_ms - organisation->skipped_since_ms;
-  if (skipped_ms >= BLOCKING_PERIODS * hold_ms)
+  if (skipped_ms >= BLOCKING_PERIODS * blocking_after_ms)
     organisation->skipped_since_ms = queue->pump_ms;
-  return hold_ms != 0 && skipped_ms >= hold_ms
-         && skipped_ms < BLOCKING_PERIODS * hold_ms;
+  return blocking_after_ms != 0 && skipped_ms >= blocking_after_ms
+         && skipped_ms < BLOCKING_PERIODS * blocking_after_ms;
 }
 
 void
--- a/source/queue/queue-rate.c
+++ b/source/queue/queue-rate.c
@@ -62,7 +62,7 @@
 csp_compute_due_ms (const csp_queue_t *queue, const csp_waiting_t *waiting)
 {
   return waiting->start_by_ms
-         - (int64_t)waiting->priority * queue->policy.age_ms;
+         - (int64_t)waiting->priority * queue->policy.priority_step_ms;
 }
 
 uint64_t
@@ -158,7 +158,7 @@
   queue->expire_checks++;
   if (queue->expire_checks == EXPIRE_CHECKS)
     queue->next_checks_start = index + 1;
-  return entry_wait_ms (queue, entry) > queue->policy.patience * left_ms;
+  return entry_wait_ms (queue, entry) > queue->policy.wait_patience * left_ms;
 }
 
 bool
--- a/source/queue/queue-waiting.c
+++ b/source/queue/queue-waiting.c
@@ -10,13 +10,13 @@
                                 .max_waiting = 4096,
                                 .max_waiting_each = 1024,
                                 .max_wait_ms = 30000,
-                                .age_ms = 1000,
+                                .priority_step_ms = 1000,
                                 .lend_keep = 0.07,
                                 .rate_half_life_ms = 10000,
-                                .hold_ms = 2000,
+                                .blocking_after_ms = 2000,
                                 .max_skips_per_pump = 16,
-                                .margin = 3,
-                                .patience = 1.5 };
+                                .wait_margin = 3,
+                                .wait_patience = 1.5 };
 
   return policy;
 }
@@ -251,7 +251,7 @@
   uint64_t cost = csp_queue_cost_ahead (queue, waiting, UINT64_MAX)
                   + waiting->cost_tokens;
   double wait_ms
-      = queue->policy.margin
+      = queue->policy.wait_margin
         * csp_predict_cost_wait_ms (queue, waiting->organisation, cost);
   double left_ms = (double)(waiting->start_by_ms - now_ms);
 
--- a/source/target/engine.c
+++ b/source/target/engine.c
@@ -93,11 +93,11 @@
 static void
 append_error_body (transfer_t *transfer, const char *data, size_t size_bytes)
 {
-  size_t room = ERROR_BODY_BYTES - 1 - transfer->error_bytes;
-  size_t take = size_bytes < room ? size_bytes : room;
+  size_t capacity = ERROR_BODY_BYTES - 1 - transfer->error_bytes;
+  size_t copied_bytes = size_bytes < capacity ? size_bytes : capacity;
 
-  memcpy (transfer->error_body + transfer->error_bytes, data, take);
-  transfer->error_bytes += take;
+  memcpy (transfer->error_body + transfer->error_bytes, data, copied_bytes);
+  transfer->error_bytes += copied_bytes;
 }
 
 static size_t
--- a/tests/queue/queue-test.c
+++ b/tests/queue/queue-test.c
@@ -271,7 +271,7 @@
 END_TEST
 
 /* A request that needs much memory never gets it, as smaller ones take all
-   memory that gets free.  After hold_ms the queue waits for it.  */
+   memory that gets free.  After blocking_after_ms the queue waits for it.  */
 START_TEST (large_request_is_not_skipped_forever)
 {
   csp_waiting_t large
