--- a/include/cowslipspoke/mirror.h
+++ b/include/cowslipspoke/mirror.h
@@ -11,22 +11,21 @@
 #include <stdint.h>
 #include <uv.h>
 
-/* What a host has read of the platform's store, kept as it was read, so that
-   hosts which the store turns away, or which start while it can't be reached,
-   read it from another host.
+/* A host's copy of the platform's store.  Hosts that the store refuses, or
+   that start while it is unreachable, read the copy of another host.
 
-   Failure: the store refuses a third of the hosts for ten seconds.  Targets
-   leave meanwhile, and each of those hosts goes on sending there and loses
-   the streams that run there; later it has no target left.  One notices
-   streams that end with their target on some hosts only.
+   Failure: the store refuses a third of the hosts for ten seconds.  Those
+   hosts don't learn which targets leave: they keep sending to them, lose the
+   streams that run there, and end up without a target.  The symptom is streams
+   that end with their target on some hosts only.
 
-   Each item carries the store's own revision, so that it doesn't matter from
-   whom it comes: a newer one replaces an older one, never the other way.  */
+   Each item carries the store's own revision, so that any host's copy will do:
+   a newer revision replaces an older one, never the reverse.  */
 
 enum
 {
   CSP_MIRROR_KEY_BYTES = 201,
-  /* Removed items that are remembered, so that followers hear of them.  */
+  /* Removed items that are kept, so that followers learn of the removals. */
   CSP_MIRROR_REMOVED_MAX = 1024
 };
 
@@ -39,114 +38,118 @@
 
 typedef struct csp_mirror csp_mirror_t;
 
-/* Told of each item that changed, and of the end of a whole listing.  */
+/* Callbacks for each item that changed and for the end of a full listing.
+   Each may be NULL.  */
 typedef struct
 {
   void (*changed) (void *state, const csp_mirror_item_t *item);
   void (*listing_ended) (void *state, const char *prefix);
-  /* Told before what another host says is put where removals may be due to the
-     store's absence; NULL: nobody is.  */
+  /* Called before another host's items are applied when some of its removals
+     may only be due to an outage of the store.  */
   void (*lapsing) (void *state);
 } csp_mirror_events_t;
 
-/* What a host says of its mirror beside what is in it.  */
+/* What a host sends about the state of its mirror, beside the items.  */
 typedef struct
 {
-  bool settled; /* it has read the store, or a host that has */
-  bool lapsing; /* the store is away, or was until a moment ago, so that rows
-                   of its own may be missing */
-  uint32_t age_ms; /* since the store said that this is current, by whatever
-                      way it came */
-} csp_mirror_word_t;
+  bool settled;    /* the host has read the store, or a host that has */
+  bool lapsing;    /* the store is unreachable or has just come back, so that
+                      some of its entries may have lapsed */
+  uint32_t age_ms; /* since the store confirmed that the items are current,
+                      over all hosts that passed them on */
+} csp_mirror_status_t;
 
 csp_mirror_t *csp_create_mirror (const csp_mirror_events_t *events,
                                  void *state);
 void csp_destroy_mirror (csp_mirror_t *mirror);
 
-/* An item as of a revision; a value of NULL removes it.  True where it was
-   newer than what is known.  */
+/* Store an item as of a revision; a value of NULL removes it.  True if it was
+   newer than the known one and was stored.  */
 bool csp_put_mirror_item (csp_mirror_t *mirror, const char *key,
                           const char *value, int64_t revision);
 
-/* A whole listing of a prefix, as of a revision, is put between the two; what
-   it doesn't hold was removed up to then.  */
+/* Items put between these two calls are a full listing of a prefix as of a
+   revision.  The end removes the older items of the prefix that weren't put.
+ */
 void csp_begin_mirror_listing (csp_mirror_t *mirror, const char *prefix);
 void csp_end_mirror_listing (csp_mirror_t *mirror, const char *prefix,
                              int64_t as_of);
 
-/* All that happened up to a revision is known.  */
+/* Record that all changes up to a revision are known.  */
 void csp_note_mirror_revision (csp_mirror_t *mirror, int64_t revision);
 int64_t csp_mirror_revision (const csp_mirror_t *mirror);
 
-/* Encode what changed behind a revision as JSON, or everything where after is
-   0 or too old.  False when memory fails.  */
+/* Encode the changes after a revision as JSON, or all items if after is 0 or
+   older than the removals that are kept.  False when memory fails.  */
 bool csp_encode_mirror (const csp_mirror_t *mirror, int64_t after,
-                        const csp_mirror_word_t *word, csp_buffer_t *text);
+                        const csp_mirror_status_t *status, csp_buffer_t *text);
 
-/* Put what another host encoded.  False where it can't be read or isn't
-   settled; nothing is then put.  *as_of is the revision it is current to.  */
+/* Apply what another host encoded.  Returns false and applies nothing if the
+   text can't be parsed or its sender isn't settled.  *as_of is the revision up
+   to which the sender knows all changes.  */
 bool csp_decode_mirror (csp_mirror_t *mirror, const char *text,
-                        csp_mirror_word_t *word, int64_t *as_of);
-
-/* Serves the mirror to other hosts.  A host that asks is answered at once
-   where there is news, else held for as long as it allows.
-
-   Load pattern: a data centre of fifty hosts and more, all of which follow its
-   first one, and targets that come and go by the hundred a second: that one
-   sends each change fifty times, 2.1 MB a second where a link carries 2.5, and
-   callers behind it wait.  So a host serves what its link can bear, and names
-   those to others that ask: a tree grows by itself, whose root the order of
-   readers gives.  The first hosts of other data centres are always served, as
-   they are few.  */
+                        csp_mirror_status_t *status, int64_t *as_of);
+
+/* Serves the mirror to other hosts by long polling: a request is answered at
+   once if there are changes, else held for as long as it allows.
+
+   Load pattern: a data centre of fifty hosts or more follows its first host
+   while hundreds of targets start and stop each second.  Sending each change
+   fifty times takes 2.1 MB/s of a link that carries 2.5 MB/s, and callers
+   wait.  So a host serves only as many followers as its link can carry and
+   redirects other hosts to those followers, which forms a tree below the first
+   host.  The first hosts of other data centres, which are few, are always
+   served.  */
 typedef struct csp_mirror_server csp_mirror_server_t;
 
-/* NULL where the port can't be had.  link_bytes_per_s: of this host.  */
+/* NULL if the port can't be bound or memory fails.  link_bytes_per_s is the
+   bandwidth of this host's link.  */
 csp_mirror_server_t *csp_open_mirror_server (uv_loop_t *loop,
                                              const struct sockaddr_in *address,
                                              uint64_t link_bytes_per_s,
                                              const csp_mirror_t *mirror);
 void csp_close_mirror_server (csp_mirror_server_t *server);
 
-/* The hosts that another one names in the place of its mirror; 0 where it is a
-   mirror.  */
-size_t csp_read_elsewhere (const char *text, csp_peer_address_t *hosts,
-                           size_t room);
-
-/* What is said of the mirror from now on; fed_ms: the loop's time at which the
-   store last said that it is current.  Who waits is told where there is news,
-   or the mirror is confirmed anew.  */
-void csp_tell_mirror_server (csp_mirror_server_t *server, bool settled,
-                             bool lapsing, uint64_t fed_ms);
-
-/* Where a host reads from.
-
-   Load pattern: each of hundreds of hosts that watches the store is a priced
-   call for each change and each second, and when the store turns some away, or
-   a host that others follow dies, hundreds ask at once, again and again: on
-   days with such trouble 295 hosts made 14,000 calls where 2,900 were made on
-   a quiet one.  So one host reads the store for all.  The first host of each
-   other data centre follows its mirror, and the hosts of a data centre follow
-   their first one: two steps, a millisecond each, and one copy of each change
-   between two data centres.
-
-   Failure: a host that is followed dies, is cut off, is turned away by the
-   store, or follows one that follows it.  A host would go on sending to
-   targets that leave, and their streams end with them.  So each word says how
-   old it is, whatever way it came.  Where the host that is followed fails, the
-   next one is followed at once, by an order that all know, and the next one in
-   that order takes its place.  Where no host has current word the first host
-   of a data centre reads the store by itself, within a second; behind that the
-   others, one after another by lot, each the more rarely the more they are, so
-   that all of them together make no more calls than a few readers.  */
+/* Decode a redirect: the hosts that another host names to follow instead of
+   itself.  Returns their number, 0 if the text is no redirect.  */
+size_t csp_decode_redirect (const char *text, csp_peer_address_t *hosts,
+                            size_t max_hosts);
+
+/* Set the state that is sent with the mirror from now on; current_at_ms is the
+   loop's time at which the items were last confirmed to be current.  Answers
+   held requests if there are changes or the items were confirmed again.  */
+void csp_update_mirror_server (csp_mirror_server_t *server, bool settled,
+                               bool lapsing, uint64_t current_at_ms);
+
+/* Whether a host reads the store itself or follows another host's mirror.
+
+   Load pattern: each call to the store has a price, and each host that watches
+   it makes one for each change and each second.  When the store refuses some
+   hosts, or a followed host dies, hundreds retry at once: 295 hosts made
+   14,000 calls on days with such faults, 2,900 on a quiet one.  So one host
+   reads the store for the fleet, the first host of each other data centre
+   follows it, and the other hosts follow the first host of their data centre:
+   two hops of a millisecond each, and one copy of each change between two data
+   centres.
+
+   Failure: a followed host dies, is cut off, is refused by the store, or
+   follows its own follower; its followers would keep sending to targets that
+   leave.  So each answer carries the age of its items, and when the followed
+   host fails, the next one in a rank order that all hosts share is followed at
+   once.  If no host has current items, the first host of a data centre reads
+   the store itself within a second; the others follow at random times, each
+   the less often the more hosts there are, so that all of them make no more
+   calls than a few readers.  */
 typedef enum
 {
-  CSP_MIRROR_READS_FOR_ALL,
-  CSP_MIRROR_READS_FOR_NEAR, /* first of its data centre; follows the reader */
-  CSP_MIRROR_FOLLOWS,        /* follows the first of its data centre */
+  CSP_MIRROR_FLEET_READER,
+  CSP_MIRROR_DATA_CENTRE_READER, /* first of its data centre; follows the
+                                    fleet's reader */
+  CSP_MIRROR_FOLLOWER,           /* follows the first of its data centre */
   CSP_MIRROR_ROLE_COUNT
 } csp_mirror_role_t;
 
-/* Hosts that could not be followed a moment ago.  */
+/* Hosts that recently failed as upstream and aren't followed for now.  */
 enum
 {
   CSP_UPSTREAMS_FAILED_MAX = 8
@@ -158,8 +161,8 @@
   csp_peer_address_t hosts[CSP_UPSTREAMS_FAILED_MAX];
 } csp_failed_upstreams_t;
 
-/* What this host does for others, and whom it follows; *upstream has port 0
-   where nobody in particular.  */
+/* Choose this host's role and the host that it follows; *upstream has port 0
+   if it follows none or any host will do.  */
 csp_mirror_role_t csp_choose_upstream (const csp_reader_ranks_t *ranks,
                                        const csp_failed_upstreams_t *failed,
                                        csp_peer_address_t *upstream);
@@ -167,49 +170,49 @@
 typedef struct
 {
   csp_mirror_role_t role;
-  bool confirmed;         /* what was read since the start was current once */
-  bool reads_store;       /* now */
-  uint64_t up_ms;         /* since the start */
-  uint64_t unfed_ms;      /* since what is known was current */
-  uint64_t host_unfed_ms; /* since a host said so */
-  size_t hosts;           /* live ones, this one counted in */
-  bool outage; /* several hosts are turned away, so it isn't this host */
-  double lot;  /* of this host, from 0 to 1 */
+  bool confirmed;    /* the items were current at least once since the start */
+  bool reads_store;  /* now, and not just for the start */
+  uint64_t up_ms;    /* since the start */
+  uint64_t stale_ms; /* since the known items were current */
+  uint64_t host_stale_ms; /* since a followed host's items were current */
+  size_t live_hosts;      /* this one included */
+  bool store_outage;   /* the store refuses several hosts, not just this one */
+  double random_share; /* of this host, 0 to 1; spreads the hosts' calls */
 } csp_mirror_facts_t;
 
 typedef struct
 {
-  bool store;
-  bool host;
-  uint32_t store_pause_ms; /* at most, between calls that fail */
-  uint32_t store_gap_ms;   /* between watches that are answered */
+  bool read_store;
+  bool follow_host;
+  uint32_t store_max_backoff_ms; /* between calls that fail */
+  uint32_t store_watch_gap_ms;   /* between watches that are answered */
 } csp_mirror_choice_t;
 
 csp_mirror_choice_t csp_choose_mirror_source (const csp_mirror_facts_t *facts);
 
-/* Feeds the mirror from the store or from other hosts, as the choice says, and
-   serves it.  */
+/* Fills the mirror from the store or from another host, as chosen above, and
+   serves it to other hosts.  */
 typedef struct csp_mirror_feed csp_mirror_feed_t;
 
-/* What a feed is given; all of it must outlive the feed.  */
+/* All that these settings point to must outlive the feed.  */
 typedef struct
 {
-  struct sockaddr_in serve; /* port 0: nothing is served */
+  struct sockaddr_in serve; /* port 0: the mirror isn't served */
   uint64_t link_bytes_per_s;
   struct sockaddr_in store;
-  /* How to speak with the store; its take_answer puts into the mirror.  */
+  /* The store's protocol; its take_answer puts items into the mirror.  */
   const csp_follow_source_t *store_source;
   void *store_state;
-  /* Live hosts, and the order of those that read.  */
+  /* The live hosts, and the rank order of those that may read the store.  */
   size_t (*list_hosts) (void *state, csp_peer_address_t *addresses,
-                        size_t room);
+                        size_t max_hosts);
   void (*rank_readers) (void *state, csp_reader_ranks_t *ranks);
-  /* Told whenever the platform has been heard, itself or by a host, whether or
-     not it had news; age_ms: how long ago the platform said it.  NULL: nobody
-     is.  */
+  /* Called whenever the store has confirmed that the items are current, to
+     this host or through another one, with or without changes; age_ms: how
+     long ago the store did.  May be NULL.  */
   void (*heard) (void *state, uint32_t age_ms);
-  /* Told when this host begins to read the store and be answered, and when no
-     more; NULL: nobody is.  */
+  /* Called when this host begins to get answers from the store, and when it
+     no longer does.  May be NULL.  */
   void (*sighted) (void *state, bool sighted);
   void *hosts_state;
 } csp_mirror_feed_settings_t;
@@ -220,11 +223,11 @@
                       csp_mirror_t *mirror, csp_log_t *log);
 void csp_close_mirror_feed (csp_mirror_feed_t *feed);
 
-/* Told by the store's take_answer when it has put what an answer held.
-   current: it says what is so now, which a stale list doesn't.  */
+/* To be called by the store's take_answer after it has put an answer's items.
+   current: the answer was up to date, which a stale list isn't.  */
 void csp_note_mirror_fed (csp_mirror_feed_t *feed, bool current);
 
-/* Told by the store's reach_changed.  */
-void csp_note_store_reach (csp_mirror_feed_t *feed, bool away);
+/* To be called by the store's reach_changed.  */
+void csp_note_store_reach (csp_mirror_feed_t *feed, bool unreachable);
 
 #endif
--- a/source/mirror/mirror-choice.c
+++ b/source/mirror/mirror-choice.c
@@ -2,39 +2,42 @@
 
 enum
 {
-  /* A host that has just started doesn't know yet who is first; those that are
-     are heard of within half a second.  */
-  ROLE_AFTER_MS = 800,
-  /* The store is heard each 0.6 s without news, and a busy host is some tenths
-     late.  Notices come 1.5 to 2 s before engines go.  The others wait until
-     the first ones have asked, and have told whether the store turned them
-     away.  */
-  NEAR_PATIENCE_MS = 1000,
-  FOLLOWER_PATIENCE_MS = 1600,
-  /* Where the store turns everybody away asking it helps nobody: the first
-     hosts of all data centres ask already, and tell of its return.  214 others
-     asked in an absence of eight seconds.  */
-  OUTAGE_PATIENCE_MS = 20000,
-  /* One host after another asks the store, at most 200 a second, so that the
-     last of 300 does 3.1 s behind its last current word; the users allow 4. */
+  /* A host that has just started doesn't know the hosts that rank before it;
+     it learns of them within half a second.  */
+  FLEET_READER_MIN_UP_MS = 800,
+  /* How long a host waits for current items before it reads the store itself.
+     The store answers each 0.6 s without changes, a busy host is some tenths
+     late, and notices come 1.5 to 2 s before engines leave.  Followers wait
+     until the first hosts have tried and have reported whether the store
+     refused them.  */
+  DATA_CENTRE_READER_FALLBACK_MS = 1000,
+  FOLLOWER_FALLBACK_MS = 1600,
+  /* While the store refuses all hosts, further calls don't help: the first
+     hosts of all data centres already retry and announce its return.  With a
+     shorter wait 214 other hosts called in an outage of eight seconds.  */
+  OUTAGE_FALLBACK_MS = 20000,
+  /* Followers fall back to the store one after another, at most 200 a second,
+     so that the last of 300 does so 3.1 s after its last current items; the
+     requirement is 4 s.  */
   FOLLOWER_SPREAD_MS = 5,
-  /* And each of them at most so often, so that all together make no more than
-     100 calls a second; at most 2 s, as the users allow some 4 s for a notice
-     that a target leaves.  */
-  FOLLOWER_GAP_EACH_MS = 10,
+  /* Gap between the watches of a follower that reads the store, for each live
+     host, so that all of them make at most 100 calls a second.  The maximum of
+     2 s keeps a notice that a target leaves within the required 4 s.  */
+  FOLLOWER_GAP_PER_HOST_MS = 10,
   FOLLOWER_GAP_MAX_MS = 2000,
-  /* Word of hosts has to be that current until the store is let go again.  */
-  FED_AGAIN_MS = 700,
-  /* Pauses between calls that fail grow up to these.  The one that reads for
-     all sees the store's return within half a second, and tells the others. */
-  READER_PAUSE_MS = 400,
-  /* Each call of the one that reads for all brings what changed since the
-     last; with hundreds of targets that come and go that is a call for each of
-     20 changes a second.  This much between two calls costs a notice 20 ms in
-     the mean, and saves a fifth of the calls.  */
-  READER_GAP_MS = 40,
-  NEAR_PAUSE_MS = 800,
-  FOLLOWER_PAUSE_MS = 3000
+  /* A follower stops reading the store once items from hosts are this fresh.
+   */
+  HOST_DATA_FRESH_MS = 700,
+  /* The backoff between failed calls grows up to these.  The fleet's reader
+     notices the store's return within half a second and tells the others.  */
+  FLEET_READER_MAX_BACKOFF_MS = 400,
+  /* A watch returns what changed since the last one; with hundreds of targets
+     that start and stop, the fleet's reader would make a call for each of 20
+     changes a second.  This gap delays a notice by 20 ms on average and saves
+     a fifth of the calls.  */
+  FLEET_READER_GAP_MS = 40,
+  DATA_CENTRE_READER_MAX_BACKOFF_MS = 800,
+  FOLLOWER_MAX_BACKOFF_MS = 3000
 };
 
 bool
@@ -57,51 +60,53 @@
   size_t i;
 
   *upstream = (csp_peer_address_t){ 0 };
-  /* The first of all reads also where its data centre follows another one,
-     which the store turns away.  Were it to follow that one, which follows it,
-     nobody would read.  */
+  /* The first host of the fleet reads the store even if its data centre
+     follows another host, one that the store refuses.  If each of the two
+     followed the other, nobody would read the store.  */
   if (ranks->fleet_count > 0
       && csp_is_same_peer (ranks->fleet[0], ranks->self))
-    return CSP_MIRROR_READS_FOR_ALL;
+    return CSP_MIRROR_FLEET_READER;
   for (i = 0; i < ranks->near_count
               && !csp_is_same_peer (ranks->near[i], ranks->self);
        i++)
     if (!csp_is_failed_upstream (failed, ranks->near[i]))
       {
         *upstream = ranks->near[i];
-        return CSP_MIRROR_FOLLOWS;
+        return CSP_MIRROR_FOLLOWER;
       }
   if (i == ranks->near_count)
-    return CSP_MIRROR_FOLLOWS;
+    return CSP_MIRROR_FOLLOWER;
   for (i = 0; i < ranks->fleet_count; i++)
     {
       if (csp_is_same_peer (ranks->fleet[i], ranks->self))
-        return CSP_MIRROR_READS_FOR_ALL;
+        return CSP_MIRROR_FLEET_READER;
       if (!csp_is_failed_upstream (failed, ranks->fleet[i]))
         {
           *upstream = ranks->fleet[i];
-          return CSP_MIRROR_READS_FOR_NEAR;
+          return CSP_MIRROR_DATA_CENTRE_READER;
         }
     }
-  return CSP_MIRROR_READS_FOR_NEAR;
+  return CSP_MIRROR_DATA_CENTRE_READER;
 }
 
-/* How long a host waits for others' word before it asks the store itself.  */
+/* How long a host waits for current items from other hosts before it reads the
+   store itself.  */
 static uint64_t
-patience_ms (const csp_mirror_facts_t *facts)
+store_fallback_ms (const csp_mirror_facts_t *facts)
 {
-  double spread_ms = facts->lot * (double)facts->hosts * FOLLOWER_SPREAD_MS;
+  double spread_ms
+      = facts->random_share * (double)facts->live_hosts * FOLLOWER_SPREAD_MS;
 
-  if (facts->role == CSP_MIRROR_READS_FOR_NEAR)
-    return NEAR_PATIENCE_MS;
-  return (facts->outage ? OUTAGE_PATIENCE_MS : FOLLOWER_PATIENCE_MS)
+  if (facts->role == CSP_MIRROR_DATA_CENTRE_READER)
+    return DATA_CENTRE_READER_FALLBACK_MS;
+  return (facts->store_outage ? OUTAGE_FALLBACK_MS : FOLLOWER_FALLBACK_MS)
          + (uint64_t)spread_ms;
 }
 
 static uint32_t
 follower_gap_ms (const csp_mirror_facts_t *facts)
 {
-  size_t gap_ms = facts->hosts * FOLLOWER_GAP_EACH_MS;
+  size_t gap_ms = facts->live_hosts * FOLLOWER_GAP_PER_HOST_MS;
 
   return gap_ms < FOLLOWER_GAP_MAX_MS ? (uint32_t)gap_ms : FOLLOWER_GAP_MAX_MS;
 }
@@ -109,29 +114,31 @@
 csp_mirror_choice_t
 csp_choose_mirror_source (const csp_mirror_facts_t *facts)
 {
-  static const uint32_t pauses_ms[CSP_MIRROR_ROLE_COUNT]
-      = { [CSP_MIRROR_READS_FOR_ALL] = READER_PAUSE_MS,
-          [CSP_MIRROR_READS_FOR_NEAR] = NEAR_PAUSE_MS,
-          [CSP_MIRROR_FOLLOWS] = FOLLOWER_PAUSE_MS };
-  bool alone = facts->hosts <= 1;
+  static const uint32_t max_backoffs_ms[CSP_MIRROR_ROLE_COUNT]
+      = { [CSP_MIRROR_FLEET_READER] = FLEET_READER_MAX_BACKOFF_MS,
+          [CSP_MIRROR_DATA_CENTRE_READER] = DATA_CENTRE_READER_MAX_BACKOFF_MS,
+          [CSP_MIRROR_FOLLOWER] = FOLLOWER_MAX_BACKOFF_MS };
+  bool alone = facts->live_hosts <= 1;
   csp_mirror_choice_t choice
-      = { .host = true, .store_pause_ms = pauses_ms[facts->role] };
+      = { .follow_host = true,
+          .store_max_backoff_ms = max_backoffs_ms[facts->role] };
 
   if (!facts->confirmed)
     {
-      choice.store = true;
+      choice.read_store = true;
       return choice;
     }
-  if (facts->role == CSP_MIRROR_READS_FOR_ALL)
+  if (facts->role == CSP_MIRROR_FLEET_READER)
     {
-      choice.store = alone || facts->up_ms >= ROLE_AFTER_MS;
-      choice.host = !choice.store;
-      choice.store_gap_ms = READER_GAP_MS;
+      choice.read_store = alone || facts->up_ms >= FLEET_READER_MIN_UP_MS;
+      choice.follow_host = !choice.read_store;
+      choice.store_watch_gap_ms = FLEET_READER_GAP_MS;
       return choice;
     }
-  if (facts->role == CSP_MIRROR_FOLLOWS)
-    choice.store_gap_ms = follower_gap_ms (facts);
-  choice.store = facts->reads_store ? facts->host_unfed_ms >= FED_AGAIN_MS
-                                    : facts->unfed_ms >= patience_ms (facts);
+  if (facts->role == CSP_MIRROR_FOLLOWER)
+    choice.store_watch_gap_ms = follower_gap_ms (facts);
+  choice.read_store = facts->reads_store
+                          ? facts->host_stale_ms >= HOST_DATA_FRESH_MS
+                          : facts->stale_ms >= store_fallback_ms (facts);
   return choice;
 }
--- a/source/mirror/mirror-feed.c
+++ b/source/mirror/mirror-feed.c
@@ -8,57 +8,57 @@
 
 enum
 {
-  /* How often the choice of the source is looked at.  */
-  CHOOSE_MS = 100,
-  /* A host that could not be followed is left alone for that long, and twice
-     as long for each further time, up to the last.  One that is gone is tried
-     some times until hosts have forgotten it, each time for 0.7 s; one that
-     was in doubt for a moment is followed again soon.  */
-  FAILED_FIRST_MS = 500,
+  /* How often the source is chosen anew.  */
+  CHOOSE_INTERVAL_MS = 100,
+  /* A host that failed as upstream isn't followed for this long, doubled with
+     each further failure.  A dead host is tried a few times, for 0.7 s each,
+     until it is no longer listed as live; one that failed once is soon
+     followed again.  */
+  FAILED_BACKOFF_MS = 500,
   FAILED_DOUBLINGS = 3,
-  /* Word that old isn't current: the store is heard each 0.6 s without news,
-     and three hosts may pass it on.  */
-  OLD_WORD_MS = 1500,
-  /* A host that is followed and has had no current word for that long is cut
-     off in some way that its followers aren't.  Sooner it is mostly the store
-     that says nothing, for a second or two, and hundreds of hosts would look
-     for another all at once, in vain.  */
-  STALE_AFTER_MS = 3000,
-  /* The first host of a data centre tries another reader sooner: there are few
-     of them, and all of theirs wait for them.  */
-  STALE_NEAR_AFTER_MS = 1500,
-  /* A host that starts hears of the others within a second; until then it
-     follows whom it can.  */
-  STARTS_FOR_MS = 2500,
-  /* How long the store must have been back before removals are believed: its
-     own rows come back within about two seconds.  */
+  /* Items of this age aren't current: the store answers each 0.6 s without
+     changes, and up to three hosts pass the answer on.  */
+  OLD_DATA_MS = 1500,
+  /* An upstream without current items for this long is cut off in a way that
+     its followers aren't.  A shorter gap is mostly due to the store, which may
+     be silent for a second or two; hundreds of hosts would then look for
+     another upstream at once, in vain.  */
+  UPSTREAM_STALE_MS = 3000,
+  /* The first host of a data centre tries another reader sooner: such hosts
+     are few, and the other hosts of the data centre depend on them.  */
+  READER_UPSTREAM_STALE_MS = 1500,
+  /* A host that starts learns of the others within a second; until then it
+     follows any host it can.  */
+  STARTUP_MS = 2500,
+  /* How long after the store's return removals may still be due to its outage:
+     its entries come back within about two seconds.  */
   LAPSING_MS = 2500,
-  /* A host that the store turned away and that doesn't read it now is tried
-     again behind that, should its turn come.  */
-  BLIND_MS = 5000,
-  /* A host that the store answered so lately reads it: without news it does
-     each 0.6 s.  */
-  SIGHTED_MS = 1200,
-  /* A host says something that often, and is missed that much later: a notice
-     that is lost with it comes 0.7 s late, of the two or three seconds that
-     the users allow.  */
+  /* How long the store counts as unreachable for a host that no longer reads
+     it; after that the host may be chosen as a reader again.  */
+  UNREACHABLE_EXPIRY_MS = 5000,
+  /* A host that the store answered this recently counts as reading it: the
+     store answers each 0.6 s without changes.  */
+  STORE_READ_RECENT_MS = 1200,
+  /* How long an upstream may hold a request, and how much later its answer
+     counts as lost.  A notice that is lost with the upstream comes 0.7 s late,
+     of the two or three seconds that are allowed.  */
   HOST_WAIT_MS = 400,
-  HOST_SLACK_MS = 300,
-  HOST_PAUSE_MS = 400,
+  HOST_GRACE_MS = 300,
+  HOST_MAX_BACKOFF_MS = 400,
   HOSTS_MAX = 64,
-  /* Hosts that may send this one further, one after another; then it asks the
-     first again.  */
-  STEPS_MAX = 8,
-  /* No status says that history is gone: the answer is then whole.  */
-  NO_STATUS = 0
+  /* Redirects that are followed in a row; then the first upstream is asked
+     again.  */
+  REDIRECTS_MAX = 8,
+  /* No status says that history is gone: the answer then holds all items.  */
+  NO_COMPACTED_STATUS = 0
 };
 
 typedef struct
 {
   csp_peer_address_t host;
-  uint32_t times; /* in a row */
-  uint64_t until_ms;
-} failed_t;
+  uint32_t failures; /* in a row */
+  uint64_t skip_until_ms;
+} failed_upstream_t;
 
 struct csp_mirror_feed
 {
@@ -67,66 +67,66 @@
   csp_mirror_t *mirror;
   csp_log_t *log;
   csp_mirror_server_t *server;
-  csp_follower_t *store;
-  csp_follower_t *host;
-  csp_peer_address_t host_address; /* that is followed */
-  csp_peer_address_t root_address; /* that was asked first */
-  uint32_t steps;                  /* from there */
-  uint64_t host_since_ms;
+  csp_follower_t *store_follower;
+  csp_follower_t *host_follower;
+  csp_peer_address_t upstream;       /* followed now */
+  csp_peer_address_t first_upstream; /* before any redirect */
+  uint32_t redirects;                /* since first_upstream */
+  uint64_t followed_since_ms;
   uv_timer_t timer;
   csp_mirror_role_t role;
   bool confirmed;
-  bool starting; /* what reads the store does so for the start alone */
-  bool store_away;
-  bool sighted; /* as told */
-  uint64_t store_fed_ms;
+  bool startup_read; /* the store is read only for the start */
+  bool store_unreachable;
+  bool reported_store_read;
+  uint64_t store_current_at_ms;
   bool outage;
-  uint64_t blind_until_ms;
+  uint64_t unreachable_until_ms;
   uint64_t lapsing_until_ms;
   uint64_t started_ms;
-  uint64_t fed_ms;
-  uint64_t host_fed_ms;
+  uint64_t current_at_ms;
+  uint64_t host_current_at_ms;
   size_t failed_next;
-  failed_t failed[CSP_UPSTREAMS_FAILED_MAX];
+  failed_upstream_t failed[CSP_UPSTREAMS_FAILED_MAX];
   csp_random_t random;
-  double lot;
+  double random_share;
 };
 
 static void choose_source (csp_mirror_feed_t *feed);
-static void stop_host (csp_mirror_feed_t *feed);
+static void stop_following (csp_mirror_feed_t *feed);
 static void follow_host (csp_mirror_feed_t *feed, csp_peer_address_t host);
 
 static uint64_t
-now_of (const csp_mirror_feed_t *feed)
+loop_now_ms (const csp_mirror_feed_t *feed)
 {
   return uv_now (feed->loop);
 }
 
 static void
-tell_server (csp_mirror_feed_t *feed)
+update_server (csp_mirror_feed_t *feed)
 {
-  csp_tell_mirror_server (
+  csp_update_mirror_server (
       feed->server, feed->confirmed && csp_mirror_revision (feed->mirror) > 0,
-      feed->store_away || now_of (feed) < feed->lapsing_until_ms,
-      feed->fed_ms);
+      feed->store_unreachable || loop_now_ms (feed) < feed->lapsing_until_ms,
+      feed->current_at_ms);
 }
 
 static void
-close_store (csp_mirror_feed_t *feed)
+stop_store_reads (csp_mirror_feed_t *feed)
 {
-  csp_close_follower (feed->store);
-  feed->store = NULL;
+  csp_close_follower (feed->store_follower);
+  feed->store_follower = NULL;
 }
 
-/* What is known was current so long ago, by the word of the store or of a
-   host.  */
+/* Record that the known items were current that long ago, as confirmed by the
+   store or by a host.  */
 static void
 note_current (csp_mirror_feed_t *feed, uint32_t age_ms)
 {
-  uint64_t at_ms = now_of (feed) - age_ms;
+  uint64_t current_at_ms = loop_now_ms (feed) - age_ms;
 
-  if (at_ms > feed->fed_ms)
-    feed->fed_ms = at_ms;
+  if (current_at_ms > feed->current_at_ms)
+    feed->current_at_ms = current_at_ms;
   if (!feed->confirmed)
     {
       feed->confirmed = true;
@@ -148,11 +148,11 @@
       call->wait_ms,
       (unsigned long long)csp_pack_peer (
           csp_peer_of_socket (&feed->settings.serve)),
-      feed->role == CSP_MIRROR_READS_FOR_NEAR);
+      feed->role == CSP_MIRROR_DATA_CENTRE_READER);
   csp_print_buffer (request, "Host: h\r\n\r\n");
 }
 
-static failed_t *
+static failed_upstream_t *
 find_failed (csp_mirror_feed_t *feed, csp_peer_address_t host)
 {
   size_t i;
@@ -163,43 +163,46 @@
   return NULL;
 }
 
-/* Word that is older than what is known already comes from a host that follows
-   this one, or from one that is as badly off.  */
+/* Items older than the known ones come from a host that follows this one or
+   that is cut off as well.  */
 static void
-take_word (csp_mirror_feed_t *feed, const csp_mirror_word_t *word)
+apply_status (csp_mirror_feed_t *feed, const csp_mirror_status_t *status)
 {
-  uint64_t now_ms = now_of (feed);
-  uint64_t at_ms = word->age_ms < now_ms ? now_ms - word->age_ms : 0;
-  failed_t *failed = find_failed (feed, feed->host_address);
+  uint64_t now_ms = loop_now_ms (feed);
+  uint64_t current_at_ms
+      = status->age_ms < now_ms ? now_ms - status->age_ms : 0;
+  failed_upstream_t *failed = find_failed (feed, feed->upstream);
 
-  if (word->lapsing)
+  if (status->lapsing)
     feed->lapsing_until_ms = now_ms + LAPSING_MS;
-  if (at_ms > feed->host_fed_ms)
-    feed->host_fed_ms = at_ms;
-  if (word->age_ms >= OLD_WORD_MS)
+  if (current_at_ms > feed->host_current_at_ms)
+    feed->host_current_at_ms = current_at_ms;
+  if (status->age_ms >= OLD_DATA_MS)
     return;
   if (failed != NULL)
-    failed->times = 0;
-  note_current (feed, word->age_ms);
+    failed->failures = 0;
+  note_current (feed, status->age_ms);
 }
 
-/* The host serves as many as it may, and names those.  */
+/* If the upstream serves its maximum of followers and names those instead,
+   follow one of them.  False if the body is no redirect.  */
 static bool
-goes_elsewhere (csp_mirror_feed_t *feed, const char *body)
+follow_redirect (csp_mirror_feed_t *feed, const char *body)
 {
-  csp_peer_address_t hosts[CSP_MIRROR_NAMED_MAX];
-  csp_peer_address_t root = feed->root_address;
-  uint32_t steps = feed->steps + 1;
-  size_t count = csp_read_elsewhere (body, hosts, CSP_MIRROR_NAMED_MAX);
+  csp_peer_address_t hosts[CSP_MIRROR_REDIRECT_HOSTS_MAX];
+  csp_peer_address_t first_upstream = feed->first_upstream;
+  uint32_t redirects = feed->redirects + 1;
+  size_t count
+      = csp_decode_redirect (body, hosts, CSP_MIRROR_REDIRECT_HOSTS_MAX);
 
   if (count == 0)
     return false;
-  stop_host (feed);
-  if (steps > STEPS_MAX)
+  stop_following (feed);
+  if (redirects > REDIRECTS_MAX)
     return true;
   follow_host (feed, hosts[csp_random_below (&feed->random, (uint32_t)count)]);
-  feed->root_address = root;
-  feed->steps = steps;
+  feed->first_upstream = first_upstream;
+  feed->redirects = redirects;
   return true;
 }
 
@@ -208,61 +211,64 @@
              csp_watch_t *watch)
 {
   csp_mirror_feed_t *feed = state;
-  csp_mirror_word_t word = { .age_ms = 0 };
+  csp_mirror_status_t status = { .age_ms = 0 };
   int64_t as_of = 0;
 
-  if (goes_elsewhere (feed, body))
+  if (follow_redirect (feed, body))
     return true;
-  if (!csp_decode_mirror (feed->mirror, body, &word, &as_of))
+  if (!csp_decode_mirror (feed->mirror, body, &status, &as_of))
     return false;
   if (call->kind == CSP_WATCH_LIST)
     csp_note_watch_page (watch, as_of, false, "");
   else
     csp_note_watch_changes (watch, as_of);
-  take_word (feed, &word);
-  tell_server (feed);
+  apply_status (feed, &status);
+  update_server (feed);
   return true;
 }
 
 static void
-note_failed (csp_mirror_feed_t *feed, csp_peer_address_t host)
+record_upstream_failure (csp_mirror_feed_t *feed, csp_peer_address_t host)
 {
-  failed_t *failed = find_failed (feed, host);
+  failed_upstream_t *failed = find_failed (feed, host);
   uint32_t doublings;
 
   if (failed == NULL)
     {
       failed = &feed->failed[feed->failed_next];
       feed->failed_next = (feed->failed_next + 1) % CSP_UPSTREAMS_FAILED_MAX;
-      *failed = (failed_t){ .host = host };
+      *failed = (failed_upstream_t){ .host = host };
     }
-  doublings
-      = failed->times < FAILED_DOUBLINGS ? failed->times : FAILED_DOUBLINGS;
-  failed->times++;
-  failed->until_ms = now_of (feed) + ((uint64_t)FAILED_FIRST_MS << doublings);
+  doublings = failed->failures < FAILED_DOUBLINGS ? failed->failures
+                                                  : FAILED_DOUBLINGS;
+  failed->failures++;
+  failed->skip_until_ms
+      = loop_now_ms (feed) + ((uint64_t)FAILED_BACKOFF_MS << doublings);
 }
 
 static void
-stop_host (csp_mirror_feed_t *feed)
+stop_following (csp_mirror_feed_t *feed)
 {
-  csp_close_follower (feed->host);
-  feed->host = NULL;
+  csp_close_follower (feed->host_follower);
+  feed->host_follower = NULL;
 }
 
-/* What the followed host says can't be relied on: another is followed.  */
+/* Stop following a host that failed or whose items are stale, and skip it for
+   a while.  */
 static void
-leave_host (csp_mirror_feed_t *feed)
+abandon_upstream (csp_mirror_feed_t *feed)
 {
   char address[CSP_PEER_TEXT_BYTES];
 
-  csp_print_peer (feed->host_address, address);
-  note_failed (feed, feed->host_address);
-  stop_host (feed);
+  csp_print_peer (feed->upstream, address);
+  record_upstream_failure (feed, feed->upstream);
+  stop_following (feed);
   if (!feed->confirmed)
     return;
   CSP_LOG (feed->log, CSP_EVENT_READER_LOST, NULL, csp_text ("host", address),
            csp_number ("revision", csp_mirror_revision (feed->mirror)),
-           csp_number ("unfed_ms", (int64_t)(now_of (feed) - feed->fed_ms)));
+           csp_number ("unfed_ms",
+                       (int64_t)(loop_now_ms (feed) - feed->current_at_ms)));
 }
 
 static void
@@ -270,7 +276,7 @@
 {
   csp_mirror_feed_t *feed = state;
 
-  leave_host (feed);
+  abandon_upstream (feed);
   choose_source (feed);
 }
 
@@ -278,22 +284,23 @@
     = { .write_call = write_call,
         .take_answer = take_answer,
         .doubted = on_host_doubted,
-        .compacted_status = NO_STATUS,
+        .compacted_status = NO_COMPACTED_STATUS,
         .policy = { .wait_ms = HOST_WAIT_MS,
-                    .slack_ms = HOST_SLACK_MS,
-                    .pause_last_ms = HOST_PAUSE_MS } };
+                    .slack_ms = HOST_GRACE_MS,
+                    .pause_last_ms = HOST_MAX_BACKOFF_MS } };
 
 static void
 follow_host (csp_mirror_feed_t *feed, csp_peer_address_t host)
 {
   struct sockaddr_in address = csp_socket_of_peer (host);
 
-  feed->host_address = host;
-  feed->root_address = host;
-  feed->steps = 0;
-  feed->host_since_ms = now_of (feed);
-  feed->host = csp_open_follower (feed->loop, &address, &host_source,
-                                  csp_mirror_revision (feed->mirror), feed);
+  feed->upstream = host;
+  feed->first_upstream = host;
+  feed->redirects = 0;
+  feed->followed_since_ms = loop_now_ms (feed);
+  feed->host_follower
+      = csp_open_follower (feed->loop, &address, &host_source,
+                           csp_mirror_revision (feed->mirror), feed);
 }
 
 static void
@@ -303,12 +310,13 @@
 
   failed->count = 0;
   for (i = 0; i < CSP_UPSTREAMS_FAILED_MAX; i++)
-    if (now_of (feed) < feed->failed[i].until_ms)
+    if (loop_now_ms (feed) < feed->failed[i].skip_until_ms)
       failed->hosts[failed->count++] = feed->failed[i].host;
 }
 
 static void
-follow_any_host (csp_mirror_feed_t *feed, const csp_failed_upstreams_t *failed)
+follow_any_upstream (csp_mirror_feed_t *feed,
+                     const csp_failed_upstreams_t *failed)
 {
   csp_peer_address_t hosts[HOSTS_MAX];
   size_t count = feed->settings.list_hosts (feed->settings.hosts_state, hosts,
@@ -327,95 +335,96 @@
     }
 }
 
-/* Where several hosts are turned away none of them has current word, and one
-   is as good as another.  */
+/* In an outage of the store no host has current items, and another upstream
+   would be no better.  */
 static bool
-is_stale (const csp_mirror_feed_t *feed)
+is_upstream_stale (const csp_mirror_feed_t *feed)
 {
-  uint64_t now_ms = now_of (feed);
-  uint64_t after_ms = feed->role == CSP_MIRROR_READS_FOR_NEAR
-                          ? STALE_NEAR_AFTER_MS
-                          : STALE_AFTER_MS;
+  uint64_t now_ms = loop_now_ms (feed);
+  uint64_t after_ms = feed->role == CSP_MIRROR_DATA_CENTRE_READER
+                          ? READER_UPSTREAM_STALE_MS
+                          : UPSTREAM_STALE_MS;
 
   return !feed->outage && feed->confirmed
-         && now_ms - feed->host_since_ms >= after_ms
-         && now_ms - feed->host_fed_ms >= after_ms;
+         && now_ms - feed->followed_since_ms >= after_ms
+         && now_ms - feed->host_current_at_ms >= after_ms;
 }
 
 static void
-choose_host (csp_mirror_feed_t *feed, csp_peer_address_t upstream)
+choose_upstream (csp_mirror_feed_t *feed, csp_peer_address_t upstream)
 {
   csp_failed_upstreams_t failed;
 
-  if (feed->host != NULL && is_stale (feed))
-    leave_host (feed);
-  if (feed->host != NULL && upstream.port != 0
-      && !csp_is_same_peer (feed->root_address, upstream))
-    stop_host (feed);
-  if (feed->host != NULL)
+  if (feed->host_follower != NULL && is_upstream_stale (feed))
+    abandon_upstream (feed);
+  if (feed->host_follower != NULL && upstream.port != 0
+      && !csp_is_same_peer (feed->first_upstream, upstream))
+    stop_following (feed);
+  if (feed->host_follower != NULL)
     return;
   list_failed (feed, &failed);
   if (upstream.port != 0 && !csp_is_failed_upstream (&failed, upstream))
     follow_host (feed, upstream);
   else
-    follow_any_host (feed, &failed);
+    follow_any_upstream (feed, &failed);
 }
 
 static void
 choose_store (csp_mirror_feed_t *feed, const csp_mirror_choice_t *choice)
 {
-  if (!choice->store)
+  if (!choice->read_store)
     {
-      if (feed->store != NULL && feed->store_away)
-        feed->blind_until_ms = now_of (feed) + BLIND_MS;
-      close_store (feed);
+      if (feed->store_follower != NULL && feed->store_unreachable)
+        feed->unreachable_until_ms
+            = loop_now_ms (feed) + UNREACHABLE_EXPIRY_MS;
+      stop_store_reads (feed);
       return;
     }
-  if (feed->store == NULL)
+  if (feed->store_follower == NULL)
     {
-      feed->store = csp_open_follower (
+      feed->store_follower = csp_open_follower (
           feed->loop, &feed->settings.store, feed->settings.store_source,
           csp_mirror_revision (feed->mirror), feed->settings.store_state);
-      if (feed->store != NULL && feed->store_away)
-        csp_set_follower_away (feed->store);
+      if (feed->store_follower != NULL && feed->store_unreachable)
+        csp_set_follower_away (feed->store_follower);
       if (feed->confirmed)
-        CSP_LOG (
-            feed->log, CSP_EVENT_STORE_READ, NULL,
-            csp_number ("role", feed->role),
-            csp_number ("unfed_ms", (int64_t)(now_of (feed) - feed->fed_ms)));
+        CSP_LOG (feed->log, CSP_EVENT_STORE_READ, NULL,
+                 csp_number ("role", feed->role),
+                 csp_number ("unfed_ms", (int64_t)(loop_now_ms (feed)
+                                                   - feed->current_at_ms)));
     }
-  if (feed->store != NULL)
-    csp_set_follower_pace (feed->store, choice->store_pause_ms,
-                           choice->store_gap_ms);
+  if (feed->store_follower != NULL)
+    csp_set_follower_pace (feed->store_follower, choice->store_max_backoff_ms,
+                           choice->store_watch_gap_ms);
 }
 
-/* A host that was turned away and doesn't read now counts as able to again
-   after a while; it would never be asked to otherwise.  */
+/* If this host no longer reads the store, report it as reachable again after a
+   while; otherwise this host would never be chosen as a reader again.  */
 static void
-forget_blindness (csp_mirror_feed_t *feed)
+expire_store_unreachable (csp_mirror_feed_t *feed)
 {
-  if (feed->store_away && feed->store == NULL
-      && now_of (feed) >= feed->blind_until_ms)
+  if (feed->store_unreachable && feed->store_follower == NULL
+      && loop_now_ms (feed) >= feed->unreachable_until_ms)
     feed->settings.store_source->reach_changed (feed->settings.store_state,
                                                 false);
 }
 
-/* How long nothing current was heard, though it could have been.  */
+/* How long the known items haven't been current, the start not counted.  */
 static uint64_t
-unfed_ms (const csp_mirror_feed_t *feed)
+stale_ms (const csp_mirror_feed_t *feed)
 {
-  uint64_t since_ms = feed->started_ms + STARTS_FOR_MS;
-  uint64_t now_ms = now_of (feed);
+  uint64_t since_ms = feed->started_ms + STARTUP_MS;
+  uint64_t now_ms = loop_now_ms (feed);
 
-  if (feed->fed_ms > since_ms)
-    since_ms = feed->fed_ms;
+  if (feed->current_at_ms > since_ms)
+    since_ms = feed->current_at_ms;
   return now_ms > since_ms ? now_ms - since_ms : 0;
 }
 
 static void
 choose_source (csp_mirror_feed_t *feed)
 {
-  uint64_t now_ms = now_of (feed);
+  uint64_t now_ms = loop_now_ms (feed);
   csp_failed_upstreams_t failed;
   csp_reader_ranks_t ranks;
   csp_peer_address_t upstream;
@@ -426,39 +435,42 @@
   feed->settings.rank_readers (feed->settings.hosts_state, &ranks);
   feed->role = csp_choose_upstream (&ranks, &failed, &upstream);
   feed->outage = ranks.outage;
-  facts = (csp_mirror_facts_t){ .role = feed->role,
-                                .confirmed = feed->confirmed,
-                                .reads_store
-                                = feed->store != NULL && !feed->starting,
-                                .up_ms = now_ms - feed->started_ms,
-                                .unfed_ms = unfed_ms (feed),
-                                .host_unfed_ms = now_ms - feed->host_fed_ms,
-                                .hosts = ranks.hosts,
-                                .outage = feed->outage,
-                                .lot = feed->lot };
+  facts = (csp_mirror_facts_t){
+    .role = feed->role,
+    .confirmed = feed->confirmed,
+    .reads_store = feed->store_follower != NULL && !feed->startup_read,
+    .up_ms = now_ms - feed->started_ms,
+    .stale_ms = stale_ms (feed),
+    .host_stale_ms = now_ms - feed->host_current_at_ms,
+    .live_hosts = ranks.hosts,
+    .store_outage = feed->outage,
+    .random_share = feed->random_share
+  };
   choice = csp_choose_mirror_source (&facts);
-  feed->starting = !feed->confirmed;
+  feed->startup_read = !feed->confirmed;
   choose_store (feed, &choice);
-  if (choice.host)
-    choose_host (feed, upstream);
+  if (choice.follow_host)
+    choose_upstream (feed, upstream);
   else
-    stop_host (feed);
-  forget_blindness (feed);
+    stop_following (feed);
+  expire_store_unreachable (feed);
 }
 
-/* Others follow a host that reads the store and is answered before one that
-   has not tried.  */
+/* Report whether this host gets answers from the store: other hosts prefer
+   such an upstream to one that hasn't tried.  */
 static void
-tell_sight (csp_mirror_feed_t *feed)
+report_store_read (csp_mirror_feed_t *feed)
 {
-  bool sighted = feed->store != NULL && feed->confirmed && !feed->starting
-                 && now_of (feed) - feed->store_fed_ms < SIGHTED_MS;
+  bool reads_store = feed->store_follower != NULL && feed->confirmed
+                     && !feed->startup_read
+                     && loop_now_ms (feed) - feed->store_current_at_ms
+                            < STORE_READ_RECENT_MS;
 
-  if (sighted == feed->sighted)
+  if (reads_store == feed->reported_store_read)
     return;
-  feed->sighted = sighted;
+  feed->reported_store_read = reads_store;
   if (feed->settings.sighted != NULL)
-    feed->settings.sighted (feed->settings.hosts_state, sighted);
+    feed->settings.sighted (feed->settings.hosts_state, reads_store);
 }
 
 static void
@@ -467,8 +479,8 @@
   csp_mirror_feed_t *feed = timer->data;
 
   choose_source (feed);
-  tell_sight (feed);
-  tell_server (feed);
+  report_store_read (feed);
+  update_server (feed);
 }
 
 csp_mirror_feed_t *
@@ -485,9 +497,9 @@
   feed->mirror = mirror;
   feed->log = log;
   feed->started_ms = uv_now (loop);
-  feed->starting = true;
+  feed->startup_read = true;
   csp_seed_random (&feed->random, csp_random_seed ());
-  feed->lot = csp_random_unit (&feed->random);
+  feed->random_share = csp_random_unit (&feed->random);
   if (settings->serve.sin_port != 0)
     {
       feed->server = csp_open_mirror_server (
@@ -500,7 +512,7 @@
     }
   uv_timer_init (loop, &feed->timer);
   feed->timer.data = feed;
-  uv_timer_start (&feed->timer, on_tick, 0, CHOOSE_MS);
+  uv_timer_start (&feed->timer, on_tick, 0, CHOOSE_INTERVAL_MS);
   return feed;
 }
 
@@ -515,8 +527,8 @@
 {
   if (feed == NULL)
     return;
-  stop_host (feed);
-  close_store (feed);
+  stop_following (feed);
+  stop_store_reads (feed);
   csp_close_mirror_server (feed->server);
   feed->server = NULL;
   uv_close ((uv_handle_t *)&feed->timer, free_closed);
@@ -527,17 +539,17 @@
 {
   if (current)
     {
-      feed->store_fed_ms = now_of (feed);
+      feed->store_current_at_ms = loop_now_ms (feed);
       note_current (feed, 0);
     }
-  tell_server (feed);
+  update_server (feed);
 }
 
 void
-csp_note_store_reach (csp_mirror_feed_t *feed, bool away)
+csp_note_store_reach (csp_mirror_feed_t *feed, bool unreachable)
 {
-  if (feed->store_away && !away)
-    feed->lapsing_until_ms = now_of (feed) + LAPSING_MS;
-  feed->store_away = away;
-  feed->blind_until_ms = now_of (feed) + BLIND_MS;
+  if (feed->store_unreachable && !unreachable)
+    feed->lapsing_until_ms = loop_now_ms (feed) + LAPSING_MS;
+  feed->store_unreachable = unreachable;
+  feed->unreachable_until_ms = loop_now_ms (feed) + UNREACHABLE_EXPIRY_MS;
 }
--- a/source/mirror/mirror-server.c
+++ b/source/mirror/mirror-server.c
@@ -9,17 +9,19 @@
 
 enum
 {
-  /* Hosts that are kept waiting at once, at first: those of a data centre.  */
-  WAITING_FIRST = 64,
-  /* A mirror that is confirmed that much later than when a host asked is worth
-     an answer without news.  Hosts that follow each other would answer each
-     other without end otherwise, as ages are rounded on their way.  */
-  CONFIRMED_AGAIN_MS = 50,
-  COUNT_MS = 1000,
-  /* How often waits that are over are looked for.  */
+  /* The hosts of one data centre.  */
+  HELD_INITIAL_CAPACITY = 64,
+  /* A held request is answered without changes once the items have been
+     confirmed this much later than at the time of the request.  Without this
+     minimum, hosts that follow each other would answer each other endlessly,
+     as ages are rounded on the way.  */
+  RECONFIRMED_MIN_MS = 50,
+  RATE_PERIOD_MS = 1000,
+  /* How often held requests are checked for the end of their wait.  */
   HOLD_TICK_MS = 50,
-  /* Shorter texts go as they are: they fit into a packet with their head.  */
-  PACKED_LEAST_BYTES = 1000,
+  /* Shorter texts are sent uncompressed: they fit into one packet with their
+     header.  */
+  PACKED_MIN_BYTES = 1000,
   STATUS_OK = 200,
   STATUS_NOT_FOUND = 404,
   DECIMAL = 10
@@ -28,11 +30,11 @@
 typedef struct
 {
   csp_page_t *page;
-  bool unpacks; /* the host takes what is packed */
+  bool accepts_packed; /* compressed answers */
   int64_t after;
   uint64_t until_ms;
-  uint64_t fed_ms; /* of the mirror, as it was when the host asked */
-} waiting_t;
+  uint64_t current_at_ms; /* of the mirror, when the request came */
+} held_request_t;
 
 struct csp_mirror_server
 {
@@ -42,24 +44,24 @@
   uv_timer_t timer;
   bool settled;
   bool lapsing;
-  uint64_t fed_ms;
+  uint64_t current_at_ms;
   uint64_t link_bytes_per_s;
   csp_mirror_followers_t followers;
-  uint64_t sent_bytes; /* since counted_ms */
-  uint64_t counted_ms;
+  uint64_t sent_bytes; /* since count_start_ms */
+  uint64_t count_start_ms;
   uint64_t follower_bytes_per_s;
-  size_t waiting_count;
-  size_t waiting_room;
-  waiting_t *waiting;
+  size_t held_count;
+  size_t held_capacity;
+  held_request_t *held_requests;
 };
 
-/* An answer, kept for as long as others ask for the same: hosts that follow
-   closely all wait behind the same revision.  */
+/* An encoded answer, reused for requests after the same revision: followers
+   that are up to date all wait for changes after the same one.  */
 typedef struct
 {
   int64_t after;
   csp_buffer_t text;
-  csp_buffer_t packed; /* none where that isn't worth it, or memory failed */
+  csp_buffer_t packed; /* empty if the text is short or memory failed */
 } answer_t;
 
 static void
@@ -73,45 +75,46 @@
 encode_answer (const csp_mirror_server_t *server, int64_t after,
                answer_t *answer)
 {
-  csp_mirror_word_t word
+  csp_mirror_status_t status
       = { .settled = server->settled,
           .lapsing = server->lapsing,
-          .age_ms = (uint32_t)(uv_now (server->loop) - server->fed_ms) };
+          .age_ms
+          = (uint32_t)(uv_now (server->loop) - server->current_at_ms) };
 
   if (answer->text.size_bytes > 0 && answer->after == after)
     return;
   clear_answer (answer);
   answer->after = after;
-  csp_encode_mirror (server->mirror, after, &word, &answer->text);
-  if (answer->text.size_bytes >= PACKED_LEAST_BYTES
+  csp_encode_mirror (server->mirror, after, &status, &answer->text);
+  if (answer->text.size_bytes >= PACKED_MIN_BYTES
       && !csp_pack_bytes (answer->text.data, answer->text.size_bytes,
                           &answer->packed))
     csp_clear_buffer (&answer->packed);
 }
 
-/* What one follower costs, counted each second.  It falls by half at most: a
-   calm second isn't the next one.  */
+/* Measure each second what one follower costs.  The value falls by half at
+   most, since a quiet second may be followed by a busy one.  */
 static void
 count_sent (csp_mirror_server_t *server, size_t size_bytes)
 {
-  uint64_t passed_ms = uv_now (server->loop) - server->counted_ms;
+  uint64_t passed_ms = uv_now (server->loop) - server->count_start_ms;
   uint64_t followers = server->followers.count;
   uint64_t rate;
 
   server->sent_bytes += size_bytes;
-  if (passed_ms < COUNT_MS)
+  if (passed_ms < RATE_PERIOD_MS)
     return;
-  rate = server->sent_bytes * COUNT_MS / passed_ms
+  rate = server->sent_bytes * RATE_PERIOD_MS / passed_ms
          / (followers == 0 ? 1 : followers);
   if (rate < server->follower_bytes_per_s / 2)
     rate = server->follower_bytes_per_s / 2;
   server->follower_bytes_per_s = rate;
   server->sent_bytes = 0;
-  server->counted_ms = uv_now (server->loop);
+  server->count_start_ms = uv_now (server->loop);
 }
 
 void
-csp_note_follower_cost (csp_mirror_server_t *server, uint64_t bytes_per_s)
+csp_set_follower_cost (csp_mirror_server_t *server, uint64_t bytes_per_s)
 {
   server->follower_bytes_per_s = bytes_per_s;
 }
@@ -125,58 +128,59 @@
                    text->size_bytes);
 }
 
-/* A host that doesn't say that it unpacks is an older version's.  */
+/* A host of an older version doesn't ask for compressed answers.  */
 static void
-send_answer (csp_mirror_server_t *server, const waiting_t *waiting,
+send_answer (csp_mirror_server_t *server, const held_request_t *request,
              const answer_t *answer)
 {
-  if (!waiting->unpacks || answer->packed.size_bytes == 0)
+  if (!request->accepts_packed || answer->packed.size_bytes == 0)
     {
-      send_text (server, waiting->page, &answer->text);
+      send_text (server, request->page, &answer->text);
       return;
     }
   count_sent (server, answer->packed.size_bytes);
-  csp_answer_page (waiting->page, STATUS_OK, csp_packed_type,
+  csp_answer_page (request->page, STATUS_OK, csp_packed_type,
                    answer->packed.data, answer->packed.size_bytes);
 }
 
 static void
-answer_at_once (csp_mirror_server_t *server, const waiting_t *waiting)
+answer_at_once (csp_mirror_server_t *server, const held_request_t *request)
 {
-  answer_t answer = { .after = waiting->after };
+  answer_t answer = { .after = request->after };
 
-  encode_answer (server, waiting->after, &answer);
-  send_answer (server, waiting, &answer);
+  encode_answer (server, request->after, &answer);
+  send_answer (server, request, &answer);
   clear_answer (&answer);
 }
 
 static bool
-has_to_wait (const csp_mirror_server_t *server, const waiting_t *waiting)
+must_hold (const csp_mirror_server_t *server, const held_request_t *request)
 {
-  return server->settled && uv_now (server->loop) < waiting->until_ms
-         && csp_mirror_revision (server->mirror) <= waiting->after
-         && server->fed_ms < waiting->fed_ms + CONFIRMED_AGAIN_MS;
+  return server->settled && uv_now (server->loop) < request->until_ms
+         && csp_mirror_revision (server->mirror) <= request->after
+         && server->current_at_ms
+                < request->current_at_ms + RECONFIRMED_MIN_MS;
 }
 
-/* Answer what waits and has something to hear, or whose time is over.  */
+/* Answer held requests for which there are changes or whose wait is over.  */
 static void
-answer_waiting (csp_mirror_server_t *server)
+answer_held (csp_mirror_server_t *server)
 {
   answer_t answer = { 0 };
   size_t i = 0;
 
-  while (i < server->waiting_count)
+  while (i < server->held_count)
     {
-      waiting_t waiting = server->waiting[i];
+      held_request_t request = server->held_requests[i];
 
-      if (has_to_wait (server, &waiting))
+      if (must_hold (server, &request))
         {
           i++;
           continue;
         }
-      server->waiting[i] = server->waiting[--server->waiting_count];
-      encode_answer (server, waiting.after, &answer);
-      send_answer (server, &waiting, &answer);
+      server->held_requests[i] = server->held_requests[--server->held_count];
+      encode_answer (server, request.after, &answer);
+      send_answer (server, &request, &answer);
     }
   clear_answer (&answer);
 }
@@ -186,84 +190,86 @@
 {
   csp_mirror_server_t *server = timer->data;
 
-  answer_waiting (server);
-  if (server->waiting_count == 0)
+  answer_held (server);
+  if (server->held_count == 0)
     uv_timer_stop (timer);
 }
 
 static int64_t
-number_behind (const char *target, const char *name)
+parse_query_number (const char *target, const char *name)
 {
   const char *at = strstr (target, name);
 
   return at == NULL ? 0 : strtoll (at + strlen (name), NULL, DECIMAL);
 }
 
-/* Name others to a host that would be one too many.  A host that tells no
-   address is an older version's.  */
+/* Redirect a host that would exceed the maximum of followers; false if it is
+   to be served.  A host of an older version sends no address and is always
+   served.  */
 static bool
-sends_elsewhere (csp_mirror_server_t *server, csp_page_t *page,
-                 const char *target)
+redirect_follower (csp_mirror_server_t *server, csp_page_t *page,
+                   const char *target)
 {
-  uint64_t host = (uint64_t)number_behind (target, "host=");
-  size_t most = csp_limit_followers (server->link_bytes_per_s,
-                                     server->follower_bytes_per_s);
+  uint64_t host = (uint64_t)parse_query_number (target, "host=");
+  size_t max_followers = csp_compute_follower_limit (
+      server->link_bytes_per_s, server->follower_bytes_per_s);
   csp_buffer_t text = { 0 };
 
-  if (host == 0 || number_behind (target, "first=") != 0
-      || csp_admit_follower (&server->followers, host, most,
+  if (host == 0 || parse_query_number (target, "first=") != 0
+      || csp_admit_follower (&server->followers, host, max_followers,
                              uv_now (server->loop)))
     return false;
-  csp_write_elsewhere (&server->followers, &text);
+  csp_encode_redirect (&server->followers, &text);
   send_text (server, page, &text);
   csp_clear_buffer (&text);
   return true;
 }
 
-/* False when memory fails.  */
+/* Hold a request until there is an answer.  False when memory fails.  */
 static bool
-keep_waiting (csp_mirror_server_t *server, const waiting_t *waiting)
+hold_request (csp_mirror_server_t *server, const held_request_t *request)
 {
-  if (server->waiting_count == server->waiting_room)
+  if (server->held_count == server->held_capacity)
     {
-      size_t room = server->waiting_room == 0 ? WAITING_FIRST
-                                              : 2 * server->waiting_room;
-      waiting_t *grown = realloc (server->waiting, room * sizeof *grown);
+      size_t capacity = server->held_capacity == 0 ? HELD_INITIAL_CAPACITY
+                                                   : 2 * server->held_capacity;
+      held_request_t *grown
+          = realloc (server->held_requests, capacity * sizeof *grown);
 
       if (grown == NULL)
         return false;
-      server->waiting = grown;
-      server->waiting_room = room;
+      server->held_requests = grown;
+      server->held_capacity = capacity;
     }
-  server->waiting[server->waiting_count++] = *waiting;
+  server->held_requests[server->held_count++] = *request;
   return true;
 }
 
 static void
-on_asked (void *state, csp_page_t *page, const csp_http_head_t *head)
+on_request (void *state, csp_page_t *page, const csp_http_head_t *head)
 {
   csp_mirror_server_t *server = state;
-  int64_t after = number_behind (head->target, "after=");
-  int64_t wait_ms = number_behind (head->target, "wait_ms=");
-  waiting_t waiting
+  int64_t after = parse_query_number (head->target, "after=");
+  int64_t wait_ms = parse_query_number (head->target, "wait_ms=");
+  held_request_t request
       = { .page = page,
-          .unpacks = number_behind (head->target, "packed=") != 0,
+          .accepts_packed = parse_query_number (head->target, "packed=") != 0,
           .after = after,
           .until_ms = uv_now (server->loop) + (uint64_t)wait_ms,
-          .fed_ms = server->fed_ms };
+          .current_at_ms = server->current_at_ms };
 
   if (strncmp (head->target, csp_mirror_path, strlen (csp_mirror_path)) != 0)
     {
       csp_answer_page (page, STATUS_NOT_FOUND, "text/plain", "", 0);
       return;
     }
-  if (sends_elsewhere (server, page, head->target))
+  if (redirect_follower (server, page, head->target))
     return;
   if (wait_ms <= 0 || after <= 0 || !server->settled
       || csp_mirror_revision (server->mirror) > after
-      || !keep_waiting (server, &waiting))
+      || !hold_request (server, &request))
     {
-      answer_at_once (server, &waiting);
+      answer_at_once (server, &request);
       return;
     }
   if (!uv_is_active ((uv_handle_t *)&server->timer))
@@ -271,15 +277,15 @@
 }
 
 static void
-on_left (void *state, csp_page_t *page)
+on_requester_gone (void *state, csp_page_t *page)
 {
   csp_mirror_server_t *server = state;
   size_t i;
 
-  for (i = 0; i < server->waiting_count; i++)
-    if (server->waiting[i].page == page)
+  for (i = 0; i < server->held_count; i++)
+    if (server->held_requests[i].page == page)
       {
-        server->waiting[i] = server->waiting[--server->waiting_count];
+        server->held_requests[i] = server->held_requests[--server->held_count];
         return;
       }
 }
@@ -289,7 +295,7 @@
                         uint64_t link_bytes_per_s, const csp_mirror_t *mirror)
 {
   static const csp_page_events_t events
-      = { .asked = on_asked, .left = on_left };
+      = { .asked = on_request, .left = on_requester_gone };
   csp_mirror_server_t *server = calloc (1, sizeof *server);
   int fault = 0;
 
@@ -298,7 +304,7 @@
   server->loop = loop;
   server->mirror = mirror;
   server->link_bytes_per_s = link_bytes_per_s;
-  server->counted_ms = uv_now (loop);
+  server->count_start_ms = uv_now (loop);
   server->pages
       = csp_open_page_server (loop, address, &events, server, &fault);
   if (server->pages == NULL)
@@ -316,7 +322,7 @@
 {
   csp_mirror_server_t *server = handle->data;
 
-  free (server->waiting);
+  free (server->held_requests);
   free (server);
 }
 
@@ -330,13 +336,13 @@
 }
 
 void
-csp_tell_mirror_server (csp_mirror_server_t *server, bool settled,
-                        bool lapsing, uint64_t fed_ms)
+csp_update_mirror_server (csp_mirror_server_t *server, bool settled,
+                          bool lapsing, uint64_t current_at_ms)
 {
   if (server == NULL)
     return;
   server->settled = settled;
   server->lapsing = lapsing;
-  server->fed_ms = fed_ms;
-  answer_waiting (server);
+  server->current_at_ms = current_at_ms;
+  answer_held (server);
 }
--- a/source/mirror/mirror.c
+++ b/source/mirror/mirror.c
@@ -8,14 +8,14 @@
 
 enum
 {
-  FIRST_ROOM = 32
+  INITIAL_CAPACITY = 32
 };
 
-/* An item, and whether the listing that is being put holds it.  */
+/* An item, and whether the listing in progress holds it.  */
 typedef struct
 {
   csp_mirror_item_t item;
-  bool seen;
+  bool listed;
 } entry_t;
 
 struct csp_mirror
@@ -24,11 +24,11 @@
   void *state;
   entry_t **entries;
   size_t count;
-  size_t room;
-  size_t removed;
+  size_t capacity;
+  size_t removed_count;
   int64_t revision;
-  /* Removals up to this revision may have been forgotten.  */
-  int64_t forgotten;
+  /* Removals up to this revision may have been dropped.  */
+  int64_t dropped_revision;
 };
 
 csp_mirror_t *
@@ -82,16 +82,17 @@
 
   if (strlen (key) >= CSP_MIRROR_KEY_BYTES)
     return NULL;
-  if (mirror->count == mirror->room)
+  if (mirror->count == mirror->capacity)
     {
-      size_t room = mirror->room == 0 ? FIRST_ROOM : mirror->room * 2;
+      size_t capacity
+          = mirror->capacity == 0 ? INITIAL_CAPACITY : mirror->capacity * 2;
       entry_t **grown
-          = realloc (mirror->entries, room * sizeof *mirror->entries);
+          = realloc (mirror->entries, capacity * sizeof *mirror->entries);
 
       if (grown == NULL)
         return NULL;
       mirror->entries = grown;
-      mirror->room = room;
+      mirror->capacity = capacity;
     }
   entry = calloc (1, sizeof *entry);
   if (entry == NULL)
@@ -101,16 +102,16 @@
   return entry;
 }
 
-/* Removals pile up as targets come and go; the older half is forgotten, and
-   who is behind that reads everything anew.  */
+/* Removals accumulate as targets come and go.  Drop the older half of them; a
+   follower that is further behind gets all items.  */
 static void
-forget_removed (csp_mirror_t *mirror)
+drop_old_removals (csp_mirror_t *mirror)
 {
-  size_t drop = mirror->removed / 2;
+  size_t drop = mirror->removed_count / 2;
   size_t kept = 0;
   size_t i;
 
-  if (mirror->removed <= CSP_MIRROR_REMOVED_MAX)
+  if (mirror->removed_count <= CSP_MIRROR_REMOVED_MAX)
     return;
   for (i = 0; i < mirror->count; i++)
     {
@@ -122,9 +123,9 @@
           continue;
         }
       drop--;
-      mirror->removed--;
-      if (entry->item.revision > mirror->forgotten)
-        mirror->forgotten = entry->item.revision;
+      mirror->removed_count--;
+      if (entry->item.revision > mirror->dropped_revision)
+        mirror->dropped_revision = entry->item.revision;
       destroy_entry (entry);
     }
   mirror->count = kept;
@@ -138,9 +139,9 @@
   char *old = item->value;
 
   if (item->revision != 0 && old == NULL)
-    mirror->removed--;
+    mirror->removed_count--;
   if (value == NULL)
-    mirror->removed++;
+    mirror->removed_count++;
   item->value = value;
   item->revision = revision;
   free (old);
@@ -154,7 +155,7 @@
   char *copy = NULL;
 
   if (entry != NULL)
-    entry->seen = true;
+    entry->listed = true;
   if (entry != NULL && revision <= entry->item.revision)
     return false;
   if (value != NULL)
@@ -170,11 +171,11 @@
       free (copy);
       return false;
     }
-  entry->seen = true;
+  entry->listed = true;
   set_value (mirror, entry, copy, revision);
   if (mirror->events->changed != NULL)
     mirror->events->changed (mirror->state, &entry->item);
-  forget_removed (mirror);
+  drop_old_removals (mirror);
   return true;
 }
 
@@ -191,11 +192,11 @@
 
   for (i = 0; i < mirror->count; i++)
     if (has_prefix (&mirror->entries[i]->item, prefix))
-      mirror->entries[i]->seen = false;
+      mirror->entries[i]->listed = false;
 }
 
-/* The next item that a listing up to a revision should have held; NULL where
-   it held all.  */
+/* The next live item up to a revision that the listing doesn't hold; NULL if
+   there is none.  */
 static const csp_mirror_item_t *
 find_unlisted (const csp_mirror_t *mirror, const char *prefix, int64_t as_of)
 {
@@ -205,7 +206,7 @@
     {
       const entry_t *entry = mirror->entries[i];
 
-      if (!entry->seen && entry->item.value != NULL
+      if (!entry->listed && entry->item.value != NULL
           && entry->item.revision <= as_of
           && has_prefix (&entry->item, prefix))
         return &entry->item;
@@ -223,8 +224,8 @@
   while ((item = find_unlisted (mirror, prefix, as_of)) != NULL)
     {
       csp_copy_text (key, sizeof key, item->key);
-      /* A removal that the list knew of and we did not is newer than the item
-         by one at least.  */
+      /* The item's removal has a later revision than the item, by at least
+         one.  */
       csp_put_mirror_item (mirror, key, NULL,
                            item->revision < as_of ? as_of
                                                   : item->revision + 1);
@@ -263,9 +264,9 @@
 
 bool
 csp_encode_mirror (const csp_mirror_t *mirror, int64_t after,
-                   const csp_mirror_word_t *word, csp_buffer_t *text)
+                   const csp_mirror_status_t *status, csp_buffer_t *text)
 {
-  bool whole = after <= 0 || after < mirror->forgotten;
+  bool whole = after <= 0 || after < mirror->dropped_revision;
   json_object *object = json_object_new_object ();
   json_object *items = json_object_new_array ();
   const char *json;
@@ -279,11 +280,11 @@
   json_object_object_add (object, "as_of",
                           json_object_new_int64 (mirror->revision));
   json_object_object_add (object, "settled",
-                          json_object_new_boolean (word->settled));
+                          json_object_new_boolean (status->settled));
   json_object_object_add (object, "lapsing",
-                          json_object_new_boolean (word->lapsing));
+                          json_object_new_boolean (status->lapsing));
   json_object_object_add (object, "age_ms",
-                          json_object_new_int64 (word->age_ms));
+                          json_object_new_int64 (status->age_ms));
   json_object_object_add (object, "whole", json_object_new_boolean (whole));
   json_object_object_add (object, "items", items);
   json = json_object_to_json_string_ext (
@@ -319,7 +320,7 @@
 }
 
 static bool
-flag_of (json_object *object, const char *key)
+decode_flag (json_object *object, const char *key)
 {
   json_object *value = NULL;
 
@@ -327,9 +328,9 @@
          && json_object_get_boolean (value);
 }
 
-/* A host that doesn't tell an age is one that tells nothing old.  */
+/* An answer without an age counts as current.  */
 static void
-read_word (json_object *object, csp_mirror_word_t *word)
+decode_status (json_object *object, csp_mirror_status_t *status)
 {
   json_object *age = NULL;
   int64_t age_ms = 0;
@@ -338,14 +339,14 @@
     age_ms = json_object_get_int64 (age);
   if (age_ms < 0 || age_ms > UINT32_MAX)
     age_ms = UINT32_MAX;
-  word->settled = flag_of (object, "settled");
-  word->lapsing = flag_of (object, "lapsing");
-  word->age_ms = (uint32_t)age_ms;
+  status->settled = decode_flag (object, "settled");
+  status->lapsing = decode_flag (object, "lapsing");
+  status->age_ms = (uint32_t)age_ms;
 }
 
 bool
 csp_decode_mirror (csp_mirror_t *mirror, const char *text,
-                   csp_mirror_word_t *word, int64_t *as_of)
+                   csp_mirror_status_t *status, int64_t *as_of)
 {
   json_object *object = json_tokener_parse (text);
   json_object *items = NULL;
@@ -353,16 +354,16 @@
   bool good = json_object_object_get_ex (object, "items", &items)
               && json_object_is_type (items, json_type_array)
               && json_object_object_get_ex (object, "as_of", &revision)
-              && flag_of (object, "settled");
+              && decode_flag (object, "settled");
 
   if (good)
     {
-      read_word (object, word);
-      if (word->lapsing && mirror->events->lapsing != NULL)
+      decode_status (object, status);
+      if (status->lapsing && mirror->events->lapsing != NULL)
         mirror->events->lapsing (mirror->state);
       *as_of = json_object_get_int64 (revision);
       /* A listing that is older than what is known removes nothing.  */
-      if (flag_of (object, "whole") && *as_of >= mirror->revision)
+      if (decode_flag (object, "whole") && *as_of >= mirror->revision)
         {
           csp_begin_mirror_listing (mirror, "");
           put_items (mirror, items);
--- a/tests/mirror/mirror-pack-test.c
+++ b/tests/mirror/mirror-pack-test.c
@@ -10,9 +10,9 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* The list of many targets, as one host sends it to another.  Sent as it is it
-   fills the link of the first host of a data centre, and one that starts waits
-   for it for a second.  */
+/* A host sends the list of many targets to another.  Uncompressed, these lists
+   fill the link of the first host of a data centre, and a host that starts
+   waits a second for its list.  */
 
 enum
 {
@@ -25,7 +25,7 @@
 static csp_mirror_t *mirror;
 static csp_mirror_server_t *server;
 static struct sockaddr_in address;
-static csp_link_t *asking;
+static csp_link_t *client_link;
 static csp_buffer_t body;
 static char type[64];
 static bool ended;
@@ -33,7 +33,7 @@
 static void
 set_up (void)
 {
-  static const csp_mirror_events_t silent = { 0 };
+  static const csp_mirror_events_t no_events = { 0 };
   socklen_t size_bytes = sizeof address;
   int probe = socket (AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   char key[32];
@@ -46,7 +46,7 @@
   getsockname (probe, (struct sockaddr *)&address, &size_bytes);
   close (probe);
   uv_loop_init (&loop);
-  mirror = csp_create_mirror (&silent, NULL);
+  mirror = csp_create_mirror (&no_events, NULL);
   for (i = 0; i < ROWS; i++)
     {
       snprintf (key, sizeof key, "servers/i-%d", i);
@@ -55,7 +55,7 @@
   csp_note_mirror_revision (mirror, ROWS);
   server = csp_open_mirror_server (&loop, &address, LINK_BYTES_PER_S, mirror);
   ck_assert_ptr_nonnull (server);
-  csp_tell_mirror_server (server, true, false, uv_now (&loop));
+  csp_update_mirror_server (server, true, false, uv_now (&loop));
 }
 
 static void
@@ -98,7 +98,7 @@
 }
 
 static void
-ask (const char *query)
+send_request (const char *query)
 {
   static const csp_link_events_t events = { .answered = on_answered,
                                             .body = on_body,
@@ -107,53 +107,54 @@
   csp_buffer_t request = { 0 };
 
   ended = false;
-  asking = csp_open_link (&loop, &address, TIMEOUT_MS);
-  csp_start_link_request (asking, &events, NULL, false);
+  client_link = csp_open_link (&loop, &address, TIMEOUT_MS);
+  csp_start_link_request (client_link, &events, NULL, false);
   csp_print_buffer (&request, "GET /mirror?%s HTTP/1.1\r\nHost: h\r\n\r\n",
                     query);
-  csp_write_link (asking, request.data, request.size_bytes);
-  csp_finish_link_request (asking);
+  csp_write_link (client_link, request.data, request.size_bytes);
+  csp_finish_link_request (client_link);
   csp_clear_buffer (&request);
   while (!ended)
     uv_run (&loop, UV_RUN_ONCE);
-  csp_close_link (asking);
+  csp_close_link (client_link);
 }
 
-/* Hosts of two versions speak with each other while a fleet is replaced: one
-   that doesn't say that it unpacks gets the text.  And what changed since a
-   moment ago is short enough as it is.  */
+/* While a fleet is upgraded, hosts of an older version don't ask for
+   compressed answers and must get plain text.  A few changes are short enough
+   to be sent uncompressed.  */
 static const struct
 {
   const char *query;
   bool packed;
-} questions[] = {
+} request_cases[] = {
   { "after=0&wait_ms=0&packed=1", true },
   { "after=0&wait_ms=0", false },
   { "after=0&wait_ms=0&packed=0", false },
   { "after=198&wait_ms=0&packed=1", false },
 };
 
-START_TEST (a_list_is_packed_for_who_unpacks_it)
+START_TEST (long_answers_are_compressed_on_request)
 {
-  static const csp_mirror_events_t silent = { 0 };
-  csp_mirror_t *other = csp_create_mirror (&silent, NULL);
-  csp_mirror_word_t word;
+  static const csp_mirror_events_t no_events = { 0 };
+  csp_mirror_t *other = csp_create_mirror (&no_events, NULL);
+  csp_mirror_status_t status;
   csp_buffer_t text = { 0 };
   int64_t as_of = 0;
 
-  ask (questions[_i].query);
-  ck_assert_int_eq (strcmp (type, csp_packed_type) == 0, questions[_i].packed);
-  if (questions[_i].packed)
+  send_request (request_cases[_i].query);
+  ck_assert_int_eq (strcmp (type, csp_packed_type) == 0,
+                    request_cases[_i].packed);
+  if (request_cases[_i].packed)
     {
       ck_assert (
           csp_unpack_bytes (body.data, body.size_bytes, 1 << 20, &text));
-      /* A row is some 70 bytes.  */
+      /* An item takes some 70 bytes.  */
       ck_assert_uint_lt (body.size_bytes, text.size_bytes / 5);
     }
   else
     ck_assert (csp_append_buffer (&text, body.data, body.size_bytes));
   ck_assert (csp_append_buffer (&text, "", 1));
-  ck_assert (csp_decode_mirror (other, text.data, &word, &as_of));
+  ck_assert (csp_decode_mirror (other, text.data, &status, &as_of));
   ck_assert_int_eq (as_of, ROWS);
   csp_clear_buffer (&text);
   csp_destroy_mirror (other);
@@ -168,8 +169,8 @@
 
   tcase_set_timeout (tcase, 60);
   tcase_add_checked_fixture (tcase, set_up, tear_down);
-  tcase_add_loop_test (tcase, a_list_is_packed_for_who_unpacks_it, 0,
-                       sizeof questions / sizeof questions[0]);
+  tcase_add_loop_test (tcase, long_answers_are_compressed_on_request, 0,
+                       sizeof request_cases / sizeof request_cases[0]);
   suite_add_tcase (suite, tcase);
   return run_suite (suite);
 }
