--- a/include/cowslipspoke/watch.h
+++ b/include/cowslipspoke/watch.h
@@ -6,42 +6,40 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* Following a key prefix of a store that can be listed by pages and watched
-   from a revision: which call comes next, and when, after each outcome.  No
-   input or output of its own; an adapter makes the calls and hands over what
-   they bring.
+/* Follows a key prefix of a store that can be listed in pages and watched from
+   a revision: decides which call to make next, and when, after each outcome.
+   Does no input or output; an adapter makes the calls and reports outcomes.
 
    Load pattern: all hosts of a fleet start at once, and each lists the store.
    Lists that may be some seconds old cost a store next to nothing, so the
-   first list is such a one, and a watch that doesn't wait tells at once what
-   has changed since.  */
+   first list is such a stale one, and a watch that doesn't wait then returns
+   what has changed since.  */
 
-/*
-   Failures it answers: a store that is away, slow or refuses some hosts (the
-   hosts must not ask all at once when it is back), history that is gone
-   (list anew), and a watch whose connection went silent (nothing tells, so
-   every watch is short enough to be missed in time).  */
+/* Failures handled: a store that is unreachable, slow or refuses some hosts
+   (hosts must not all retry at once when it is back), compacted history (list
+   anew), and a watch whose connection went silent (nothing reports that, so
+   each watch is short and soon counts as lost).  */
 
 enum
 {
   CSP_WATCH_KEY_BYTES = 201
 };
 
-/* How long a source may hold a watch, and how much later its answer must be
-   here.  Their sum is how long a silent connection goes unseen.  The last
-   pause is how long the source's return may go unseen.  */
+/* wait_ms is how long the store may hold a watch, slack_ms how much later its
+   answer counts as lost; a silent connection goes unnoticed for their sum.
+   The store's return may go unnoticed for pause_last_ms.  */
 typedef struct
 {
   uint32_t wait_ms;
   uint32_t slack_ms;
-  uint32_t pause_last_ms; /* between calls that fail one after another */
+  uint32_t pause_last_ms; /* maximum backoff between failed calls */
   uint32_t gap_ms;        /* between watches that are answered */
 } csp_watch_policy_t;
 
 typedef enum
 {
-  CSP_WATCH_LIST,  /* a page of what is there */
-  CSP_WATCH_FOLLOW /* what changed behind a revision; waits for a change */
+  CSP_WATCH_LIST,  /* a page of the current items */
+  CSP_WATCH_FOLLOW /* the changes after a revision; waits for one */
 } csp_watch_kind_t;
 
 /* The next call.  */
@@ -49,19 +47,19 @@
 {
   csp_watch_kind_t kind;
   bool first_page;
-  bool stale_ok;                       /* a list of some seconds ago will do */
+  bool stale_ok;                       /* a list may be some seconds old */
   char after_key[CSP_WATCH_KEY_BYTES]; /* "" on the first page */
   int64_t after_revision;
   uint32_t wait_ms;    /* how long the store may hold a watch */
   uint32_t timeout_ms; /* after which the call counts as lost */
-  uint32_t pause_ms;   /* to let pass before it */
+  uint32_t delay_ms;   /* before the call is made */
 } csp_watch_call_t;
 
 typedef enum
 {
   CSP_WATCH_UNANSWERED, /* unreachable, closed, reset, silent or malformed */
   CSP_WATCH_REFUSED,    /* answered with an error */
-  CSP_WATCH_COMPACTED   /* the history behind the revision is gone */
+  CSP_WATCH_COMPACTED   /* the history after the revision is gone */
 } csp_watch_failure_t;
 
 typedef struct
@@ -69,7 +67,7 @@
   csp_watch_kind_t kind;
   bool first_page;
   bool stale_ok;
-  bool confirms; /* the next watch tells whether a stale list is current */
+  bool confirms_list; /* the next watch brings a stale list up to date */
   char after_key[CSP_WATCH_KEY_BYTES];
   csp_watch_policy_t policy;
   int64_t revision;
@@ -77,23 +75,24 @@
   csp_random_t random;
 } csp_watch_t;
 
-/* after: all up to this revision is known already; 0: nothing is.  */
-void csp_open_watch (csp_watch_t *watch, const csp_watch_policy_t *policy,
+/* after: the revision up to which all changes are already known; 0: none.  */
+void csp_init_watch (csp_watch_t *watch, const csp_watch_policy_t *policy,
                      int64_t after, uint64_t seed);
 
 /* The call to make next.  */
 csp_watch_call_t csp_next_watch_call (csp_watch_t *watch);
 
-/* A page came; the list was current as of a revision.  last_key is that of
-   its last item.  */
+/* Record a page of a list that was current as of a revision.  last_key is the
+   key of the page's last item.  */
 void csp_note_watch_page (csp_watch_t *watch, int64_t as_of, bool has_more,
                           const char *last_key);
 
-/* A watch was answered.  */
+/* Record the answer to a watch, or the failure of a call.  */
 void csp_note_watch_changes (csp_watch_t *watch, int64_t as_of);
 void csp_note_watch_failure (csp_watch_t *watch, csp_watch_failure_t failure);
 
-/* Whether the store counts as away: calls fail one after another.  */
-bool csp_watch_is_away (const csp_watch_t *watch);
+/* Whether the store counts as unreachable, as several calls failed in a row.
+ */
+bool csp_is_watch_unreachable (const csp_watch_t *watch);
 
 #endif
--- a/source/follow/follow.c
+++ b/source/follow/follow.c
@@ -36,7 +36,7 @@
 static void
 note_reach (csp_follower_t *follower)
 {
-  bool away = csp_watch_is_away (&follower->watch);
+  bool away = csp_is_watch_unreachable (&follower->watch);
 
   if (away == follower->away)
     return;
@@ -183,10 +183,10 @@
 make_call (csp_follower_t *follower)
 {
   follower->call = csp_next_watch_call (&follower->watch);
-  if (follower->call.pause_ms == 0)
+  if (follower->call.delay_ms == 0)
     send_call (follower);
   else
-    uv_timer_start (&follower->timer, on_pause_end, follower->call.pause_ms,
+    uv_timer_start (&follower->timer, on_pause_end, follower->call.delay_ms,
                     0);
 }
 
@@ -203,7 +203,7 @@
   follower->address = *address;
   follower->source = source;
   follower->state = state;
-  csp_open_watch (&follower->watch, &source->policy, after,
+  csp_init_watch (&follower->watch, &source->policy, after,
                   csp_random_seed ());
   uv_timer_init (loop, &follower->timer);
   follower->timer.data = follower;
--- a/source/watch/watch.c
+++ b/source/watch/watch.c
@@ -5,21 +5,21 @@
 
 enum
 {
-  /* A page of 1 MB from a slow store.  */
+  /* Enough for a page of 1 MB from a slow store.  */
   LIST_TIMEOUT_MS = 1500,
-  /* Pauses after failures: doubling from the first to the policy's last, drawn
-     between half and whole, so that hosts that failed together don't ask
-     together.  */
-  PAUSE_FIRST_MS = 50,
-  PAUSE_DOUBLINGS = 8,
-  /* One failure may be a cut watch; two are a store that is away.  */
-  AWAY_FAILURES = 2,
-  /* A watch that only asks whether there is news.  */
+  /* The backoff after failures doubles from the initial value to the policy's
+     maximum.  The delay is drawn between half of it and all of it, so that
+     hosts whose calls failed together don't retry together.  */
+  INITIAL_BACKOFF_MS = 50,
+  BACKOFF_DOUBLINGS_MAX = 8,
+  /* A single failure may just be a broken watch.  */
+  UNREACHABLE_FAILURES = 2,
+  /* For a watch that only asks for the changes so far.  */
   CONFIRM_WAIT_MS = 1
 };
 
 void
-csp_open_watch (csp_watch_t *watch, const csp_watch_policy_t *policy,
+csp_init_watch (csp_watch_t *watch, const csp_watch_policy_t *policy,
                 int64_t after, uint64_t seed)
 {
   memset (watch, 0, sizeof *watch);
@@ -32,19 +32,20 @@
 }
 
 static uint32_t
-pause_ms (csp_watch_t *watch)
+backoff_ms (csp_watch_t *watch)
 {
   uint32_t doublings;
-  uint32_t most_ms;
+  uint32_t max_ms;
 
   if (watch->failures == 0)
     return 0;
-  doublings = watch->failures - 1 < PAUSE_DOUBLINGS ? watch->failures - 1
-                                                    : PAUSE_DOUBLINGS;
-  most_ms = (uint32_t)PAUSE_FIRST_MS << doublings;
-  if (most_ms > watch->policy.pause_last_ms)
-    most_ms = watch->policy.pause_last_ms;
-  return most_ms / 2 + csp_random_below (&watch->random, most_ms / 2 + 1);
+  doublings = watch->failures - 1 < BACKOFF_DOUBLINGS_MAX
+                  ? watch->failures - 1
+                  : BACKOFF_DOUBLINGS_MAX;
+  max_ms = (uint32_t)INITIAL_BACKOFF_MS << doublings;
+  if (max_ms > watch->policy.pause_last_ms)
+    max_ms = watch->policy.pause_last_ms;
+  return max_ms / 2 + csp_random_below (&watch->random, max_ms / 2 + 1);
 }
 
 csp_watch_call_t
@@ -56,22 +57,22 @@
                             .after_revision = watch->revision,
                             .wait_ms = watch->policy.wait_ms,
                             .timeout_ms = LIST_TIMEOUT_MS,
-                            .pause_ms = pause_ms (watch) };
+                            .delay_ms = backoff_ms (watch) };
 
   memcpy (call.after_key, watch->after_key, sizeof call.after_key);
   if (watch->kind != CSP_WATCH_FOLLOW)
     return call;
-  if (watch->confirms)
+  if (watch->confirms_list)
     call.wait_ms = CONFIRM_WAIT_MS;
   else if (watch->failures == 0)
-    call.pause_ms = watch->policy.gap_ms;
+    call.delay_ms = watch->policy.gap_ms;
   call.timeout_ms = watch->policy.wait_ms + watch->policy.slack_ms;
   return call;
 }
 
-/* Pages are no snapshot, so changes are followed from the revision of the
-   oldest page, which is the first one unless pages may be stale: what changed
-   between the pages is then seen once more.  */
+/* Pages are no snapshot, so changes are watched from the revision of the
+   oldest page, which is the first one unless pages may be stale.  Changes
+   between two pages are then seen twice.  */
 void
 csp_note_watch_page (csp_watch_t *watch, int64_t as_of, bool has_more,
                      const char *last_key)
@@ -86,7 +87,7 @@
       return;
     }
   watch->kind = CSP_WATCH_FOLLOW;
-  watch->confirms = watch->stale_ok;
+  watch->confirms_list = watch->stale_ok;
   watch->stale_ok = false;
   watch->after_key[0] = '\0';
 }
@@ -95,7 +96,7 @@
 csp_note_watch_changes (csp_watch_t *watch, int64_t as_of)
 {
   watch->failures = 0;
-  watch->confirms = false;
+  watch->confirms_list = false;
   if (as_of > watch->revision)
     watch->revision = as_of;
 }
@@ -107,13 +108,13 @@
   if (failure != CSP_WATCH_COMPACTED && watch->kind == CSP_WATCH_FOLLOW)
     return;
   watch->kind = CSP_WATCH_LIST;
-  watch->confirms = false;
+  watch->confirms_list = false;
   watch->first_page = true;
   watch->after_key[0] = '\0';
 }
 
 bool
-csp_watch_is_away (const csp_watch_t *watch)
+csp_is_watch_unreachable (const csp_watch_t *watch)
 {
-  return watch->failures >= AWAY_FAILURES;
+  return watch->failures >= UNREACHABLE_FAILURES;
 }
--- a/tests/watch/watch-test.c
+++ b/tests/watch/watch-test.c
@@ -12,10 +12,10 @@
 static void
 set_up (void)
 {
-  csp_open_watch (&watch, &policy, 0, 5);
+  csp_init_watch (&watch, &policy, 0, 5);
 }
 
-START_TEST (pages_are_read_and_then_followed_from_the_first)
+START_TEST (pages_are_listed_then_watched_from_the_first)
 {
   csp_watch_call_t call = csp_next_watch_call (&watch);
 
@@ -30,12 +30,12 @@
   csp_note_watch_page (&watch, 50, false, "servers/z");
   call = csp_next_watch_call (&watch);
   ck_assert_int_eq (call.kind, CSP_WATCH_FOLLOW);
-  /* What changed between the pages is seen once more.  */
+  /* Changes between the pages are seen twice.  */
   ck_assert_int_eq (call.after_revision, 40);
-  ck_assert_uint_eq (call.pause_ms, 0);
+  ck_assert_uint_eq (call.delay_ms, 0);
   ck_assert_uint_eq (call.timeout_ms, 1100);
-  /* The list may be some seconds old; whether it is current is asked without
-     waiting.  */
+  /* The list may be some seconds old, so the first watch doesn't wait for a
+     change.  */
   ck_assert_uint_eq (call.wait_ms, 1);
   csp_note_watch_changes (&watch, 60);
   call = csp_next_watch_call (&watch);
@@ -45,10 +45,11 @@
 }
 END_TEST
 
-/* The first list may be stale, and its later pages staler than the first: what
-   changed behind the oldest of them is followed.  A list that is read anew
-   because history is gone has to be current, as no watch tells what it lacks;
-   and a watch that failed asks again without waiting.  */
+/* The first list may be stale, and later pages staler than the first, so
+   changes are watched from the oldest page.  If the first watch after it
+   fails, the repeated one doesn't wait for a change either.  A list that is
+   read anew because history is gone must be current, as no watch returns the
+   changes that it lacks.  */
 START_TEST (only_the_first_list_may_be_stale)
 {
   ck_assert (csp_next_watch_call (&watch).stale_ok);
@@ -65,33 +66,33 @@
 }
 END_TEST
 
-/* A host that reads for itself alone pauses between watches that are answered,
-   so that hundreds of them don't ask for each change.  */
-START_TEST (watches_have_a_gap_where_the_policy_says)
+/* A host that reads the store only for itself waits between watches, so that
+   hundreds of such hosts don't make a call for each change.  */
+START_TEST (watches_are_spaced_by_the_policy_gap)
 {
   csp_note_watch_page (&watch, 40, false, "servers/z");
   csp_note_watch_changes (&watch, 41);
-  ck_assert_uint_eq (csp_next_watch_call (&watch).pause_ms, 0);
+  ck_assert_uint_eq (csp_next_watch_call (&watch).delay_ms, 0);
   watch.policy.gap_ms = 700;
-  ck_assert_uint_eq (csp_next_watch_call (&watch).pause_ms, 700);
+  ck_assert_uint_eq (csp_next_watch_call (&watch).delay_ms, 700);
 }
 END_TEST
 
-/* What is known from elsewhere need not be listed again.  */
-START_TEST (a_known_revision_is_followed_at_once)
+/* Items that are known from another host need not be listed again.  */
+START_TEST (a_known_revision_is_watched_at_once)
 {
   csp_watch_call_t call;
 
-  csp_open_watch (&watch, &policy, 70, 5);
+  csp_init_watch (&watch, &policy, 70, 5);
   call = csp_next_watch_call (&watch);
   ck_assert_int_eq (call.kind, CSP_WATCH_FOLLOW);
   ck_assert_int_eq (call.after_revision, 70);
 }
 END_TEST
 
-/* A watch that failed goes on where it was; a page that failed is read anew
-   from the first, as the pages are no snapshot; history that is gone makes a
-   new listing.  */
+/* A failed watch is repeated from its revision; a failed page restarts the
+   list from the first page, as pages are no snapshot; compacted history
+   restarts the list as well.  */
 static const struct
 {
   bool following;
@@ -105,7 +106,7 @@
   { false, CSP_WATCH_REFUSED, CSP_WATCH_LIST },
 };
 
-START_TEST (a_failure_costs_as_little_as_it_may)
+START_TEST (a_failure_restarts_no_more_than_needed)
 {
   csp_watch_call_t call;
 
@@ -114,41 +115,42 @@
   call = csp_next_watch_call (&watch);
   ck_assert_int_eq (call.kind, failures[_i].next);
   ck_assert (call.kind == CSP_WATCH_FOLLOW || call.first_page);
-  ck_assert_uint_gt (call.pause_ms, 0);
+  ck_assert_uint_gt (call.delay_ms, 0);
 }
 END_TEST
 
-/* All hosts lose the store together.  Asking again at once they would use up
-   its reads when it is back, and the slowest would learn of a change last.  */
-START_TEST (pauses_grow_and_differ_between_hosts)
+/* The store becomes unreachable for all hosts together.  If all of them
+   retried at once, they would use up its capacity when it is back, and the
+   slowest hosts would get changes late.  */
+START_TEST (backoffs_grow_and_differ_between_hosts)
 {
   csp_watch_t other;
-  uint32_t most_ms = 0;
+  uint32_t max_ms = 0;
   bool differ = false;
   int i;
 
-  csp_open_watch (&other, &policy, 0, 6);
+  csp_init_watch (&other, &policy, 0, 6);
   for (i = 0; i < 50; i++)
     {
-      uint32_t one_ms;
+      uint32_t this_ms;
       uint32_t other_ms;
 
       csp_note_watch_failure (&watch, CSP_WATCH_UNANSWERED);
       csp_note_watch_failure (&other, CSP_WATCH_UNANSWERED);
-      one_ms = csp_next_watch_call (&watch).pause_ms;
-      other_ms = csp_next_watch_call (&other).pause_ms;
-      differ = differ || one_ms != other_ms;
-      most_ms = one_ms > most_ms ? one_ms : most_ms;
+      this_ms = csp_next_watch_call (&watch).delay_ms;
+      other_ms = csp_next_watch_call (&other).delay_ms;
+      differ = differ || this_ms != other_ms;
+      max_ms = this_ms > max_ms ? this_ms : max_ms;
     }
   ck_assert (differ);
-  ck_assert_uint_gt (most_ms, 200);
-  /* The store's return is seen within the policy's time.  */
-  ck_assert_uint_le (most_ms, 400);
-  ck_assert (csp_watch_is_away (&watch));
+  ck_assert_uint_gt (max_ms, 200);
+  /* The store's return is noticed within the policy's maximum.  */
+  ck_assert_uint_le (max_ms, 400);
+  ck_assert (csp_is_watch_unreachable (&watch));
   csp_note_watch_page (&watch, 1, false, "");
-  ck_assert (!csp_watch_is_away (&watch));
+  ck_assert (!csp_is_watch_unreachable (&watch));
   csp_note_watch_failure (&watch, CSP_WATCH_UNANSWERED);
-  ck_assert (!csp_watch_is_away (&watch));
+  ck_assert (!csp_is_watch_unreachable (&watch));
 }
 END_TEST
 
@@ -159,13 +161,13 @@
   TCase *tcase = tcase_create ("watch");
 
   tcase_add_checked_fixture (tcase, set_up, NULL);
-  tcase_add_test (tcase, pages_are_read_and_then_followed_from_the_first);
+  tcase_add_test (tcase, pages_are_listed_then_watched_from_the_first);
   tcase_add_test (tcase, only_the_first_list_may_be_stale);
-  tcase_add_test (tcase, watches_have_a_gap_where_the_policy_says);
-  tcase_add_test (tcase, a_known_revision_is_followed_at_once);
-  tcase_add_loop_test (tcase, a_failure_costs_as_little_as_it_may, 0,
+  tcase_add_test (tcase, watches_are_spaced_by_the_policy_gap);
+  tcase_add_test (tcase, a_known_revision_is_watched_at_once);
+  tcase_add_loop_test (tcase, a_failure_restarts_no_more_than_needed, 0,
                        sizeof failures / sizeof failures[0]);
-  tcase_add_test (tcase, pauses_grow_and_differ_between_hosts);
+  tcase_add_test (tcase, backoffs_grow_and_differ_between_hosts);
   suite_add_tcase (suite, tcase);
   return run_suite (suite);
 }
