--- a/include/cowslipspoke/mirror.h
+++ b/include/cowslipspoke/mirror.h
@@ -213,7 +213,7 @@
   void (*heard) (void *state, uint32_t age_ms);
   /* Called when this host begins to get answers from the store, and when it
      no longer does.  May be NULL.  */
-  void (*sighted) (void *state, bool sighted);
+  void (*sighted) (void *state, bool reads_store);
   void *hosts_state;
 } csp_mirror_feed_settings_t;
 
--- a/include/cowslipspoke/watch.h
+++ b/include/cowslipspoke/watch.h
@@ -25,13 +25,12 @@
   CSP_WATCH_KEY_BYTES = 201
 };
 
-/* wait_ms is how long the store may hold a watch, slack_ms how much later its
-   answer counts as lost; a silent connection goes unnoticed for their sum.
-   The store's return may go unnoticed for pause_last_ms.  */
+/* A silent connection goes unnoticed for the sum of the first two values, the
+   store's return for at most the maximum backoff.  */
 typedef struct
 {
-  uint32_t wait_ms;
-  uint32_t slack_ms;
+  uint32_t wait_ms;       /* how long the store may hold a watch */
+  uint32_t slack_ms;      /* how much later its answer counts as lost */
   uint32_t pause_last_ms; /* maximum backoff between failed calls */
   uint32_t gap_ms;        /* between watches that are answered */
 } csp_watch_policy_t;
--- a/source/follow/follow.c
+++ b/source/follow/follow.c
@@ -9,7 +9,7 @@
 enum
 {
   CONNECT_TIMEOUT_MS = 500,
-  /* A page of 1 MB, its encoding and some fields.  */
+  /* Enough for a page of 1 MB, encoded, with some other fields.  */
   ANSWER_MAX_BYTES = 8 << 20,
   STATUS_OK = 200
 };
@@ -25,24 +25,24 @@
   csp_link_t *link;
   uv_timer_t timer;
   uint16_t status;
-  bool packed; /* the answer, see pack.h */
+  bool packed; /* the answer is compressed, see pack.h */
   csp_buffer_t answer;
-  bool away;
+  bool unreachable;
   bool closed;
 };
 
-static void make_call (csp_follower_t *follower);
+static void schedule_call (csp_follower_t *follower);
 
 static void
-note_reach (csp_follower_t *follower)
+update_reachability (csp_follower_t *follower)
 {
-  bool away = csp_is_watch_unreachable (&follower->watch);
+  bool unreachable = csp_is_watch_unreachable (&follower->watch);
 
-  if (away == follower->away)
+  if (unreachable == follower->unreachable)
     return;
-  follower->away = away;
+  follower->unreachable = unreachable;
   if (follower->source->reach_changed != NULL)
-    follower->source->reach_changed (follower->state, away);
+    follower->source->reach_changed (follower->state, unreachable);
 }
 
 static void
@@ -52,11 +52,12 @@
     csp_close_link (follower->link);
   follower->link = NULL;
   csp_note_watch_failure (&follower->watch, failure);
-  if (follower->watch.failures == 1 && follower->source->doubted != NULL)
-    follower->source->doubted (follower->state);
-  note_reach (follower);
+  if (follower->watch.failures == 1
+      && follower->source->failures_began != NULL)
+    follower->source->failures_began (follower->state);
+  update_reachability (follower);
   if (!follower->closed)
-    make_call (follower);
+    schedule_call (follower);
 }
 
 static void
@@ -79,7 +80,7 @@
     fail_call (follower, CSP_WATCH_UNANSWERED);
 }
 
-/* Unpack the answer in its place; false where it can't be.  */
+/* Decompress the answer in place.  False if that fails.  */
 static bool
 unpack_answer (csp_follower_t *follower)
 {
@@ -94,7 +95,7 @@
 }
 
 static bool
-take_text (csp_follower_t *follower)
+handle_body (csp_follower_t *follower)
 {
   if (follower->packed && !unpack_answer (follower))
     return false;
@@ -108,7 +109,7 @@
 on_ended (void *state)
 {
   csp_follower_t *follower = state;
-  bool taken;
+  bool accepted;
 
   if (follower->status != STATUS_OK)
     {
@@ -124,12 +125,12 @@
       follower->link = NULL;
     }
   follower->watch.failures = 0;
-  note_reach (follower);
-  taken = take_text (follower);
+  update_reachability (follower);
+  accepted = handle_body (follower);
   if (follower->closed)
     return;
-  if (taken)
-    make_call (follower);
+  if (accepted)
+    schedule_call (follower);
   else
     fail_call (follower, CSP_WATCH_UNANSWERED);
 }
@@ -174,19 +175,19 @@
 }
 
 static void
-on_pause_end (uv_timer_t *timer)
+on_delay_end (uv_timer_t *timer)
 {
   send_call (timer->data);
 }
 
 static void
-make_call (csp_follower_t *follower)
+schedule_call (csp_follower_t *follower)
 {
   follower->call = csp_next_watch_call (&follower->watch);
   if (follower->call.delay_ms == 0)
     send_call (follower);
   else
-    uv_timer_start (&follower->timer, on_pause_end, follower->call.delay_ms,
+    uv_timer_start (&follower->timer, on_delay_end, follower->call.delay_ms,
                     0);
 }
 
@@ -207,7 +208,7 @@
                   csp_random_seed ());
   uv_timer_init (loop, &follower->timer);
   follower->timer.data = follower;
-  make_call (follower);
+  schedule_call (follower);
   return follower;
 }
 
@@ -233,15 +234,15 @@
 }
 
 void
-csp_set_follower_pace (csp_follower_t *follower, uint32_t pause_last_ms,
+csp_set_follower_pace (csp_follower_t *follower, uint32_t max_backoff_ms,
                        uint32_t gap_ms)
 {
-  follower->watch.policy.pause_last_ms = pause_last_ms;
+  follower->watch.policy.pause_last_ms = max_backoff_ms;
   follower->watch.policy.gap_ms = gap_ms;
 }
 
 void
-csp_set_follower_away (csp_follower_t *follower)
+csp_set_follower_unreachable (csp_follower_t *follower)
 {
-  follower->away = true;
+  follower->unreachable = true;
 }
--- a/source/mirror/mirror-feed.c
+++ b/source/mirror/mirror-feed.c
@@ -272,7 +272,7 @@
 }
 
 static void
-on_host_doubted (void *state)
+on_upstream_failed (void *state)
 {
   csp_mirror_feed_t *feed = state;
 
@@ -283,7 +283,7 @@
 static const csp_follow_source_t host_source
     = { .write_call = write_call,
         .take_answer = take_answer,
-        .doubted = on_host_doubted,
+        .failures_began = on_upstream_failed,
         .compacted_status = NO_COMPACTED_STATUS,
         .policy = { .wait_ms = HOST_WAIT_MS,
                     .slack_ms = HOST_GRACE_MS,
@@ -386,7 +386,7 @@
           feed->loop, &feed->settings.store, feed->settings.store_source,
           csp_mirror_revision (feed->mirror), feed->settings.store_state);
       if (feed->store_follower != NULL && feed->store_unreachable)
-        csp_set_follower_away (feed->store_follower);
+        csp_set_follower_unreachable (feed->store_follower);
       if (feed->confirmed)
         CSP_LOG (feed->log, CSP_EVENT_STORE_READ, NULL,
                  csp_number ("role", feed->role),
