--- a/include/cowslipspoke/once.h
+++ b/include/cowslipspoke/once.h
@@ -9,16 +9,16 @@
 #include "cowslipspoke/random.h"
 #include "cowslipspoke/verdict.h"
 
-/* At most one run for each key of a non-idempotent call, over all hosts and
-   with nothing stored.  Every host remembers for a while, in memory, which
-   keys it was asked for.  A key names its scope: the hosts that are asked
-   before each run.  Two claims of one key always meet at a host that
-   remembers the first; where that can't be shown, the claim is not run and
-   the caller gets `may have run`.  See docs/AT-MOST-ONCE.md.
+/* Runs a non-idempotent call at most once for each key, across all hosts and
+   without persistent storage.  Every host keeps the keys claimed at it in
+   memory for retention_ms.  A key names its scope: the hosts that are asked
+   before the call may run.  Any two claims of one key share at least one host
+   that remembers the first; where that can't be shown, the call is not run
+   and the caller gets `may have run`.  See docs/AT-MOST-ONCE.md.
 
-   Load pattern: callers, their libraries and balancers send a call again,
-   through another host, while the first is lost, late or still running.
-   Without it a buyer gets two quotes.  */
+   Load pattern: callers, their libraries and load balancers resend a call
+   through another host while the first attempt is lost, late or still
+   running.  Without this the call runs twice.  */
 
 enum
 {
@@ -29,7 +29,7 @@
   CSP_ONCE_MAX_HOSTS = 1024
 };
 
-/* Which hosts have to agree before a key may run.  */
+/* Which hosts are asked before a call with the key may run.  */
 typedef enum
 {
   CSP_ONCE_SCOPE_HOST,        /* one incarnation of one host */
@@ -37,9 +37,9 @@
   CSP_ONCE_SCOPE_ALL          /* every host */
 } csp_once_scope_t;
 
-/* A key as all hosts understand it.  The digest covers organisation and the
-   whole key as the caller wrote it, so organisations are separate.  date_ms is
-   calendar time; the key is known not to be older.  */
+/* A parsed key.  The digest covers the organisation and the caller's whole key
+   text, so equal texts of two organisations are different keys.  date_ms is
+   wall-clock time; the key was not created earlier.  */
 typedef struct
 {
   char organisation[CSP_ORGANISATION_NAME_BYTES];
@@ -50,26 +50,27 @@
   int64_t date_ms;
 } csp_once_key_t;
 
-/* Understand a caller's Idempotency-Key:
+/* Parses a caller's Idempotency-Key:
 
      h:HOST:INCARNATION:DATE~UNIQUE  scope host (token of that host)
      d:DATA_CENTRE:DATE~UNIQUE       scope data centre
      a UUID of version 7             scope all, dated by its first 48 bits
 
-   with INCARNATION in hex and DATE in decimal milliseconds since 1970.  False
-   with an error (bad request, not run) for anything else: a key without a
-   date can't be told from one that has been forgotten.  */
+   with INCARNATION in hex and DATE in decimal milliseconds since 1970. Returns
+   false with an error (bad request, not run) for anything else: a key without
+   a date can't be distinguished from one that has expired from memory.  */
 bool csp_parse_once_key (const char *organisation, const char *text,
                          csp_once_key_t *key, csp_error_t *error);
 
-/* The same, and any other text too, as callers of the usual API choose their
-   keys: it has the scope all and is dated CSP_UNDATED_AGE_MS before now.  Its
-   caller has to know that a repeat which comes later than that is run again
-   when every host was replaced since the first attempt.  */
+/* Like csp_parse_once_key, but accepts any other text as well, since callers
+   of the usual API choose their own keys.  Such a key has the scope all and is
+   dated CSP_UNDATED_AGE_MS before now.  If every host was replaced since the
+   first attempt, a repeat that arrives later than that runs again.  */
 enum
 {
-  /* Libraries repeat within seconds and people within a minute.  The longer,
-     the longer a fleet that starts as a whole has to refuse such keys.  */
+  /* Libraries repeat within seconds and people within a minute.  A longer age
+     makes a fleet whose hosts all start at once refuse such keys for
+     longer.  */
   CSP_UNDATED_AGE_MS = 30000
 };
 
@@ -77,32 +78,32 @@
                         int64_t wall_ms, csp_once_key_t *key,
                         csp_error_t *error);
 
-/* The tokens that `GET /v1/idempotency-home` hands out; a caller puts "~" and
-   something unique behind one.  They serve for retention_ms.  */
+/* Format the tokens that `GET /v1/idempotency-home` returns.  A caller appends
+   "~" and a unique text to make a key.  A token is valid for retention_ms.  */
 void csp_format_host_token (const csp_host_ref_t *self, int64_t wall_ms,
                             char token[CSP_ONCE_TOKEN_BYTES]);
 void csp_format_data_centre_token (const char *data_centre, int64_t wall_ms,
                                    char token[CSP_ONCE_TOKEN_BYTES]);
 
-/* Names one claim: random, so that no host gives it twice.  */
+/* Identifies one claim.  Random, so that no two claims share an id.  */
 typedef struct
 {
   uint64_t high;
   uint64_t low;
 } csp_claim_id_t;
 
-/* What became of a claim.  NOT_RUN lets the key be claimed again, so the
-   caller may only be told `may have run` with a time to come back.  CLOSED is
-   for a claim that was granted, surely did not run and whose caller is told
-   `not run`: no later claim is granted either, or a copy of the request that
-   is still under way would run behind that answer.  */
+/* The outcome of a claim.  NOT_RUN lets the key be claimed again, so its
+   caller gets only `may have run` with a retry time.  CLOSED is for a claim
+   that was granted, certainly did not run and whose caller gets `not run`:
+   later claims are refused too, since a copy of the request that is still in
+   flight would otherwise run after that answer.  */
 typedef enum
 {
-  CSP_ONCE_OPEN,         /* not yet told */
+  CSP_ONCE_OPEN,         /* no outcome reported yet */
   CSP_ONCE_RAN,          /* the target answered */
   CSP_ONCE_NOT_RUN,      /* not run; may be claimed again */
-  CSP_ONCE_MAY_HAVE_RUN, /* cut after bytes had left */
-  CSP_ONCE_CLOSED        /* not run, and never will be */
+  CSP_ONCE_MAY_HAVE_RUN, /* cut after bytes were sent */
+  CSP_ONCE_CLOSED        /* not run; may not be claimed again */
 } csp_once_outcome_t;
 
 /* Messages.  */
@@ -115,16 +116,17 @@
 
 typedef enum
 {
-  CSP_CLAIM_RECORDED,   /* not seen before; now kept for this claim */
-  CSP_CLAIM_SEEN,       /* another claim has it; see outcome */
-  CSP_CLAIM_FORGOTTEN,  /* so old that it may have been forgotten */
+  CSP_CLAIM_RECORDED,   /* new key, now recorded for this claim */
+  CSP_CLAIM_SEEN,       /* another claim holds the key; see outcome */
+  CSP_CLAIM_FORGOTTEN,  /* so old that it may have expired here */
   CSP_CLAIM_WRONG_DATE, /* dated in the future */
   CSP_CLAIM_WRONG_HOST, /* not the incarnation that the key names */
-  CSP_CLAIM_FULL        /* no room to keep it */
+  CSP_CLAIM_FULL        /* the key store is at its capacity */
 } csp_claim_result_t;
 
-/* witness_since_ms is calendar time: since then every asker has had this life
-   of the host among those that it asks.  */
+/* witness_since_ms is wall-clock time: since then every host that claims keys
+   has had this incarnation of the answering host in its list of hosts to
+   ask.  */
 typedef struct
 {
   csp_claim_id_t claim;
@@ -134,8 +136,8 @@
   int64_t witness_since_ms;
 } csp_claim_answer_t;
 
-/* Sent to every host asked, again until told_by each (an acknowledgement that
-   carries claim and from).  */
+/* Reports a claim's outcome to every host that was asked.  Resent a few times
+   to hosts that have not acknowledged it.  */
 typedef struct
 {
   csp_once_key_t key;
@@ -145,18 +147,20 @@
 
 /* Settings, the same on all hosts.
 
-   retention_ms: how long a key is remembered, at least, and for how long
-   tokens serve.
-   clock_skew_ms: how far the calendar clocks of two hosts may be apart.
-   witness_delay_ms: how long after its start every asker is sure to have a
-   host among those that it asks (the host list's lag and view_lease_ms).
-   view_lease_ms: how old an asker's list of hosts may be.
-   grant_lease_ms: how long after its asks a claim may still start to run.
-   answer_timeout_ms, resend_ms: waiting for a host; repeating an ask.
-   allowed_silent, needed_witnesses: a claim may go without so many hosts, and
-   needs so many that are older than the key; the second must be greater.
-   capacity, organisation_capacity: keys kept, in all and for one
-   organisation.  */
+   retention_ms: minimum time for which a key is kept, and the validity of
+   tokens.
+   clock_skew_ms: maximum difference between the wall clocks of two hosts.
+   witness_delay_ms: time after a host's start until every other host is
+   certain to ask it (the lag of the host list plus view_lease_ms).
+   view_lease_ms: maximum age of the list of hosts that a claim uses.
+   grant_lease_ms: how long after its first ask a claim may still start a run.
+   answer_timeout_ms, resend_ms: the timeout for a host's answer; the interval
+   after which an unanswered ask is resent.
+   allowed_silent, needed_witnesses: how many hosts may fail to answer, and how
+   many answers of hosts older than the key a claim needs.  needed_witnesses
+   must be greater than allowed_silent.
+   capacity, organisation_capacity: maximum number of keys kept, in total and
+   for one organisation.  */
 typedef struct
 {
   int64_t retention_ms;
@@ -175,48 +179,49 @@
 /* 30 min, 2 s, 20 s, 5 s, 10 s, 500 ms, 150 ms, 0, 1, 500,000, 125,000.  */
 csp_once_settings_t csp_default_once_settings (void);
 
-/* A host's memory of keys.  One thread at a time.  */
+/* The keys that a host remembers.  Not thread-safe.  */
 typedef struct csp_once_s csp_once_t;
 
-/* now_ms is the start of this incarnation on its steady clock.  */
+/* now_ms is the time on the host's monotonic clock at which this incarnation
+   started.  */
 csp_once_t *csp_create_once (const csp_once_settings_t *settings,
                              const csp_host_ref_t *self, int64_t now_ms);
 void csp_destroy_once (csp_once_t *once);
 
-/* Some live host of this data centre does not know this life of the host yet
-   (membership tells by what heartbeats answer).  It may ask others and leave
-   this host out, so this host counts as a witness only witness_delay_ms after
-   the last such call.  */
+/* Restarts the delay after which this host counts as a witness.  To be called
+   while heartbeat answers show that some live host of this data centre does
+   not know this incarnation yet: that host may claim keys without asking this
+   one.  */
 void csp_delay_witness (csp_once_t *once, int64_t now_ms);
 
-/* Answer a claim, a host's own included.  */
+/* Records a claim, this host's own included, and fills in the answer.  */
 void csp_claim_key (csp_once_t *once, const csp_claim_ask_t *ask,
                     int64_t now_ms, int64_t wall_ms,
                     csp_claim_answer_t *answer);
 
-/* Keep what became of a claim; tells of other claims are ignored.  */
+/* Records the outcome of a claim.  Ignored if another claim holds the key.  */
 void csp_settle_claim (csp_once_t *once, const csp_outcome_tell_t *tell,
                        int64_t now_ms, int64_t wall_ms);
 
-/* Forget what is older than retention_ms; the number forgotten.  Claims do a
-   little of this by themselves.  */
+/* Removes keys older than retention_ms and returns how many.  Each claim also
+   removes a few.  */
 size_t csp_expire_keys (csp_once_t *once, int64_t now_ms);
 
 size_t csp_count_keys (const csp_once_t *once);
 size_t csp_measure_once_bytes (const csp_once_t *once);
 
-/* A host as an asker sees it.  */
+/* A host in the list that a claim uses.  */
 typedef struct
 {
   csp_host_ref_t ref;
   char data_centre[CSP_DATA_CENTRE_NAME_BYTES];
 } csp_once_peer_t;
 
-/* The asker's list of hosts, live and leaving ones, itself included.
-   confirmed_ms: steady time at which it was last known to be up to date: when
-   the last heartbeat that a peer answered, or the last read of the platform's
-   list that was answered, was sent.  The time at which an answer is read would
-   not do; a paused host reads old ones.
+/* The asking host's list of live and leaving hosts, itself included.
+   confirmed_ms: monotonic time at which the list was last known to be up to
+   date.  It is the time at which the last answered heartbeat, or the last
+   answered read of the platform's host list, was sent.  The time at which the
+   answer was read would be wrong: a host that was paused reads old answers.
    complete: this host has read a list since it started.  */
 typedef struct
 {
@@ -230,15 +235,15 @@
 {
   CSP_ONCE_TICK,
   CSP_ONCE_ANSWER,
-  CSP_ONCE_HOST_LOST,   /* host is known to be unreachable */
-  CSP_ONCE_BEFORE_SEND, /* may the first byte leave?  Again for the next
-                           target, once one said that it started nothing.  */
-  CSP_ONCE_ENDED,       /* the run ended; u.outcome says how */
-  CSP_ONCE_HUNG_UP,     /* the caller has gone, before a byte left */
-  CSP_ONCE_TOLD         /* host has acknowledged the outcome */
+  CSP_ONCE_HOST_LOST,   /* the host is unreachable */
+  CSP_ONCE_BEFORE_SEND, /* may the first byte be sent?  Asked again for the
+                           next target if one refused before starting.  */
+  CSP_ONCE_ENDED,       /* the run ended with u.outcome */
+  CSP_ONCE_HUNG_UP,     /* the caller disconnected before a byte was sent */
+  CSP_ONCE_TOLD         /* the host acknowledged the outcome */
 } csp_once_event_kind_t;
 
-/* host is the name of the host that an event is about.  */
+/* host: the name of the host that the event concerns.  */
 typedef struct
 {
   csp_once_event_kind_t kind;
@@ -253,15 +258,15 @@
 typedef enum
 {
   CSP_ONCE_WAIT,
-  CSP_ONCE_ASK,     /* send u.ask to the hosts listed */
-  CSP_ONCE_RUN,     /* granted; ask with BEFORE_SEND when bytes can leave */
-  CSP_ONCE_SEND,    /* let the first byte leave now */
-  CSP_ONCE_GIVE_UP, /* error is the caller's answer; tell as well */
+  CSP_ONCE_ASK,     /* send ask to the hosts listed */
+  CSP_ONCE_RUN,     /* granted; step with BEFORE_SEND before sending */
+  CSP_ONCE_SEND,    /* send the first byte now */
+  CSP_ONCE_GIVE_UP, /* answer the caller with error; send the outcome too */
   CSP_ONCE_TELL     /* send the outcome to the hosts listed */
 } csp_once_action_kind_t;
 
-/* hosts points into the round: names of whom to ask or tell, valid until the
-   next step.  With GIVE_UP and TELL, tell goes to them.  */
+/* hosts: the names of the hosts to which ask or tell is sent, owned by the
+   round and valid until its next step.  Both GIVE_UP and TELL send tell.  */
 typedef struct
 {
   csp_once_action_kind_t kind;
@@ -272,10 +277,11 @@
   csp_error_t error;
 } csp_once_action_t;
 
-/* One request with a key at the host that the caller asked.  */
+/* The claim of one request's key, run at the host that accepted the request:
+   asks the hosts in scope, permits the run and reports its outcome.  */
 typedef struct csp_once_round_s csp_once_round_t;
 
-/* Copies what it needs of the view.  random gives the claim's id.  */
+/* Copies what it needs from the view.  random generates the claim's id.  */
 csp_once_round_t *csp_create_once_round (const csp_once_settings_t *settings,
                                          const csp_once_key_t *key,
                                          const csp_once_view_t *view,
@@ -283,19 +289,21 @@
                                          int64_t deadline_ms);
 void csp_destroy_once_round (csp_once_round_t *round);
 
-/* The first action.  The round ends at once where view or key are too old. */
+/* Fills in the first action.  Gives up at once if the view is too old, no
+   host is in scope or the key is dated in the future.  */
 void csp_start_once_round (csp_once_round_t *round, int64_t now_ms,
                            int64_t wall_ms, csp_once_action_t *action);
 
-/* What an event leads to.  */
+/* Handles an event and fills in the resulting action.  */
 void csp_step_once_round (csp_once_round_t *round,
                           const csp_once_event_t *event, int64_t now_ms,
                           csp_once_action_t *action);
 
-/* When to call with a tick; INT64_MAX for never.  */
+/* The time at which the next TICK event is due; INT64_MAX if none.  */
 int64_t csp_next_once_tick (const csp_once_round_t *round);
 
-/* Whether all is told, or given up, and the round can be destroyed.  */
+/* Whether the outcome is acknowledged by all hosts or no longer resent, so
+   that the round can be destroyed.  */
 bool csp_once_round_over (const csp_once_round_t *round);
 
 #endif
--- a/source/once/once-hosts.c
+++ b/source/once/once-hosts.c
@@ -1,4 +1,4 @@
-/* The hosts of a round: which are asked, and in which order.  */
+/* Selects the hosts that a round asks, in rendezvous-hash order.  */
 
 #include "once/once-round-imp.h"
 
@@ -87,7 +87,7 @@
   round->claim.high = csp_random_u64 (random);
   round->claim.low = csp_random_u64 (random);
   round->view_complete = view->complete;
-  round->view_ms = view->confirmed_ms;
+  round->view_confirmed_ms = view->confirmed_ms;
   round->deadline_ms = deadline_ms;
   if (key->scope == CSP_ONCE_SCOPE_HOST)
     {
@@ -112,8 +112,8 @@
 }
 
 void
-csp_mark_once_host (csp_once_round_t *round, host_t *host,
-                    host_status_t status)
+csp_set_once_host_status (csp_once_round_t *round, host_t *host,
+                          host_status_t status)
 {
   round->by_status[host->status]--;
   host->status = status;
--- a/source/once/once-key.c
+++ b/source/once/once-key.c
@@ -20,8 +20,8 @@
   NUMBER_CHARS = 24
 };
 
-/* Take the field before a separator off a text; false where it is empty, too
-   long or not ended.  */
+/* Copies the field before the separator and advances the text past it.  False
+   if the field is empty, too long or has no separator.  */
 static bool
 take_field (const char **text, char separator, char *field, size_t size_bytes)
 {
@@ -112,7 +112,7 @@
   key->date_ms = (int64_t)strtoull (date, NULL, HEX);
 }
 
-/* UUIDs are equal whatever the case of their digits.  */
+/* fold_case: UUIDs compare equal regardless of the case of their digits.  */
 static void
 digest_key (const char *organisation, const char *text, bool fold_case,
             uint8_t digest[CSP_ONCE_DIGEST_BYTES])
--- a/source/once/once-round-imp.h
+++ b/source/once/once-round-imp.h
@@ -17,23 +17,24 @@
   char name[CSP_HOST_NAME_BYTES];
   uint64_t rank;
   host_status_t status;
-  bool touched;
-  bool told;
+  bool was_asked;
+  bool acked;
 } host_t;
 
 typedef enum
 {
-  ROUND_FIRST,   /* the first host in rendezvous order is asked */
-  ROUND_REST,    /* all others are asked */
-  ROUND_GRANTED, /* the key is ours, no byte has left */
+  ROUND_ASKING_FIRST, /* the first host in rendezvous order is asked */
+  ROUND_ASKING_REST,  /* all others are asked */
+  ROUND_GRANTED,      /* may run; no byte has been sent */
   ROUND_SENT,
-  ROUND_TELLING,
+  ROUND_SENDING_OUTCOME,
   ROUND_OVER
 } round_state_t;
 
-/* hosts: in rendezvous order.  by_status: how many there are of each.  list:
-   names for the present action. asked_ms: start of the present wait;
-   resend_ms: next repeat.  */
+/* hosts: in rendezvous order.  by_status: number of hosts in each status.
+   list: host names for the current action.  wait_started_ms: start of the
+   current wait for answers.  resend_ms: when the asks, or the outcome, are
+   next resent.  */
 struct csp_once_round_s
 {
   csp_once_settings_t settings;
@@ -42,12 +43,12 @@
   round_state_t state;
   csp_once_outcome_t outcome;
   bool view_complete;
-  int64_t view_ms;
+  int64_t view_confirmed_ms;
   int64_t deadline_ms;
-  int64_t run_until_ms;
-  int64_t asked_ms;
+  int64_t grant_expires_ms;
+  int64_t wait_started_ms;
   int64_t resend_ms;
-  uint32_t tells;
+  uint32_t outcome_sends;
   size_t count;
   size_t by_status[HOST_STATUS_COUNT];
   size_t witnesses;
@@ -55,10 +56,10 @@
   const char **list;
 };
 
-void csp_mark_once_host (csp_once_round_t *round, host_t *host,
-                         host_status_t status);
+void csp_set_once_host_status (csp_once_round_t *round, host_t *host,
+                               host_status_t status);
 
-/* NULL for a name that is not among the hosts of the round.  */
+/* NULL if the round doesn't ask the host.  */
 host_t *csp_find_once_host (csp_once_round_t *round, const char *name);
 
 #endif
--- a/source/once/once-round.c
+++ b/source/once/once-round.c
@@ -4,18 +4,19 @@
 
 enum
 {
-  MAX_TELLS = 3,
+  MAX_OUTCOME_SENDS = 3,
   RETRY_SOON_MS = 1000
 };
 
-/* Tell those that were asked and have not yet acknowledged.  */
+/* Addresses the outcome to the hosts that were asked and have not yet
+   acknowledged it.  */
 static void
-list_untold (csp_once_round_t *round, csp_once_action_t *action)
+fill_outcome (csp_once_round_t *round, csp_once_action_t *action)
 {
   size_t i;
 
   for (i = 0; i < round->count; i++)
-    if (round->hosts[i].touched && !round->hosts[i].told)
+    if (round->hosts[i].was_asked && !round->hosts[i].acked)
       round->list[action->host_count++] = round->hosts[i].name;
   action->hosts = round->list;
   action->tell.key = round->key;
@@ -28,17 +29,17 @@
            csp_once_action_t *action)
 {
   round->outcome = outcome;
-  round->state = ROUND_TELLING;
-  round->tells = 1;
+  round->state = ROUND_SENDING_OUTCOME;
+  round->outcome_sends = 1;
   round->resend_ms = now_ms + round->settings.answer_timeout_ms;
-  list_untold (round, action);
+  fill_outcome (round, action);
   if (action->host_count == 0)
     round->state = ROUND_OVER;
   action->kind = CSP_ONCE_TELL;
 }
 
-/* End without a run.  Only a claim that was granted knows that no other was,
-   so only it closes the key and promises `not run`.  */
+/* Ends the round without a run.  Only a granted claim excludes that another
+   claim runs, so only it closes the key and allows the answer `not run`.  */
 static void
 give_up (csp_once_round_t *round, csp_verdict_t verdict, csp_reason_t reason,
          uint32_t retry_after_ms, const char *detail, int64_t now_ms,
@@ -83,21 +84,20 @@
     {
       if (host->status != status)
         continue;
-      csp_mark_once_host (round, host, HOST_ASKED);
-      host->touched = true;
+      csp_set_once_host_status (round, host, HOST_ASKED);
+      host->was_asked = true;
       round->list[action->host_count++] = host->name;
     }
   round->resend_ms = now_ms + round->settings.resend_ms;
   fill_ask (round, action);
 }
 
-/* Every host has answered or is taken for silent.  Two claims of one key have
-   to meet at a host that remembers: an earlier claim may have gone without
-   allowed_silent of the hosts that it saw, so more witnesses than that are
-   needed.  A host that started after the key was made is none: its earlier
-   life may have granted the key, or an asker may not have had it in its list.
-   Were it counted, a key would run twice once the hosts around it had been
-   replaced; a buyer would see a second quote.  */
+/* Every host has answered or timed out.  An earlier claim may have proceeded
+   without allowed_silent of its hosts, so more witnesses than that are needed
+   for one of them to remember it.  A host that started after the key was
+   created is no witness: its previous incarnation may have granted the key,
+   or another host may have claimed the key without asking it.  If it were
+   counted, a key could run twice once the other hosts had been replaced.  */
 static void
 finish_asking (csp_once_round_t *round, int64_t now_ms,
                csp_once_action_t *action)
@@ -115,7 +115,8 @@
 }
 
 static void
-go_on (csp_once_round_t *round, int64_t now_ms, csp_once_action_t *action)
+advance_round (csp_once_round_t *round, int64_t now_ms,
+               csp_once_action_t *action)
 {
   if (round->by_status[HOST_SILENT] > round->settings.allowed_silent)
     {
@@ -128,38 +129,39 @@
     return;
   if (round->by_status[HOST_UNASKED] > 0)
     {
-      round->state = ROUND_REST;
-      round->asked_ms = now_ms;
+      round->state = ROUND_ASKING_REST;
+      round->wait_started_ms = now_ms;
       ask_hosts (round, HOST_UNASKED, round->count, now_ms, action);
       return;
     }
   finish_asking (round, now_ms, action);
 }
 
-/* A host paused for long has an old list.  It would ask only hosts that it
-   knew, miss those that granted since, and run the key again.  A key of one
-   host needs no list: its home decides alone.  */
+/* After a long pause a host's list is stale: the host would not ask newer
+   hosts that have granted the key since, and would run it again.  A key with
+   host scope needs no list, since one host decides alone.  */
 static bool
-view_is_good (const csp_once_round_t *round, int64_t now_ms)
+is_view_current (const csp_once_round_t *round, int64_t now_ms)
 {
   if (round->key.scope == CSP_ONCE_SCOPE_HOST)
     return true;
   return round->view_complete
-         && now_ms - round->view_ms <= round->settings.view_lease_ms;
+         && now_ms - round->view_confirmed_ms <= round->settings.view_lease_ms;
 }
 
-/* Concurrent claims all start at one host, the first in rendezvous order, and
-   all but one end there.  Asked in any order, each would stop the other.  */
+/* Concurrent claims of one key all ask the first host in rendezvous order
+   first, and that host records only one of them.  If they asked hosts in
+   different orders, each could block the other and none would run.  */
 void
 csp_start_once_round (csp_once_round_t *round, int64_t now_ms, int64_t wall_ms,
                       csp_once_action_t *action)
 {
   memset (action, 0, sizeof *action);
-  round->run_until_ms = now_ms + round->settings.grant_lease_ms;
-  if (round->run_until_ms > round->deadline_ms)
-    round->run_until_ms = round->deadline_ms;
-  round->asked_ms = now_ms;
-  if (!view_is_good (round, now_ms))
+  round->grant_expires_ms = now_ms + round->settings.grant_lease_ms;
+  if (round->grant_expires_ms > round->deadline_ms)
+    round->grant_expires_ms = round->deadline_ms;
+  round->wait_started_ms = now_ms;
+  if (!is_view_current (round, now_ms))
     give_up_undecided (round, RETRY_SOON_MS,
                        "this host's list of hosts is not up to date", now_ms,
                        action);
@@ -184,8 +186,8 @@
 }
 
 static void
-take_seen (csp_once_round_t *round, csp_once_outcome_t outcome, int64_t now_ms,
-           csp_once_action_t *action)
+handle_seen_key (csp_once_round_t *round, csp_once_outcome_t outcome,
+                 int64_t now_ms, csp_once_action_t *action)
 {
   switch (outcome)
     {
@@ -212,20 +214,20 @@
 }
 
 static void
-take_result (csp_once_round_t *round, host_t *host,
-             const csp_claim_answer_t *answer, int64_t now_ms,
-             csp_once_action_t *action)
+handle_claim_result (csp_once_round_t *round, host_t *host,
+                     const csp_claim_answer_t *answer, int64_t now_ms,
+                     csp_once_action_t *action)
 {
   switch (answer->result)
     {
     case CSP_CLAIM_RECORDED:
-      csp_mark_once_host (round, host, HOST_RECORDED);
+      csp_set_once_host_status (round, host, HOST_RECORDED);
       if (is_witness (round, answer))
         round->witnesses++;
-      go_on (round, now_ms, action);
+      advance_round (round, now_ms, action);
       return;
     case CSP_CLAIM_SEEN:
-      take_seen (round, answer->outcome, now_ms, action);
+      handle_seen_key (round, answer->outcome, now_ms, action);
       return;
     case CSP_CLAIM_FORGOTTEN:
       give_up_undecided (round, 0, "the key is too old to be remembered",
@@ -250,12 +252,13 @@
 static bool
 is_asking (const csp_once_round_t *round)
 {
-  return round->state == ROUND_FIRST || round->state == ROUND_REST;
+  return round->state == ROUND_ASKING_FIRST
+         || round->state == ROUND_ASKING_REST;
 }
 
 static void
-take_answer (csp_once_round_t *round, const csp_claim_answer_t *answer,
-             int64_t now_ms, csp_once_action_t *action)
+handle_answer (csp_once_round_t *round, const csp_claim_answer_t *answer,
+               int64_t now_ms, csp_once_action_t *action)
 {
   host_t *host = csp_find_once_host (round, answer->from.name);
 
@@ -263,32 +266,32 @@
       || answer->claim.high != round->claim.high
       || answer->claim.low != round->claim.low)
     return;
-  take_result (round, host, answer, now_ms, action);
+  handle_claim_result (round, host, answer, now_ms, action);
 }
 
 static void
-take_loss (csp_once_round_t *round, const char *name, int64_t now_ms,
-           csp_once_action_t *action)
+handle_host_lost (csp_once_round_t *round, const char *name, int64_t now_ms,
+                  csp_once_action_t *action)
 {
   host_t *host = csp_find_once_host (round, name);
 
   if (!is_asking (round) || host == NULL || host->status != HOST_ASKED)
     return;
-  csp_mark_once_host (round, host, HOST_SILENT);
-  go_on (round, now_ms, action);
+  csp_set_once_host_status (round, host, HOST_SILENT);
+  advance_round (round, now_ms, action);
 }
 
-/* A host that was paused after its claim was granted wakes up and would run
-   what its caller has long given up; hosts forget the key meanwhile.  So the
-   grant has a lease from before the asks, looked at immediately before bytes
-   leave.  */
+/* A host that was paused after its claim was granted could run a request that
+   its caller has long given up, when other hosts may no longer remember the
+   key.  So the grant has a lease that starts before the first ask and is
+   checked immediately before bytes are sent.  */
 static void
 permit_send (csp_once_round_t *round, int64_t now_ms,
              csp_once_action_t *action)
 {
   if (round->state != ROUND_GRANTED && round->state != ROUND_SENT)
     return;
-  if (now_ms >= round->run_until_ms)
+  if (now_ms >= round->grant_expires_ms)
     {
       give_up (round, CSP_VERDICT_NOT_RUN, CSP_REASON_DEADLINE, 0,
                "too late to send after the key was granted", now_ms, action);
@@ -310,49 +313,50 @@
                "the deadline passed while hosts were asked", now_ms, action);
       return;
     }
-  if (now_ms - round->asked_ms < round->settings.answer_timeout_ms)
+  if (now_ms - round->wait_started_ms < round->settings.answer_timeout_ms)
     {
       ask_hosts (round, HOST_ASKED, round->count, now_ms, action);
       return;
     }
   for (i = 0; i < round->count; i++)
     if (round->hosts[i].status == HOST_ASKED)
-      csp_mark_once_host (round, &round->hosts[i], HOST_SILENT);
-  go_on (round, now_ms, action);
+      csp_set_once_host_status (round, &round->hosts[i], HOST_SILENT);
+  advance_round (round, now_ms, action);
 }
 
 static void
-tick_telling (csp_once_round_t *round, int64_t now_ms,
-              csp_once_action_t *action)
+tick_sending_outcome (csp_once_round_t *round, int64_t now_ms,
+                      csp_once_action_t *action)
 {
-  if (round->tells == MAX_TELLS)
+  if (round->outcome_sends == MAX_OUTCOME_SENDS)
     {
       round->state = ROUND_OVER;
       return;
     }
-  round->tells++;
+  round->outcome_sends++;
   round->resend_ms = now_ms + round->settings.answer_timeout_ms;
-  list_untold (round, action);
+  fill_outcome (round, action);
   action->kind = CSP_ONCE_TELL;
 }
 
 static void
-take_tick (csp_once_round_t *round, int64_t now_ms, csp_once_action_t *action)
+handle_tick (csp_once_round_t *round, int64_t now_ms,
+             csp_once_action_t *action)
 {
   if (now_ms < csp_next_once_tick (round))
     return;
   switch (round->state)
     {
-    case ROUND_FIRST:
-    case ROUND_REST:
+    case ROUND_ASKING_FIRST:
+    case ROUND_ASKING_REST:
       tick_asking (round, now_ms, action);
       return;
     case ROUND_GRANTED:
       give_up (round, CSP_VERDICT_NOT_RUN, CSP_REASON_DEADLINE, 0,
                "too late to send after the key was granted", now_ms, action);
       return;
-    case ROUND_TELLING:
-      tick_telling (round, now_ms, action);
+    case ROUND_SENDING_OUTCOME:
+      tick_sending_outcome (round, now_ms, action);
       return;
     case ROUND_SENT:
     case ROUND_OVER:
@@ -361,16 +365,16 @@
 }
 
 static void
-take_told (csp_once_round_t *round, const char *name)
+handle_outcome_ack (csp_once_round_t *round, const char *name)
 {
   host_t *host = csp_find_once_host (round, name);
   size_t i;
 
-  if (round->state != ROUND_TELLING || host == NULL)
+  if (round->state != ROUND_SENDING_OUTCOME || host == NULL)
     return;
-  host->told = true;
+  host->acked = true;
   for (i = 0; i < round->count; i++)
-    if (round->hosts[i].touched && !round->hosts[i].told)
+    if (round->hosts[i].was_asked && !round->hosts[i].acked)
       return;
   round->state = ROUND_OVER;
 }
@@ -383,13 +387,13 @@
   switch (event->kind)
     {
     case CSP_ONCE_TICK:
-      take_tick (round, now_ms, action);
+      handle_tick (round, now_ms, action);
       return;
     case CSP_ONCE_ANSWER:
-      take_answer (round, &event->u.answer, now_ms, action);
+      handle_answer (round, &event->u.answer, now_ms, action);
       return;
     case CSP_ONCE_HOST_LOST:
-      take_loss (round, event->host, now_ms, action);
+      handle_host_lost (round, event->host, now_ms, action);
       return;
     case CSP_ONCE_BEFORE_SEND:
       permit_send (round, now_ms, action);
@@ -403,7 +407,7 @@
         end_round (round, CSP_ONCE_NOT_RUN, now_ms, action);
       return;
     case CSP_ONCE_TOLD:
-      take_told (round, event->host);
+      handle_outcome_ack (round, event->host);
       return;
     }
 }
@@ -413,13 +417,13 @@
 {
   switch (round->state)
     {
-    case ROUND_FIRST:
-    case ROUND_REST:
+    case ROUND_ASKING_FIRST:
+    case ROUND_ASKING_REST:
       return round->resend_ms < round->deadline_ms ? round->resend_ms
                                                    : round->deadline_ms;
     case ROUND_GRANTED:
-      return round->run_until_ms;
-    case ROUND_TELLING:
+      return round->grant_expires_ms;
+    case ROUND_SENDING_OUTCOME:
       return round->resend_ms;
     case ROUND_SENT:
     case ROUND_OVER:
--- a/source/once/once.c
+++ b/source/once/once.c
@@ -11,7 +11,8 @@
   EXPIRED_PER_CLAIM = 2
 };
 
-/* What a host keeps of a key; not the answer, which may be of any length. */
+/* What a host stores for a key.  The call's answer is not stored, since its
+   length is unbounded.  */
 typedef struct record_s
 {
   csp_index_node_t node;
@@ -23,8 +24,8 @@
   csp_once_outcome_t outcome;
 } record_t;
 
-/* floor_ms: keys dated earlier may have been forgotten.  Organisations stay,
-   with their floors.  */
+/* floor_ms: keys dated earlier may have been removed.  An organisation is
+   never removed, so that its floor_ms is kept.  */
 typedef struct
 {
   csp_index_node_t node;
@@ -39,7 +40,7 @@
 {
   csp_once_settings_t settings;
   csp_host_ref_t self;
-  int64_t known_ms; /* since then every peer knows this life */
+  int64_t known_to_peers_ms; /* since then all peers know this incarnation */
   csp_index_t records;
   csp_index_t organisations;
 };
@@ -62,9 +63,9 @@
   return settings;
 }
 
-/* The index has its full size from the start.  Doubling one of half a million
-   keys stops the control thread for some 30 ms, and with it every decision of
-   the host.  */
+/* The index is allocated at its full size.  Doubling an index of half a
+   million keys blocks the control thread, and with it every decision of the
+   host, for about 30 ms.  */
 csp_once_t *
 csp_create_once (const csp_once_settings_t *settings,
                  const csp_host_ref_t *self, int64_t now_ms)
@@ -75,7 +76,7 @@
     return NULL;
   once->settings = *settings;
   once->self = *self;
-  once->known_ms = now_ms;
+  once->known_to_peers_ms = now_ms;
   if (csp_open_index (&once->records, settings->capacity) != 0
       || csp_open_index (&once->organisations, EXPECTED_ORGANISATIONS) != 0)
     {
@@ -121,17 +122,17 @@
   free (once);
 }
 
-/* A link that works one way only lets a new host answer claims of others
-   while one asker does not know it.  That asker's run would not be recorded
-   here, and a repeat that trusts this host would run again.  */
+/* With a link that works in one direction only, a new host can answer claims
+   of some hosts while another host does not know it yet.  That host's runs are
+   not recorded here, so a repeat that relied on this host would run again.  */
 void
 csp_delay_witness (csp_once_t *once, int64_t now_ms)
 {
-  once->known_ms = now_ms;
+  once->known_to_peers_ms = now_ms;
 }
 
 static organisation_t *
-find_organisation (csp_once_t *once, const char *name)
+get_organisation (csp_once_t *once, const char *name)
 {
   uint64_t hash = csp_mix_name (name);
   csp_index_node_t *node = csp_find_in_index (&once->organisations, hash);
@@ -152,7 +153,8 @@
   return organisation;
 }
 
-/* Callers choose keys, so the index is salted with the host's life.  */
+/* Callers choose the keys, so the hash is salted with the host's incarnation
+   against deliberate collisions.  */
 static uint64_t
 hash_digest (const csp_once_t *once, const uint8_t *digest)
 {
@@ -178,9 +180,9 @@
   return NULL;
 }
 
-/* A key that is forgotten would look like one never seen, and a repeat that
-   comes late would run a second time.  So the floor rises with each key
-   forgotten, and whatever is dated below it is refused instead.  */
+/* A removed key would look like a new one, and a late repeat would run a
+   second time.  So removing a key raises floor_ms above the key's date, and
+   keys dated before floor_ms are refused.  */
 static void
 forget_oldest (csp_once_t *once, organisation_t *organisation)
 {
@@ -250,16 +252,16 @@
 }
 
 static bool
-same_claim (const csp_claim_id_t *a, const csp_claim_id_t *b)
+is_same_claim (const csp_claim_id_t *a, const csp_claim_id_t *b)
 {
   return a->high == b->high && a->low == b->low;
 }
 
-/* A key whose claim ended without a run is free for the next claim.  */
+/* A key whose claim ended as NOT_RUN may be claimed again.  */
 static csp_claim_result_t
-claim_again (record_t *record, const csp_claim_ask_t *ask)
+claim_known_key (record_t *record, const csp_claim_ask_t *ask)
 {
-  bool own = same_claim (&record->claim, &ask->claim);
+  bool own = is_same_claim (&record->claim, &ask->claim);
 
   if (own && record->outcome == CSP_ONCE_OPEN)
     return CSP_CLAIM_RECORDED;
@@ -270,9 +272,9 @@
   return CSP_CLAIM_RECORDED;
 }
 
-/* Whether a key that is not known may be taken into memory.  */
+/* Whether a key that is not in the store may be recorded.  */
 static csp_claim_result_t
-judge_new_key (csp_once_t *once, organisation_t *organisation,
+check_new_key (csp_once_t *once, organisation_t *organisation,
                const csp_once_key_t *key, int64_t now_ms, int64_t wall_ms)
 {
   expire_organisation (once, organisation, EXPIRED_PER_CLAIM, now_ms);
@@ -285,10 +287,11 @@
   return CSP_CLAIM_RECORDED;
 }
 
-/* A host that was restarted has forgotten what its earlier life granted; it
-   can't tell a repeat from a first attempt.  Keys name the life.  */
+/* A restarted host has lost the keys that its previous incarnation granted and
+   can't distinguish a repeat from a first attempt.  So a key with host scope
+   names the incarnation.  */
 static bool
-is_home (const csp_once_t *once, const csp_once_key_t *key)
+is_key_for_this_host (const csp_once_t *once, const csp_once_key_t *key)
 {
   return key->scope != CSP_ONCE_SCOPE_HOST
          || csp_same_host (&key->home, &once->self);
@@ -302,21 +305,21 @@
   csp_claim_result_t result;
   record_t *record;
 
-  if (!is_home (once, &ask->key))
+  if (!is_key_for_this_host (once, &ask->key))
     return CSP_CLAIM_WRONG_HOST;
   if (ask->key.date_ms > wall_ms + once->settings.clock_skew_ms)
     return CSP_CLAIM_WRONG_DATE;
   record = find_record (once, ask->key.digest);
   if (record != NULL)
     {
-      result = claim_again (record, ask);
+      result = claim_known_key (record, ask);
       *outcome = record->outcome;
       return result;
     }
-  organisation = find_organisation (once, ask->key.organisation);
+  organisation = get_organisation (once, ask->key.organisation);
   if (organisation == NULL)
     return CSP_CLAIM_FULL;
-  result = judge_new_key (once, organisation, &ask->key, now_ms, wall_ms);
+  result = check_new_key (once, organisation, &ask->key, now_ms, wall_ms);
   if (result == CSP_CLAIM_RECORDED
       && add_record (once, organisation, &ask->key, ask->claim, now_ms)
              == NULL)
@@ -333,12 +336,13 @@
   answer->from = once->self;
   answer->outcome = CSP_ONCE_OPEN;
   answer->result = claim_key (once, ask, now_ms, wall_ms, &answer->outcome);
-  answer->witness_since_ms
-      = wall_ms - (now_ms - once->known_ms) + once->settings.witness_delay_ms;
+  answer->witness_since_ms = wall_ms - (now_ms - once->known_to_peers_ms)
+                             + once->settings.witness_delay_ms;
 }
 
-/* An outcome may overtake its claim on another link.  It is kept, so that the
-   claim, when it comes, does not hold the key for ever.  */
+/* An outcome may arrive before its claim, which travels on another connection.
+   The outcome is recorded then, so that the late claim doesn't leave the key
+   open without an outcome.  */
 void
 csp_settle_claim (csp_once_t *once, const csp_outcome_tell_t *tell,
                   int64_t now_ms, int64_t wall_ms)
@@ -346,20 +350,20 @@
   organisation_t *organisation;
   record_t *record;
 
-  if (!is_home (once, &tell->key))
+  if (!is_key_for_this_host (once, &tell->key))
     return;
   record = find_record (once, tell->key.digest);
   if (record == NULL)
     {
-      organisation = find_organisation (once, tell->key.organisation);
+      organisation = get_organisation (once, tell->key.organisation);
       if (organisation == NULL
-          || judge_new_key (once, organisation, &tell->key, now_ms, wall_ms)
+          || check_new_key (once, organisation, &tell->key, now_ms, wall_ms)
                  != CSP_CLAIM_RECORDED)
         return;
       record
           = add_record (once, organisation, &tell->key, tell->claim, now_ms);
     }
-  if (record != NULL && same_claim (&record->claim, &tell->claim)
+  if (record != NULL && is_same_claim (&record->claim, &tell->claim)
       && record->outcome == CSP_ONCE_OPEN)
     record->outcome = tell->outcome;
 }
--- a/tests/once/interleaving-test.c
+++ b/tests/once/interleaving-test.c
@@ -1,8 +1,8 @@
-/* Eight hosts in two data centres, with clocks and lists that differ, get
-   every call several times: repeats, copies that a library or a balancer sent
-   twice, and copies that lay unread for long.  Two kinds of failure at once
-   are drawn for each seed.  A user notices a fault here as a second quote, or
-   as a call that ran although it was called `not run`.  */
+/* Simulates eight hosts in two data centres, with clock skew and stale host
+   lists, under two kinds of fault for each seed.  Every call arrives several
+   times: as a retry, as a duplicate of a library or load balancer, or as a
+   copy delayed for long.  Fails if a call runs twice, or runs although its
+   caller got `not run`.  */
 
 #include "world.h"
 
@@ -14,68 +14,71 @@
 #include <string.h>
 
 static bool
-chance (world_t *w, uint32_t per_ten_thousand)
+chance (simulation_t *sim, uint32_t per_ten_thousand)
 {
-  return csp_random_below (&w->random, 10000) < per_ten_thousand;
+  return csp_random_below (&sim->random, 10000) < per_ten_thousand;
 }
 
 static bool
-has (const world_t *w, fault_t fault)
+has_fault (const simulation_t *sim, fault_t fault)
 {
-  return w->faults[0] == fault || w->faults[1] == fault;
+  return sim->faults[0] == fault || sim->faults[1] == fault;
 }
 
 static int64_t
-wall_of (const world_t *w, int host)
+wall_clock_ms (const simulation_t *sim, int host)
 {
-  return NEVER_MS + w->now_ms + w->hosts[host].skew_ms;
+  return NEVER_MS + sim->now_ms + sim->hosts[host].skew_ms;
 }
 
 static const char *
-centre_of (int host)
+data_centre_of (int host)
 {
   return host % 2 == 0 ? "cardiff" : "swansea";
 }
 
 static int
-find_host_number (const char *name)
+host_index (const char *name)
 {
   return name[1] - '0';
 }
 
 static void
-post (world_t *w, const message_t *message)
+send_message (simulation_t *sim, const message_t *message)
 {
-  bool apart = message->from % 2 != message->to % 2;
-  int copies = has (w, FAULT_DOUBLE) && chance (w, 2000) ? 2 : 1;
+  bool crosses_centres = message->from % 2 != message->to % 2;
+  int copies = has_fault (sim, FAULT_DUPLICATE) && chance (sim, 2000) ? 2 : 1;
   int i;
 
   if (message->from != message->to
-      && ((has (w, FAULT_LOSS) && chance (w, 1500)) || (w->cut && apart)))
+      && ((has_fault (sim, FAULT_LOSS) && chance (sim, 1500))
+          || (sim->partitioned && crosses_centres)))
     return;
   for (i = 0; i < MESSAGES && copies > 0; i++)
-    if (!w->messages[i].used)
+    if (!sim->messages[i].used)
       {
-        if (i >= w->message_top)
-          w->message_top = i + 1;
-        w->messages[i] = *message;
-        w->messages[i].used = true;
-        w->messages[i].due_ms = w->now_ms + csp_random_below (&w->random, 60);
-        if (has (w, FAULT_DOUBLE) && chance (w, 500))
-          w->messages[i].due_ms += csp_random_below (&w->random, 30000);
+        if (i >= sim->messages_end)
+          sim->messages_end = i + 1;
+        sim->messages[i] = *message;
+        sim->messages[i].used = true;
+        sim->messages[i].due_ms
+            = sim->now_ms + csp_random_below (&sim->random, 60);
+        if (has_fault (sim, FAULT_DUPLICATE) && chance (sim, 500))
+          sim->messages[i].due_ms += csp_random_below (&sim->random, 30000);
         copies--;
       }
 }
 
 static void
-keep_verdict (world_t *w, open_round_t *open, const csp_error_t *error)
+record_verdict (simulation_t *sim, active_round_t *open,
+                const csp_error_t *error)
 {
-  call_t *call = &w->calls[open->key];
+  call_t *call = &sim->calls[open->key];
 
   switch (error->verdict)
     {
     case CSP_VERDICT_NOT_RUN:
-      call->called_not_run = true;
+      call->reported_not_run = true;
       return;
     case CSP_VERDICT_RAN:
       ck_assert_int_eq (call->runs, 1);
@@ -86,142 +89,144 @@
 }
 
 static void
-act (world_t *w, int r, const csp_once_action_t *action)
+apply_action (simulation_t *sim, int r, const csp_once_action_t *action)
 {
-  open_round_t *open = &w->rounds[r];
+  active_round_t *open = &sim->rounds[r];
   message_t m = { .from = open->host, .round = open->serial };
   size_t i;
 
-  m.kind = action->kind == CSP_ONCE_ASK ? ASK : TELL;
+  m.kind = action->kind == CSP_ONCE_ASK ? ASK : OUTCOME;
   m.ask = action->ask;
   m.tell = action->tell;
   for (i = 0; i < action->host_count; i++)
     {
-      m.to = find_host_number (action->hosts[i]);
-      post (w, &m);
+      m.to = host_index (action->hosts[i]);
+      send_message (sim, &m);
     }
   if (action->kind == CSP_ONCE_RUN)
     {
-      open->sends = true;
-      open->send_ms = w->now_ms + csp_random_below (&w->random, 100);
+      open->send_pending = true;
+      open->send_ms = sim->now_ms + csp_random_below (&sim->random, 100);
     }
   if (action->kind == CSP_ONCE_GIVE_UP)
-    keep_verdict (w, open, &action->error);
+    record_verdict (sim, open, &action->error);
 }
 
 static void
-step_round (world_t *w, int r, const csp_once_event_t *event)
+step_round (simulation_t *sim, int r, const csp_once_event_t *event)
 {
   csp_once_action_t action;
 
-  csp_step_once_round (w->rounds[r].round, event, w->now_ms, &action);
-  act (w, r, &action);
+  csp_step_once_round (sim->rounds[r].round, event, sim->now_ms, &action);
+  apply_action (sim, r, &action);
 }
 
-/* Bytes leave, if they still may, and the target runs the call, refuses it,
-   or is cut off in the middle.  */
+/* Sends the call if the round still permits it.  The target then runs it,
+   refuses it or is cut off while it runs.  */
 static void
-send_call (world_t *w, int r)
+send_call (simulation_t *sim, int r)
 {
-  open_round_t *open = &w->rounds[r];
-  call_t *call = &w->calls[open->key];
+  active_round_t *open = &sim->rounds[r];
+  call_t *call = &sim->calls[open->key];
   csp_once_event_t event = { .kind = CSP_ONCE_BEFORE_SEND };
   csp_once_action_t action;
 
-  open->sends = false;
-  csp_step_once_round (open->round, &event, w->now_ms, &action);
+  open->send_pending = false;
+  csp_step_once_round (open->round, &event, sim->now_ms, &action);
   if (action.kind != CSP_ONCE_SEND)
     {
-      act (w, r, &action);
+      apply_action (sim, r, &action);
       return;
     }
   event.kind = CSP_ONCE_ENDED;
   event.u.outcome = CSP_ONCE_RAN;
-  if (chance (w, 1000))
+  if (chance (sim, 1000))
     {
       event.u.outcome = CSP_ONCE_CLOSED;
-      call->called_not_run = true;
+      call->reported_not_run = true;
     }
   else
     call->runs++;
-  if (event.u.outcome == CSP_ONCE_RAN && chance (w, 1000))
+  if (event.u.outcome == CSP_ONCE_RAN && chance (sim, 1000))
     event.u.outcome = CSP_ONCE_MAY_HAVE_RUN;
-  step_round (w, r, &event);
+  step_round (sim, r, &event);
 }
 
 static size_t
-make_view (const world_t *w, int h, csp_once_peer_t *peers)
+make_view (const simulation_t *sim, int h, csp_once_peer_t *peers)
 {
-  int64_t at_ms = w->hosts[h].view_of_ms;
+  int64_t read_ms = sim->hosts[h].list_read_ms;
   size_t count = 0;
   int i;
 
   for (i = 0; i < HOSTS; i++)
-    if (w->hosts[i].listed_ms <= at_ms && at_ms < w->hosts[i].delisted_ms)
+    if (sim->hosts[i].listed_ms <= read_ms
+        && read_ms < sim->hosts[i].delisted_ms)
       {
-        peers[count].ref = w->hosts[i].ref;
+        peers[count].ref = sim->hosts[i].ref;
         snprintf (peers[count].data_centre, CSP_DATA_CENTRE_NAME_BYTES, "%s",
-                  centre_of (i));
+                  data_centre_of (i));
         count++;
       }
   return count;
 }
 
 static void
-start_round (world_t *w, int h, int k)
+start_round (simulation_t *sim, int h, int k)
 {
   csp_once_peer_t peers[HOSTS];
-  csp_once_view_t view = { peers, make_view (w, h, peers), w->hosts[h].view_ms,
-                           w->hosts[h].view_ms >= 0 };
+  csp_once_view_t view = { peers, make_view (sim, h, peers),
+                           sim->hosts[h].view_ms, sim->hosts[h].view_ms >= 0 };
   csp_once_action_t action;
   int r = 0;
 
-  while (r < ROUNDS && w->rounds[r].round != NULL)
+  while (r < ROUNDS && sim->rounds[r].round != NULL)
     r++;
   if (r == ROUNDS)
     return;
-  memset (&w->rounds[r], 0, sizeof w->rounds[r]);
-  w->rounds[r].host = h;
-  w->rounds[r].key = k;
-  w->rounds[r].serial = ++w->serial;
-  w->rounds[r].round = csp_create_once_round (
-      &w->settings, &w->calls[k].key, &view, &w->random, w->now_ms + 20000);
-  csp_start_once_round (w->rounds[r].round, w->now_ms, wall_of (w, h),
-                        &action);
-  act (w, r, &action);
+  memset (&sim->rounds[r], 0, sizeof sim->rounds[r]);
+  sim->rounds[r].host = h;
+  sim->rounds[r].key = k;
+  sim->rounds[r].serial = ++sim->serial;
+  sim->rounds[r].round
+      = csp_create_once_round (&sim->settings, &sim->calls[k].key, &view,
+                               &sim->random, sim->now_ms + 20000);
+  csp_start_once_round (sim->rounds[r].round, sim->now_ms,
+                        wall_clock_ms (sim, h), &action);
+  apply_action (sim, r, &action);
 }
 
 static bool
-works (const world_t *w, int h)
+is_running (const simulation_t *sim, int h)
 {
-  return w->hosts[h].up && w->hosts[h].paused_ms <= w->now_ms;
+  return sim->hosts[h].up && sim->hosts[h].paused_ms <= sim->now_ms;
 }
 
 static int
-pick_host (world_t *w)
+choose_running_host (simulation_t *sim)
 {
-  int h = (int)csp_random_below (&w->random, HOSTS);
+  int h = (int)csp_random_below (&sim->random, HOSTS);
 
-  while (!w->hosts[h].up)
+  while (!sim->hosts[h].up)
     h = (h + 1) % HOSTS;
   return h;
 }
 
 static void
-date_key (world_t *w, int k)
+create_key (simulation_t *sim, int k)
 {
   char text[CSP_ONCE_TOKEN_BYTES + 16];
   csp_error_t error;
-  int h = pick_host (w);
-  int64_t wall_ms = wall_of (w, h);
+  int h = choose_running_host (sim);
+  int64_t wall_ms = wall_clock_ms (sim, h);
 
   switch (k % 3)
     {
     case 0:
-      csp_format_host_token (&w->hosts[h].ref, wall_ms, text);
+      csp_format_host_token (&sim->hosts[h].ref, wall_ms, text);
       break;
     case 1:
-      csp_format_data_centre_token (centre_of (h), wall_ms, text);
+      csp_format_data_centre_token (data_centre_of (h), wall_ms, text);
       break;
     default:
       snprintf (text, sizeof text, "%08x-%04x-7000-8000-%012x",
@@ -230,13 +235,13 @@
     }
   if (k % 3 != 2)
     snprintf (text + strlen (text), 16, "~%d", k);
-  ck_assert (csp_parse_once_key ("org", text, &w->calls[k].key, &error));
+  ck_assert (csp_parse_once_key ("org", text, &sim->calls[k].key, &error));
 }
 
-/* Most calls are sent a few times within seconds, twice at once now and then;
-   an old copy arrives half a minute later and more.  */
+/* Sends most calls a few times within seconds, sometimes twice within 40 ms.
+   With FAULT_OLD_COPY some copies arrive at least 20 s later.  */
 static void
-send_due_calls (world_t *w)
+send_due_calls (simulation_t *sim)
 {
   call_t *call;
   int k;
@@ -244,107 +249,108 @@
 
   for (k = 0; k < KEYS; k++)
     {
-      call = &w->calls[k];
-      if (w->now_ms < call->next_ms || w->now_ms > LAST_SEND_MS
+      call = &sim->calls[k];
+      if (sim->now_ms < call->next_ms || sim->now_ms > LAST_SEND_MS
           || call->sends == 5)
         continue;
       if (call->sends == 0)
-        date_key (w, k);
-      h = pick_host (w);
-      if (w->hosts[h].paused_ms > w->now_ms)
+        create_key (sim, k);
+      h = choose_running_host (sim);
+      if (sim->hosts[h].paused_ms > sim->now_ms)
         {
-          call->next_ms = w->hosts[h].paused_ms;
+          call->next_ms = sim->hosts[h].paused_ms;
           continue;
         }
       call->sends++;
       call->next_ms
-          = w->now_ms
-            + csp_random_below (&w->random, chance (w, 3000) ? 40 : 4000);
-      if (has (w, FAULT_OLD_COPY) && chance (w, 2000))
-        call->next_ms += 20000 + csp_random_below (&w->random, 30000);
-      start_round (w, h, k);
+          = sim->now_ms
+            + csp_random_below (&sim->random, chance (sim, 3000) ? 40 : 4000);
+      if (has_fault (sim, FAULT_OLD_COPY) && chance (sim, 2000))
+        call->next_ms += 20000 + csp_random_below (&sim->random, 30000);
+      start_round (sim, h, k);
     }
 }
 
 static int
-find_round (const world_t *w, int serial)
+find_round (const simulation_t *sim, int serial)
 {
   int r;
 
   for (r = 0; r < ROUNDS; r++)
-    if (w->rounds[r].round != NULL && w->rounds[r].serial == serial)
+    if (sim->rounds[r].round != NULL && sim->rounds[r].serial == serial)
       return r;
   return -1;
 }
 
 static void
-deliver (world_t *w, const message_t *m)
+deliver (simulation_t *sim, const message_t *m)
 {
-  message_t back = { .from = m->to, .to = m->from, .round = m->round };
+  message_t reply = { .from = m->to, .to = m->from, .round = m->round };
   csp_once_event_t event = { 0 };
-  int r = find_round (w, m->round);
+  int r = find_round (sim, m->round);
 
   switch (m->kind)
     {
     case ASK:
-      back.kind = ANSWER;
-      csp_claim_key (w->hosts[m->to].once, &m->ask, w->now_ms,
-                     wall_of (w, m->to), &back.answer);
-      post (w, &back);
+      reply.kind = ANSWER;
+      csp_claim_key (sim->hosts[m->to].once, &m->ask, sim->now_ms,
+                     wall_clock_ms (sim, m->to), &reply.answer);
+      send_message (sim, &reply);
       return;
-    case TELL:
-      back.kind = TOLD;
-      csp_settle_claim (w->hosts[m->to].once, &m->tell, w->now_ms,
-                        wall_of (w, m->to));
-      post (w, &back);
+    case OUTCOME:
+      reply.kind = OUTCOME_ACK;
+      csp_settle_claim (sim->hosts[m->to].once, &m->tell, sim->now_ms,
+                        wall_clock_ms (sim, m->to));
+      send_message (sim, &reply);
       return;
     case ANSWER:
       event.kind = CSP_ONCE_ANSWER;
       event.u.answer = m->answer;
       break;
-    case TOLD:
+    case OUTCOME_ACK:
       event.kind = CSP_ONCE_TOLD;
-      event.host = w->hosts[m->from].ref.name;
+      event.host = sim->hosts[m->from].ref.name;
       break;
     }
   if (r >= 0)
-    step_round (w, r, &event);
+    step_round (sim, r, &event);
 }
 
 static void
-deliver_due (world_t *w)
+deliver_due_messages (simulation_t *sim)
 {
   message_t message;
   int i;
 
-  for (i = 0; i < w->message_top; i++)
+  for (i = 0; i < sim->messages_end; i++)
     {
-      if (!w->messages[i].used || w->messages[i].due_ms > w->now_ms
-          || (w->hosts[w->messages[i].to].up && !works (w, w->messages[i].to)))
+      if (!sim->messages[i].used || sim->messages[i].due_ms > sim->now_ms
+          || (sim->hosts[sim->messages[i].to].up
+              && !is_running (sim, sim->messages[i].to)))
         continue;
-      message = w->messages[i];
-      w->messages[i].used = false;
-      if (w->hosts[message.to].up)
-        deliver (w, &message);
+      message = sim->messages[i];
+      sim->messages[i].used = false;
+      if (sim->hosts[message.to].up)
+        deliver (sim, &message);
     }
 }
 
 static void
-run_rounds (world_t *w)
+step_due_rounds (simulation_t *sim)
 {
   static const csp_once_event_t tick = { .kind = CSP_ONCE_TICK };
-  open_round_t *open;
+  active_round_t *open;
   int r;
 
   for (r = 0; r < ROUNDS; r++)
     {
-      open = &w->rounds[r];
-      if (open->round == NULL || !works (w, open->host))
+      open = &sim->rounds[r];
+      if (open->round == NULL || !is_running (sim, open->host))
         continue;
-      if (open->sends && open->send_ms <= w->now_ms)
-        send_call (w, r);
-      if (csp_next_once_tick (open->round) <= w->now_ms)
-        step_round (w, r, &tick);
+      if (open->send_pending && open->send_ms <= sim->now_ms)
+        send_call (sim, r);
+      if (csp_next_once_tick (open->round) <= sim->now_ms)
+        step_round (sim, r, &tick);
       if (csp_once_round_over (open->round))
         {
           csp_destroy_once_round (open->round);
@@ -354,169 +360,173 @@
 }
 
 static void
-refresh_views (world_t *w)
+refresh_views (simulation_t *sim)
 {
   int h;
 
   for (h = 0; h < HOSTS; h++)
-    if (works (w, h) && chance (w, 400))
+    if (is_running (sim, h) && chance (sim, 400))
       {
-        w->hosts[h].view_ms = w->now_ms;
-        w->hosts[h].view_of_ms
-            = w->now_ms - csp_random_below (&w->random, LIST_LAG_MS);
+        sim->hosts[h].view_ms = sim->now_ms;
+        sim->hosts[h].list_read_ms
+            = sim->now_ms - csp_random_below (&sim->random, LIST_LAG_MS);
       }
 }
 
 static void
-end_life (world_t *w, int h)
+stop_host (simulation_t *sim, int h)
 {
   int r;
 
   for (r = 0; r < ROUNDS; r++)
-    if (w->rounds[r].round != NULL && w->rounds[r].host == h)
+    if (sim->rounds[r].round != NULL && sim->rounds[r].host == h)
       {
-        csp_destroy_once_round (w->rounds[r].round);
-        w->rounds[r].round = NULL;
+        csp_destroy_once_round (sim->rounds[r].round);
+        sim->rounds[r].round = NULL;
       }
-  csp_destroy_once (w->hosts[h].once);
-  w->hosts[h].once = NULL;
-  w->hosts[h].up = false;
+  csp_destroy_once (sim->hosts[h].once);
+  sim->hosts[h].once = NULL;
+  sim->hosts[h].up = false;
 }
 
 static void
-start_life (world_t *w, int h)
+start_host (simulation_t *sim, int h)
 {
-  host_t *host = &w->hosts[h];
+  host_t *host = &sim->hosts[h];
 
   host->up = true;
   host->paused_ms = 0;
   host->view_ms = -1;
   host->ref.incarnation++;
   snprintf (host->ref.name, sizeof host->ref.name, "h%d", h);
-  host->once = csp_create_once (&w->settings, &host->ref, w->now_ms);
+  host->once = csp_create_once (&sim->settings, &host->ref, sim->now_ms);
 }
 
-/* A host dies for good and another comes, each shown late by the list.  */
+/* Stops one host for good and starts another.  The platform's list shows both
+   changes late.  */
 static void
-replace_host (world_t *w)
+replace_host (simulation_t *sim)
 {
-  int gone = pick_host (w);
-  int next = 0;
-
-  while (next < HOSTS
-         && (w->hosts[next].up
-             || w->hosts[next].delisted_ms + 2 * LIST_LAG_MS > w->now_ms))
-    next++;
-  if (next == HOSTS)
+  int old = choose_running_host (sim);
+  int replacement = 0;
+
+  while (replacement < HOSTS
+         && (sim->hosts[replacement].up
+             || sim->hosts[replacement].delisted_ms + 2 * LIST_LAG_MS
+                    > sim->now_ms))
+    replacement++;
+  if (replacement == HOSTS)
     return;
-  end_life (w, gone);
-  w->hosts[gone].delisted_ms
-      = w->now_ms + csp_random_below (&w->random, LIST_LAG_MS);
-  start_life (w, next);
-  w->hosts[next].listed_ms = w->now_ms;
-  w->hosts[next].delisted_ms = NEVER_MS;
+  stop_host (sim, old);
+  sim->hosts[old].delisted_ms
+      = sim->now_ms + csp_random_below (&sim->random, LIST_LAG_MS);
+  start_host (sim, replacement);
+  sim->hosts[replacement].listed_ms = sim->now_ms;
+  sim->hosts[replacement].delisted_ms = NEVER_MS;
 }
 
 static void
-strike (world_t *w)
+inject_faults (simulation_t *sim)
 {
-  int h = pick_host (w);
+  int h = choose_running_host (sim);
 
-  if (has (w, FAULT_PAUSE) && chance (w, 60))
-    w->hosts[h].paused_ms = w->now_ms + csp_random_below (&w->random, 25000);
-  if (has (w, FAULT_RESTART) && chance (w, 60))
+  if (has_fault (sim, FAULT_PAUSE) && chance (sim, 60))
+    sim->hosts[h].paused_ms
+        = sim->now_ms + csp_random_below (&sim->random, 25000);
+  if (has_fault (sim, FAULT_RESTART) && chance (sim, 60))
     {
-      end_life (w, h);
-      start_life (w, h);
+      stop_host (sim, h);
+      start_host (sim, h);
     }
-  if (has (w, FAULT_REPLACE) && chance (w, 60))
-    replace_host (w);
-  if (has (w, FAULT_CUT) && chance (w, 20))
-    w->cut = !w->cut;
+  if (has_fault (sim, FAULT_REPLACE) && chance (sim, 60))
+    replace_host (sim);
+  if (has_fault (sim, FAULT_PARTITION) && chance (sim, 20))
+    sim->partitioned = !sim->partitioned;
 }
 
 static void
-open_world (world_t *w, uint64_t seed)
+start_simulation (simulation_t *sim, uint64_t seed)
 {
   int i;
 
-  memset (w, 0, sizeof *w);
-  csp_seed_random (&w->random, seed);
-  w->settings = csp_default_once_settings ();
-  w->settings.retention_ms = 30000;
-  w->settings.capacity = 16 * KEYS;
-  w->settings.clock_skew_ms = 2 * SKEW_MS;
-  w->settings.view_lease_ms = 2000;
-  w->settings.witness_delay_ms = LIST_LAG_MS + 2 * 2000;
-  w->settings.grant_lease_ms = 3000;
-  w->settings.allowed_silent = seed / 64 % 2;
-  w->settings.needed_witnesses = w->settings.allowed_silent + 1;
-  w->faults[0] = (fault_t)(seed % FAULT_COUNT);
-  w->faults[1] = (fault_t)(seed / FAULT_COUNT % FAULT_COUNT);
+  memset (sim, 0, sizeof *sim);
+  csp_seed_random (&sim->random, seed);
+  sim->settings = csp_default_once_settings ();
+  sim->settings.retention_ms = 30000;
+  sim->settings.capacity = 16 * KEYS;
+  sim->settings.clock_skew_ms = 2 * SKEW_MS;
+  sim->settings.view_lease_ms = 2000;
+  sim->settings.witness_delay_ms = LIST_LAG_MS + 2 * 2000;
+  sim->settings.grant_lease_ms = 3000;
+  sim->settings.allowed_silent = seed / 64 % 2;
+  sim->settings.needed_witnesses = sim->settings.allowed_silent + 1;
+  sim->faults[0] = (fault_t)(seed % FAULT_COUNT);
+  sim->faults[1] = (fault_t)(seed / FAULT_COUNT % FAULT_COUNT);
   for (i = 0; i < HOSTS; i++)
     {
-      w->hosts[i].skew_ms = csp_random_below (&w->random, 2 * SKEW_MS);
-      w->hosts[i].listed_ms = i < FIRST_HOSTS ? -NEVER_MS : NEVER_MS;
-      w->hosts[i].delisted_ms = i < FIRST_HOSTS ? NEVER_MS : -NEVER_MS;
+      sim->hosts[i].skew_ms = csp_random_below (&sim->random, 2 * SKEW_MS);
+      sim->hosts[i].listed_ms = i < FIRST_HOSTS ? -NEVER_MS : NEVER_MS;
+      sim->hosts[i].delisted_ms = i < FIRST_HOSTS ? NEVER_MS : -NEVER_MS;
       if (i < FIRST_HOSTS)
-        start_life (w, i);
+        start_host (sim, i);
     }
   for (i = 0; i < KEYS; i++)
-    w->calls[i].next_ms = 8000 + csp_random_below (&w->random, 60000);
+    sim->calls[i].next_ms = 8000 + csp_random_below (&sim->random, 60000);
 }
 
 static void
-close_world (world_t *w)
+end_simulation (simulation_t *sim)
 {
   int i;
 
   for (i = 0; i < HOSTS; i++)
-    end_life (w, i);
+    stop_host (sim, i);
 }
 
-/* With nothing broken every call runs, but for those that the target refused
-   or that two copies kept from each other.  */
+/* Without faults every call runs, except those whose caller got `not run`.  */
 static void
-check_world (world_t *w, uint64_t seed)
+check_results (simulation_t *sim, uint64_t seed)
 {
   int k;
 
   for (k = 0; k < KEYS; k++)
     {
-      ck_assert_msg (w->calls[k].runs <= 1,
+      ck_assert_msg (sim->calls[k].runs <= 1,
                      "seed %d: key %d (scope %d) ran %d", (int)seed, k,
-                     w->calls[k].key.scope, w->calls[k].runs);
-      ck_assert_msg (!w->calls[k].called_not_run || w->calls[k].runs == 0,
+                     sim->calls[k].key.scope, sim->calls[k].runs);
+      ck_assert_msg (!sim->calls[k].reported_not_run
+                         || sim->calls[k].runs == 0,
                      "seed %d: key %d ran after `not run`", (int)seed, k);
-      w->runs += w->calls[k].runs;
-      if (w->faults[0] == FAULT_NONE && w->faults[1] == FAULT_NONE)
-        ck_assert_msg (w->calls[k].runs == 1 || w->calls[k].called_not_run,
+      sim->runs += sim->calls[k].runs;
+      if (sim->faults[0] == FAULT_NONE && sim->faults[1] == FAULT_NONE)
+        ck_assert_msg (sim->calls[k].runs == 1
+                           || sim->calls[k].reported_not_run,
                        "seed %d: key %d never ran", (int)seed, k);
     }
-  ck_assert_msg (w->runs > 0, "seed %d: nothing ran", (int)seed);
+  ck_assert_msg (sim->runs > 0, "seed %d: nothing ran", (int)seed);
 }
 
 START_TEST (no_key_runs_twice)
 {
-  world_t *w = malloc (sizeof *w);
+  simulation_t *sim = malloc (sizeof *sim);
   uint64_t seed = (uint64_t)_i * SEEDS_PER_BATCH;
   uint64_t end = seed + SEEDS_PER_BATCH;
 
   for (; seed < end; seed++)
     {
-      open_world (w, seed);
-      for (; w->now_ms < END_MS; w->now_ms += STEP_MS)
+      start_simulation (sim, seed);
+      for (; sim->now_ms < END_MS; sim->now_ms += STEP_MS)
         {
-          strike (w);
-          refresh_views (w);
-          send_due_calls (w);
-          deliver_due (w);
-          run_rounds (w);
+          inject_faults (sim);
+          refresh_views (sim);
+          send_due_calls (sim);
+          deliver_due_messages (sim);
+          step_due_rounds (sim);
         }
-      check_world (w, seed);
-      close_world (w);
+      check_results (sim, seed);
+      end_simulation (sim);
     }
-  free (w);
+  free (sim);
 }
 END_TEST
 
--- a/tests/once/once-key-test.c
+++ b/tests/once/once-key-test.c
@@ -5,9 +5,9 @@
 #include <check.h>
 #include <stdlib.h>
 
-/* Two customers choose the same key.  Were keys shared, the second one's
-   lease would never be scored.  */
-START_TEST (organisations_are_separate)
+/* Two organisations may choose the same key text.  If their keys were shared,
+   the second organisation's call would never run.  */
+START_TEST (same_key_of_two_organisations_differs)
 {
   static const char text[] = "018f0000-0000-7000-8000-00000000000A";
   static const char lower[] = "018f0000-0000-7000-8000-00000000000a";
@@ -25,8 +25,8 @@
 }
 END_TEST
 
-/* A caller sends keys that carry no date.  Taken, they could not be told from
-   keys that were forgotten, and a late repeat would run again.  */
+/* A key without a date can't be distinguished from a key that was removed, so
+   accepting it would let a late repeat run again.  */
 START_TEST (keys_without_a_date_are_refused)
 {
   static const char *const texts[]
@@ -52,10 +52,10 @@
 }
 END_TEST
 
-/* A host's memory is full, or a key has been kept long enough, and then a
-   repeat comes.  If the host had merely forgotten the key, the call would run
+/* A repeat arrives when the key store is full or the key has been removed
+   after retention_ms.  If the host treated the key as new, the call would run
    a second time.  */
-START_TEST (a_forgotten_key_is_refused)
+START_TEST (removed_key_is_refused)
 {
   csp_once_settings_t settings = csp_default_once_settings ();
   csp_host_ref_t self = { "a", 1 };
@@ -90,9 +90,9 @@
   Suite *suite = suite_create ("once-key");
   TCase *tcase = tcase_create ("once-key");
 
-  tcase_add_test (tcase, organisations_are_separate);
+  tcase_add_test (tcase, same_key_of_two_organisations_differs);
   tcase_add_loop_test (tcase, keys_without_a_date_are_refused, 0, 13);
-  tcase_add_test (tcase, a_forgotten_key_is_refused);
+  tcase_add_test (tcase, removed_key_is_refused);
   suite_add_tcase (suite, tcase);
   return run_suite (suite);
 }
--- a/tests/once/world.h
+++ b/tests/once/world.h
@@ -3,7 +3,8 @@
 
 #include "cowslipspoke/once.h"
 
-/* The world of the interleaving test: hosts, calls, and messages under way. */
+/* The simulation of the interleaving test: hosts, calls and messages in
+   flight.  */
 
 enum
 {
@@ -25,11 +26,11 @@
 typedef enum
 {
   FAULT_LOSS,
-  FAULT_DOUBLE,
+  FAULT_DUPLICATE,
   FAULT_PAUSE,
   FAULT_RESTART,
   FAULT_REPLACE,
-  FAULT_CUT,
+  FAULT_PARTITION,
   FAULT_OLD_COPY,
   FAULT_NONE,
   FAULT_COUNT
@@ -39,8 +40,8 @@
 {
   ASK,
   ANSWER,
-  TELL,
-  TOLD
+  OUTCOME,
+  OUTCOME_ACK
 } message_kind_t;
 
 typedef struct
@@ -56,7 +57,9 @@
   csp_outcome_tell_t tell;
 } message_t;
 
-/* listed_ms, delisted_ms: when the platform's list shows it, and no more.  */
+/* listed_ms, delisted_ms: from when and until when the platform's list
+   contains the host.  view_ms, list_read_ms: when the host last refreshed its
+   list, and the time whose state that list shows.  */
 typedef struct
 {
   csp_host_ref_t ref;
@@ -67,7 +70,7 @@
   int64_t listed_ms;
   int64_t delisted_ms;
   int64_t view_ms;
-  int64_t view_of_ms;
+  int64_t list_read_ms;
 } host_t;
 
 typedef struct
@@ -76,9 +79,9 @@
   int host;
   int key;
   int serial;
-  bool sends;
+  bool send_pending;
   int64_t send_ms;
-} open_round_t;
+} active_round_t;
 
 typedef struct
 {
@@ -86,7 +89,7 @@
   int64_t next_ms;
   int sends;
   int runs;
-  bool called_not_run;
+  bool reported_not_run;
 } call_t;
 
 typedef struct
@@ -95,14 +98,14 @@
   csp_once_settings_t settings;
   fault_t faults[2];
   int64_t now_ms;
-  bool cut;
+  bool partitioned;
   host_t hosts[HOSTS];
-  open_round_t rounds[ROUNDS];
+  active_round_t rounds[ROUNDS];
   call_t calls[KEYS];
   message_t messages[MESSAGES];
-  int message_top;
+  int messages_end;
   int serial;
   int runs;
-} world_t;
+} simulation_t;
 
 #endif
