--- a/include/cowslipspoke/once.h
+++ b/include/cowslipspoke/once.h
@@ -56,9 +56,10 @@
      d:DATA_CENTRE:DATE~UNIQUE       scope data centre
      a UUID of version 7             scope all, dated by its first 48 bits
 
-   with INCARNATION in hex and DATE in decimal milliseconds since 1970. Returns
-   false with an error (bad request, not run) for anything else: a key without
-   a date can't be distinguished from one that has expired from memory.  */
+   with INCARNATION in hex and DATE in decimal milliseconds since 1970.
+   Returns false with an error (bad request, not run) for anything else: a key
+   without a date can't be distinguished from one that has expired from
+   memory.  */
 bool csp_parse_once_key (const char *organisation, const char *text,
                          csp_once_key_t *key, csp_error_t *error);
 
--- a/include/cowslipspoke/peer-choice.h
+++ b/include/cowslipspoke/peer-choice.h
@@ -5,25 +5,27 @@
 #include "cowslipspoke/names.h"
 #include "cowslipspoke/random.h"
 
-/* Which peers are asked for a slot when this host's own targets are full.
+/* Chooses the peers that are asked for a slot when this host's own targets are
+   full.
 
-   Load pattern: one host gets more than its own targets take, or owns none,
-   while others have room.  Headroom is gossiped and a second old, so if every
-   host asked the peer with the most, all would ask the same one; it would
-   refuse all but a few, and one would notice refusals beside idle engines.
-   So peers are drawn at random in proportion to their headroom, without
-   repeats: those of the own data centre first, as a hand-off across costs a
-   round trip of milliseconds and a link that may be cut in mid-answer.  */
+   Load pattern: one host receives more than its own targets can take, or owns
+   none, while other hosts have free capacity.  Headroom is gossiped and about
+   a second old, so if every host asked the peer with the most, all would ask
+   the same one and most would be refused while other engines are idle.  So
+   peers are sampled without replacement, weighted by headroom.  Peers of the
+   own data centre come first, since a hand-off to another one costs a round
+   trip of milliseconds and depends on a link that may fail during the
+   answer.  */
 
 enum
 {
-  /* Of CSP_HANDOFF_MAX_PEERS asked at most, this many are near.  With two
-     near ones drawn by headroom a third rarely knows better; the other two
-     are for when the data centre is full.  */
-  CSP_NEAR_PEERS = 2
+  /* At most this many of the CSP_HANDOFF_MAX_PEERS peers are in the own data
+     centre.  If two of them refuse, a third rarely has free capacity; the
+     remaining peers are for when the data centre is full.  */
+  CSP_LOCAL_PEERS_MAX = 2
 };
 
-/* A peer that may have room.  */
+/* A peer that may have free capacity.  */
 typedef struct
 {
   char name[CSP_HOST_NAME_BYTES];
@@ -31,10 +33,10 @@
   bool same_data_centre;
 } csp_peer_offer_t;
 
-/* Choose among offers.  Writes indices of at most CSP_HANDOFF_MAX_PEERS
-   offers in the order in which they are to be asked, and returns how many.
-   Offers below need_tokens are left out.  */
-size_t csp_choose_peers (const csp_peer_offer_t *offers, size_t count,
+/* Writes the indices of at most CSP_HANDOFF_MAX_PEERS candidates in the order
+   in which they are to be asked, and returns how many.  Candidates with less
+   headroom than need_tokens are skipped.  */
+size_t csp_choose_peers (const csp_peer_offer_t *candidates, size_t count,
                          uint32_t need_tokens, csp_random_t *random,
                          size_t chosen[CSP_HANDOFF_MAX_PEERS]);
 
--- a/source/handoff/handoff.c
+++ b/source/handoff/handoff.c
@@ -5,10 +5,11 @@
 
 enum
 {
-  MAX_COMMITS = 3
+  MAX_COMMIT_ATTEMPTS = 3
 };
 
-/* Until SENT no byte has left, so every end before it is `not run`.  */
+/* No byte is sent before HANDOFF_SENT, so an end in an earlier state is
+   `not run`.  */
 typedef enum
 {
   HANDOFF_RESERVING,
@@ -19,11 +20,12 @@
   HANDOFF_ENDED
 } handoff_state_t;
 
-/* peer: the one asked now; its ask_id is ask.ask_id + peer.
-   lease_until_ms: what the owner granted, counted from before the ask.
-   tick_ms: when the present wait ends.
-   draining_nonce: the slot let go with maybe_decoding; 0 for none.
-   retry_after_ms: the least that a refusal named; 0 without one.  */
+/* peer: the peer asked now; its ask_id is ask.ask_id + peer.
+   lease_start_ms: when the reserve, or the first commit, was sent.
+   lease_expires_ms: end of the owner's lease, counted from lease_start_ms.
+   next_tick_ms: when the current wait ends.
+   draining_nonce: the slot released with maybe_decoding; 0 if none.
+   retry_after_ms: the shortest retry time of all refusals; 0 if none.  */
 struct csp_handoff_s
 {
   csp_handoff_settings_t settings;
@@ -31,11 +33,11 @@
   handoff_state_t state;
   size_t peer;
   size_t peer_count;
-  size_t commits;
+  size_t commit_attempts;
   int64_t deadline_ms;
-  int64_t asked_ms;
-  int64_t lease_until_ms;
-  int64_t tick_ms;
+  int64_t lease_start_ms;
+  int64_t lease_expires_ms;
+  int64_t next_tick_ms;
   uint32_t retry_after_ms;
   csp_reason_t reason;
   uint64_t nonce;
@@ -67,7 +69,7 @@
                             ? peer_count
                             : CSP_HANDOFF_MAX_PEERS;
   handoff->deadline_ms = deadline_ms;
-  handoff->tick_ms = INT64_MAX;
+  handoff->next_tick_ms = INT64_MAX;
   handoff->reason = CSP_REASON_NO_TARGET;
   return handoff;
 }
@@ -79,9 +81,9 @@
 }
 
 static void
-wait_until (csp_handoff_t *handoff, int64_t until_ms)
+set_next_tick (csp_handoff_t *handoff, int64_t until_ms)
 {
-  handoff->tick_ms
+  handoff->next_tick_ms
       = until_ms < handoff->deadline_ms ? until_ms : handoff->deadline_ms;
 }
 
@@ -90,7 +92,7 @@
          const char *detail, csp_handoff_action_t *action)
 {
   handoff->state = HANDOFF_ENDED;
-  handoff->tick_ms = INT64_MAX;
+  handoff->next_tick_ms = INT64_MAX;
   action->kind = CSP_HANDOFF_GIVE_UP;
   csp_set_error (&action->u.error, verdict, reason, handoff->retry_after_ms,
                  "%s", detail);
@@ -120,25 +122,27 @@
   handoff->nonce = 0;
 }
 
-/* The lease is counted from here, before the ask leaves.  Counted from the
-   answer, a sender that slept while the answer lay in its socket would hold
-   a slot that the owner gave away long ago.  */
+/* The lease starts before the ask is sent.  If it started with the answer, a
+   sender that was paused while the answer was queued in its socket would use a
+   slot that the owner has already granted to another.  */
 static void
-ask_peer (csp_handoff_t *handoff, int64_t now_ms, csp_handoff_action_t *action)
+send_reserve (csp_handoff_t *handoff, int64_t now_ms,
+              csp_handoff_action_t *action)
 {
   handoff->state = HANDOFF_RESERVING;
-  handoff->asked_ms = now_ms;
+  handoff->lease_start_ms = now_ms;
   handoff->nonce = 0;
-  handoff->commits = 0;
-  wait_until (handoff, now_ms + handoff->settings.answer_timeout_ms);
+  handoff->commit_attempts = 0;
+  set_next_tick (handoff, now_ms + handoff->settings.answer_timeout_ms);
   action->kind = CSP_HANDOFF_SEND_RESERVE;
   action->peer = handoff->peer;
   action->u.reserve = handoff->ask;
   action->u.reserve.ask_id += handoff->peer;
 }
 
-/* No byte has left, or the target said that it started nothing: another peer
-   may be asked without a second run.  */
+/* Releases the slot and asks the next peer.  Only to be called if no byte was
+   sent or the target refused before it started; otherwise the request could
+   run twice.  */
 static void
 try_next_peer (csp_handoff_t *handoff, int64_t now_ms,
                csp_handoff_action_t *action)
@@ -153,7 +157,7 @@
   else
     {
       handoff->peer++;
-      ask_peer (handoff, now_ms, action);
+      send_reserve (handoff, now_ms, action);
     }
 }
 
@@ -161,11 +165,11 @@
 send_commit (csp_handoff_t *handoff, uint64_t holdings_number, int64_t now_ms,
              csp_handoff_action_t *action)
 {
-  if (handoff->commits == 0)
-    handoff->asked_ms = now_ms;
-  handoff->commits++;
+  if (handoff->commit_attempts == 0)
+    handoff->lease_start_ms = now_ms;
+  handoff->commit_attempts++;
   handoff->state = HANDOFF_COMMITTING;
-  wait_until (handoff, now_ms + handoff->settings.answer_timeout_ms);
+  set_next_tick (handoff, now_ms + handoff->settings.answer_timeout_ms);
   action->kind = CSP_HANDOFF_SEND_COMMIT;
   action->peer = handoff->peer;
   action->u.commit.ask_id = handoff->ask.ask_id + handoff->peer;
@@ -175,26 +179,27 @@
 }
 
 static int64_t
-end_lease (const csp_handoff_t *handoff, uint32_t lease_ms)
+compute_lease_expiry (const csp_handoff_t *handoff, uint32_t lease_ms)
 {
-  return handoff->asked_ms + lease_ms - handoff->settings.lease_margin_ms;
+  return handoff->lease_start_ms + lease_ms
+         - handoff->settings.lease_margin_ms;
 }
 
-/* An answer nobody waits for any more: an owner that was paused or far away
-   granted after the sender had gone on.  Given back at once, the slot is not
-   lost for its lease.  */
+/* Releases a slot granted by a late answer, when an owner was paused or slow
+   and the sender has already asked another peer.  Released at once, the slot's
+   capacity is not lost until its lease ends.  */
 static void
-return_late_slot (const csp_handoff_t *handoff, size_t peer, uint64_t nonce,
-                  csp_handoff_action_t *action)
+release_late_slot (const csp_handoff_t *handoff, size_t peer, uint64_t nonce,
+                   csp_handoff_action_t *action)
 {
-  bool present = peer == handoff->peer && nonce == handoff->nonce;
+  bool is_current = peer == handoff->peer && nonce == handoff->nonce;
 
-  if (nonce != 0 && !present)
+  if (nonce != 0 && !is_current)
     fill_release (handoff, peer, nonce, false, action);
 }
 
 static void
-keep_refusal (csp_handoff_t *handoff, uint32_t retry_after_ms)
+record_refusal (csp_handoff_t *handoff, uint32_t retry_after_ms)
 {
   handoff->reason = CSP_REASON_OVERLOADED;
   if (handoff->retry_after_ms == 0 || retry_after_ms < handoff->retry_after_ms)
@@ -202,9 +207,10 @@
 }
 
 static void
-take_reserve_answer (csp_handoff_t *handoff, const csp_handoff_event_t *event,
-                     uint64_t holdings_number, int64_t now_ms,
-                     csp_handoff_action_t *action)
+handle_reserve_answer (csp_handoff_t *handoff,
+                       const csp_handoff_event_t *event,
+                       uint64_t holdings_number, int64_t now_ms,
+                       csp_handoff_action_t *action)
 {
   const csp_reserve_answer_t *answer = &event->u.reserve;
 
@@ -212,27 +218,27 @@
       || answer->ask_id != handoff->ask.ask_id + handoff->peer)
     {
       if (answer->granted)
-        return_late_slot (handoff, event->peer, answer->nonce, action);
+        release_late_slot (handoff, event->peer, answer->nonce, action);
       return;
     }
   if (!answer->granted)
     {
-      keep_refusal (handoff, answer->retry_after_ms);
+      record_refusal (handoff, answer->retry_after_ms);
       try_next_peer (handoff, now_ms, action);
       return;
     }
   handoff->nonce = answer->nonce;
   memcpy (handoff->target, answer->target, sizeof handoff->target);
-  handoff->lease_until_ms = end_lease (handoff, answer->lease_ms);
-  if (now_ms >= handoff->lease_until_ms || now_ms >= handoff->deadline_ms)
+  handoff->lease_expires_ms = compute_lease_expiry (handoff, answer->lease_ms);
+  if (now_ms >= handoff->lease_expires_ms || now_ms >= handoff->deadline_ms)
     try_next_peer (handoff, now_ms, action);
   else
     send_commit (handoff, holdings_number, now_ms, action);
 }
 
 static void
-take_commit_answer (csp_handoff_t *handoff, const csp_handoff_event_t *event,
-                    int64_t now_ms, csp_handoff_action_t *action)
+handle_commit_answer (csp_handoff_t *handoff, const csp_handoff_event_t *event,
+                      int64_t now_ms, csp_handoff_action_t *action)
 {
   const csp_commit_answer_t *answer = &event->u.commit;
 
@@ -240,7 +246,7 @@
       || answer->nonce != handoff->nonce)
     {
       if (answer->held)
-        return_late_slot (handoff, event->peer, answer->nonce, action);
+        release_late_slot (handoff, event->peer, answer->nonce, action);
       return;
     }
   if (!answer->held)
@@ -249,44 +255,44 @@
       try_next_peer (handoff, now_ms, action);
       return;
     }
-  handoff->lease_until_ms = end_lease (handoff, answer->lease_ms);
-  if (now_ms >= handoff->lease_until_ms || now_ms >= handoff->deadline_ms)
+  handoff->lease_expires_ms = compute_lease_expiry (handoff, answer->lease_ms);
+  if (now_ms >= handoff->lease_expires_ms || now_ms >= handoff->deadline_ms)
     {
       try_next_peer (handoff, now_ms, action);
       return;
     }
   handoff->state = HANDOFF_OPENING;
-  wait_until (handoff, handoff->lease_until_ms);
+  set_next_tick (handoff, handoff->lease_expires_ms);
   action->kind = CSP_HANDOFF_OPEN_TARGET;
   memcpy (action->u.target, handoff->target, sizeof action->u.target);
 }
 
-/* A sender that was paused wakes up believing that its slot is its own, while
-   the owner has long given the room to another; the engine would be filled
-   twice and preempt.  So the lease is looked at again here, after connecting
-   and immediately before bytes leave.  The state changes first: from now on
-   no end is `not run` unless the target says so.  */
+/* A sender that was paused may resume after its lease has expired, when the
+   owner has granted the capacity to another; the engine would be overcommitted
+   and preempt.  So the lease is checked again here, after connecting and
+   immediately before bytes are sent.  The state changes first: from now on no
+   end is `not run` unless the target refused before it started.  */
 static void
 permit_send (csp_handoff_t *handoff, int64_t now_ms,
              csp_handoff_action_t *action)
 {
   if (handoff->state != HANDOFF_OPENING)
     return;
-  if (now_ms >= handoff->lease_until_ms || now_ms >= handoff->deadline_ms)
+  if (now_ms >= handoff->lease_expires_ms || now_ms >= handoff->deadline_ms)
     {
       try_next_peer (handoff, now_ms, action);
       return;
     }
   handoff->state = HANDOFF_SENT;
-  handoff->tick_ms = handoff->deadline_ms;
+  handoff->next_tick_ms = handoff->deadline_ms;
   action->kind = CSP_HANDOFF_SEND_REQUEST;
 }
 
 static void
-take_tick (csp_handoff_t *handoff, uint64_t holdings_number, int64_t now_ms,
-           csp_handoff_action_t *action)
+handle_tick (csp_handoff_t *handoff, uint64_t holdings_number, int64_t now_ms,
+             csp_handoff_action_t *action)
 {
-  if (now_ms < handoff->tick_ms)
+  if (now_ms < handoff->next_tick_ms)
     return;
   switch (handoff->state)
     {
@@ -295,7 +301,8 @@
       try_next_peer (handoff, now_ms, action);
       return;
     case HANDOFF_COMMITTING:
-      if (handoff->commits < MAX_COMMITS && now_ms < handoff->deadline_ms)
+      if (handoff->commit_attempts < MAX_COMMIT_ATTEMPTS
+          && now_ms < handoff->deadline_ms)
         send_commit (handoff, holdings_number, now_ms, action);
       else
         try_next_peer (handoff, now_ms, action);
@@ -312,7 +319,7 @@
 }
 
 static void
-take_failure (csp_handoff_t *handoff, csp_handoff_action_t *action)
+handle_target_failure (csp_handoff_t *handoff, csp_handoff_action_t *action)
 {
   if (handoff->state != HANDOFF_SENT && handoff->state != HANDOFF_STREAMING)
     return;
@@ -326,8 +333,8 @@
 }
 
 static void
-take_refusal (csp_handoff_t *handoff, csp_reason_t reason, int64_t now_ms,
-              csp_handoff_action_t *action)
+handle_target_refusal (csp_handoff_t *handoff, csp_reason_t reason,
+                       int64_t now_ms, csp_handoff_action_t *action)
 {
   if (handoff->state != HANDOFF_OPENING && handoff->state != HANDOFF_SENT)
     return;
@@ -336,7 +343,7 @@
 }
 
 static csp_verdict_t
-find_verdict (const csp_handoff_t *handoff)
+get_verdict (const csp_handoff_t *handoff)
 {
   switch (handoff->state)
     {
@@ -354,9 +361,9 @@
 }
 
 static void
-take_hang_up (csp_handoff_t *handoff, csp_handoff_action_t *action)
+handle_caller_gone (csp_handoff_t *handoff, csp_handoff_action_t *action)
 {
-  csp_verdict_t verdict = find_verdict (handoff);
+  csp_verdict_t verdict = get_verdict (handoff);
 
   if (handoff->state == HANDOFF_ENDED)
     return;
@@ -365,30 +372,30 @@
 }
 
 static void
-take_first_token (csp_handoff_t *handoff)
+handle_first_token (csp_handoff_t *handoff)
 {
   if (handoff->state != HANDOFF_SENT)
     return;
   handoff->state = HANDOFF_STREAMING;
-  handoff->tick_ms = INT64_MAX;
+  handoff->next_tick_ms = INT64_MAX;
 }
 
 static void
-take_end (csp_handoff_t *handoff, csp_handoff_action_t *action)
+handle_finished (csp_handoff_t *handoff, csp_handoff_action_t *action)
 {
   if (handoff->state != HANDOFF_SENT && handoff->state != HANDOFF_STREAMING)
     return;
   release_slot (handoff, false, action);
   handoff->state = HANDOFF_ENDED;
-  handoff->tick_ms = INT64_MAX;
+  handoff->next_tick_ms = INT64_MAX;
   action->kind = CSP_HANDOFF_DONE;
 }
 
-/* Once the slot is held, its owner is not needed any more: the sender opens
-   the target itself.  */
+/* Once the slot is held, its owner is no longer needed, since the sender
+   itself connects to the target.  */
 static void
-take_peer_loss (csp_handoff_t *handoff, size_t peer, int64_t now_ms,
-                csp_handoff_action_t *action)
+handle_peer_lost (csp_handoff_t *handoff, size_t peer, int64_t now_ms,
+                  csp_handoff_action_t *action)
 {
   if (peer != handoff->peer)
     return;
@@ -408,7 +415,7 @@
       try_next_peer (handoff, now_ms, action);
       return;
     }
-  ask_peer (handoff, now_ms, action);
+  send_reserve (handoff, now_ms, action);
 }
 
 void
@@ -420,39 +427,41 @@
   switch (event->kind)
     {
     case CSP_HANDOFF_TICK:
-      take_tick (handoff, holdings_number, now_ms, action);
+      handle_tick (handoff, holdings_number, now_ms, action);
       return;
     case CSP_HANDOFF_RESERVE_ANSWER:
-      take_reserve_answer (handoff, event, holdings_number, now_ms, action);
+      handle_reserve_answer (handoff, event, holdings_number, now_ms, action);
       return;
     case CSP_HANDOFF_COMMIT_ANSWER:
-      take_commit_answer (handoff, event, now_ms, action);
+      handle_commit_answer (handoff, event, now_ms, action);
       return;
     case CSP_HANDOFF_PEER_LOST:
-      take_peer_loss (handoff, event->peer, now_ms, action);
+      handle_peer_lost (handoff, event->peer, now_ms, action);
       return;
     case CSP_HANDOFF_BEFORE_SEND:
       permit_send (handoff, now_ms, action);
       return;
     case CSP_HANDOFF_NOT_SENT:
-      take_refusal (handoff, CSP_REASON_TARGET_UNREACHABLE, now_ms, action);
+      handle_target_refusal (handoff, CSP_REASON_TARGET_UNREACHABLE, now_ms,
+                             action);
       return;
     case CSP_HANDOFF_TARGET_REFUSED:
-      take_refusal (handoff, CSP_REASON_TARGET_REFUSED, now_ms, action);
+      handle_target_refusal (handoff, CSP_REASON_TARGET_REFUSED, now_ms,
+                             action);
       return;
     case CSP_HANDOFF_TARGET_FAILED:
-      take_failure (handoff, action);
+      handle_target_failure (handoff, action);
       return;
     case CSP_HANDOFF_FIRST_TOKEN:
-      take_first_token (handoff);
+      handle_first_token (handoff);
       return;
     case CSP_HANDOFF_FINISHED:
-      take_end (handoff, action);
+      handle_finished (handoff, action);
       return;
     case CSP_HANDOFF_HUNG_UP:
-      take_hang_up (handoff, action);
+      handle_caller_gone (handoff, action);
       return;
-    case CSP_HANDOFF_CANCELLED:
+    case CSP_HANDOFF_CANCEL_CONFIRMED:
       if (handoff->draining_nonce != 0)
         fill_release (handoff, handoff->peer, handoff->draining_nonce, false,
                       action);
@@ -464,7 +473,7 @@
 int64_t
 csp_next_handoff_tick (const csp_handoff_t *handoff)
 {
-  return handoff->tick_ms;
+  return handoff->next_tick_ms;
 }
 
 bool
--- a/source/handoff/peer-choice.c
+++ b/source/handoff/peer-choice.c
@@ -12,53 +12,55 @@
 }
 
 static bool
-may_choose (const csp_peer_offer_t *offer, uint32_t need_tokens, bool near)
+is_eligible (const csp_peer_offer_t *candidate, uint32_t need_tokens,
+             bool local)
 {
-  return offer->same_data_centre == near
-         && offer->headroom_tokens >= (int64_t)need_tokens
-         && offer->headroom_tokens > 0;
+  return candidate->same_data_centre == local
+         && candidate->headroom_tokens >= (int64_t)need_tokens
+         && candidate->headroom_tokens > 0;
 }
 
-/* Draw one more in proportion to headroom; count when there is none.  */
+/* Samples one more eligible peer, weighted by headroom.  Returns its index, or
+   count if there is none.  */
 static size_t
-draw_peer (const csp_peer_offer_t *offers, size_t count, uint32_t need_tokens,
-           bool near, csp_random_t *random, const size_t *chosen,
-           size_t chosen_count)
+sample_peer (const csp_peer_offer_t *candidates, size_t count,
+             uint32_t need_tokens, bool local, csp_random_t *random,
+             const size_t *chosen, size_t chosen_count)
 {
-  double total = 0;
-  double mark;
+  double total_headroom = 0;
+  double remaining;
   size_t last = count;
   size_t i;
 
   for (i = 0; i < count; i++)
-    if (may_choose (&offers[i], need_tokens, near)
+    if (is_eligible (&candidates[i], need_tokens, local)
         && !is_chosen (chosen, chosen_count, i))
-      total += (double)offers[i].headroom_tokens;
-  mark = csp_random_unit (random) * total;
+      total_headroom += (double)candidates[i].headroom_tokens;
+  remaining = csp_random_unit (random) * total_headroom;
   for (i = 0; i < count; i++)
     {
-      if (!may_choose (&offers[i], need_tokens, near)
+      if (!is_eligible (&candidates[i], need_tokens, local)
           || is_chosen (chosen, chosen_count, i))
         continue;
       last = i;
-      mark -= (double)offers[i].headroom_tokens;
-      if (mark < 0)
+      remaining -= (double)candidates[i].headroom_tokens;
+      if (remaining < 0)
         break;
     }
   return last;
 }
 
 static size_t
-draw_peers (const csp_peer_offer_t *offers, size_t count, uint32_t need_tokens,
-            bool near, size_t limit, csp_random_t *random, size_t *chosen,
-            size_t chosen_count)
+sample_peers (const csp_peer_offer_t *candidates, size_t count,
+              uint32_t need_tokens, bool local, size_t limit,
+              csp_random_t *random, size_t *chosen, size_t chosen_count)
 {
   size_t index;
 
   while (chosen_count < limit)
     {
-      index = draw_peer (offers, count, need_tokens, near, random, chosen,
-                         chosen_count);
+      index = sample_peer (candidates, count, need_tokens, local, random,
+                           chosen, chosen_count);
       if (index == count)
         break;
       chosen[chosen_count++] = index;
@@ -67,13 +69,13 @@
 }
 
 size_t
-csp_choose_peers (const csp_peer_offer_t *offers, size_t count,
+csp_choose_peers (const csp_peer_offer_t *candidates, size_t count,
                   uint32_t need_tokens, csp_random_t *random,
                   size_t chosen[CSP_HANDOFF_MAX_PEERS])
 {
-  size_t chosen_count = draw_peers (offers, count, need_tokens, true,
-                                    CSP_NEAR_PEERS, random, chosen, 0);
+  size_t chosen_count = sample_peers (candidates, count, need_tokens, true,
+                                      CSP_LOCAL_PEERS_MAX, random, chosen, 0);
 
-  return draw_peers (offers, count, need_tokens, false, CSP_HANDOFF_MAX_PEERS,
-                     random, chosen, chosen_count);
+  return sample_peers (candidates, count, need_tokens, false,
+                       CSP_HANDOFF_MAX_PEERS, random, chosen, chosen_count);
 }
--- a/source/handoff/slot-store.c
+++ b/source/handoff/slot-store.c
@@ -1,5 +1,5 @@
-/* Slots, holders and targets as linked data, without the rules of hand-off;
-   those are in slot-table.c.  */
+/* The indexes and lists of slots, holders and targets.  The rules of hand-off
+   are in slot-table.c.  */
 
 #include "handoff/slot-table-imp.h"
 
@@ -35,7 +35,7 @@
 }
 
 static void
-free_empty_holder (csp_slot_table_t *table, holder_t *holder)
+free_holder_if_empty (csp_slot_table_t *table, holder_t *holder)
 {
   if (!cds_list_empty (&holder->slots))
     return;
@@ -43,14 +43,13 @@
   free (holder);
 }
 
-/* A host restarted at the same address answers to the same name.  Its earlier
-   life can't release anything any more, and a message of that life which
-   arrives late must not bring slots back that nobody will release: the target
-   would seem full for ever.  So lives are told apart by incarnation, and only
-   the latest is listened to.  */
+/* A host restarted at the same address keeps its name.  Its earlier
+   incarnation can't release slots any more, so a late message of that
+   incarnation must not add slots that are never released: the target would
+   seem full forever.  So messages of earlier incarnations are ignored.  */
 holder_t *
-csp_find_slot_holder (csp_slot_table_t *table, const csp_host_ref_t *ref,
-                      int64_t now_ms)
+csp_get_slot_holder (csp_slot_table_t *table, const csp_host_ref_t *ref,
+                     int64_t now_ms)
 {
   uint64_t hash = csp_mix_name (ref->name);
   csp_index_node_t *node = csp_find_in_index (&table->holders, hash);
@@ -68,13 +67,13 @@
       if (holder->ref.incarnation == ref->incarnation)
         return holder;
       csp_orphan_slots (table, holder, now_ms);
-      free_empty_holder (table, holder);
+      free_holder_if_empty (table, holder);
     }
   return add_holder (table, ref, hash);
 }
 
 target_t *
-csp_find_slot_target (csp_slot_table_t *table, const char *name, bool make)
+csp_get_slot_target (csp_slot_table_t *table, const char *name, bool create)
 {
   uint64_t hash = csp_mix_name (name);
   csp_index_node_t *node = csp_find_in_index (&table->targets, hash);
@@ -86,21 +85,21 @@
       if (strcmp (target->name, name) == 0)
         return target;
     }
-  if (!make)
+  if (!create)
     return NULL;
   target = calloc (1, sizeof *target);
   if (target == NULL)
     return NULL;
   copy_name (target->name, name, sizeof target->name);
-  target->closed_until_ms = INT64_MIN;
+  target->settling_until_ms = INT64_MIN;
   CDS_INIT_LIST_HEAD (&target->slots);
   csp_add_to_index (&table->targets, &target->node, hash);
   return target;
 }
 
 slot_t *
-csp_find_held_slot (const csp_slot_table_t *table, const holder_t *holder,
-                    uint64_t ask_id)
+csp_find_slot_by_ask (const csp_slot_table_t *table, const holder_t *holder,
+                      uint64_t ask_id)
 {
   csp_index_node_t *node
       = csp_find_in_index (&table->slots, hash_slot (holder, ask_id));
@@ -116,7 +115,7 @@
 }
 
 static uint32_t *
-find_state_count (slot_t *slot)
+get_state_counter (slot_t *slot)
 {
   switch (slot->state)
     {
@@ -147,9 +146,9 @@
   slot->expiry_ms = INT64_MAX;
   while (slot->nonce == 0)
     slot->nonce = csp_random_u64 (&table->random);
-  CDS_INIT_LIST_HEAD (&slot->of_queue);
-  cds_list_add_tail (&slot->of_holder, &holder->slots);
-  cds_list_add_tail (&slot->of_target, &target->slots);
+  CDS_INIT_LIST_HEAD (&slot->queue_link);
+  cds_list_add_tail (&slot->holder_link, &holder->slots);
+  cds_list_add_tail (&slot->target_link, &target->slots);
   csp_add_to_index (&table->slots, &slot->node, hash_slot (holder, ask_id));
   target->usage.held++;
   target->usage.expected_tokens += expected_tokens;
@@ -160,15 +159,15 @@
 csp_set_slot_state (csp_slot_table_t *table, slot_t *slot, slot_state_t state,
                     int64_t now_ms)
 {
-  (*find_state_count (slot))--;
+  (*get_state_counter (slot))--;
   slot->state = state;
-  (*find_state_count (slot))++;
-  cds_list_del_init (&slot->of_queue);
+  (*get_state_counter (slot))++;
+  cds_list_del_init (&slot->queue_link);
   switch (state)
     {
     case SLOT_RESERVED:
       slot->expiry_ms = now_ms + table->settings.reserve_lease_ms;
-      cds_list_add_tail (&slot->of_queue, &table->leases);
+      cds_list_add_tail (&slot->queue_link, &table->reserved_queue);
       break;
     case SLOT_HELD:
       slot->expiry_ms = INT64_MAX;
@@ -176,7 +175,7 @@
     case SLOT_ORPHANED:
     case SLOT_DRAINING:
       slot->expiry_ms = now_ms + table->settings.orphan_ms;
-      cds_list_add_tail (&slot->of_queue, &table->drains);
+      cds_list_add_tail (&slot->queue_link, &table->draining_queue);
       break;
     }
 }
@@ -184,22 +183,22 @@
 void
 csp_free_slot (csp_slot_table_t *table, slot_t *slot)
 {
-  (*find_state_count (slot))--;
+  (*get_state_counter (slot))--;
   slot->target->usage.expected_tokens -= slot->expected_tokens;
-  cds_list_del (&slot->of_holder);
-  cds_list_del (&slot->of_target);
-  cds_list_del (&slot->of_queue);
+  cds_list_del (&slot->holder_link);
+  cds_list_del (&slot->target_link);
+  cds_list_del (&slot->queue_link);
   csp_remove_from_index (&table->slots, &slot->node);
   free (slot);
 }
 
-/* Reserved slots need nothing: their lease ends sooner.  */
+/* Reserved slots stay as they are, since their lease ends sooner.  */
 void
 csp_orphan_slots (csp_slot_table_t *table, holder_t *holder, int64_t now_ms)
 {
   slot_t *slot;
 
-  cds_list_for_each_entry (slot, &holder->slots, of_holder)
+  cds_list_for_each_entry (slot, &holder->slots, holder_link)
   {
     if (slot->state == SLOT_HELD)
       csp_set_slot_state (table, slot, SLOT_ORPHANED, now_ms);
--- a/source/handoff/slot-table-imp.h
+++ b/source/handoff/slot-table-imp.h
@@ -7,8 +7,8 @@
 #include "cowslipspoke/handoff.h"
 #include "cowslipspoke/random.h"
 
-/* ORPHANED: the holder is silent and may come back.  DRAINING: the holder
-   let go, but the engine may still be decoding.  */
+/* SLOT_ORPHANED: the holder is silent and may come back.  SLOT_DRAINING: the
+   holder released the slot, but the engine may still be decoding.  */
 typedef enum
 {
   SLOT_RESERVED,
@@ -17,7 +17,7 @@
   SLOT_DRAINING
 } slot_state_t;
 
-/* One life of a host that holds slots.  */
+/* One incarnation of a host that holds slots.  */
 typedef struct
 {
   csp_index_node_t node;
@@ -30,19 +30,19 @@
 {
   csp_index_node_t node;
   char name[CSP_TARGET_NAME_BYTES];
-  int64_t closed_until_ms;
+  int64_t settling_until_ms;
   csp_target_usage_t usage;
   struct cds_list_head slots;
 } target_t;
 
-/* commit_number: holdings with a higher number have to list the slot.
-   listed_number: the last holdings that did.  */
+/* commit_number: holdings messages with a higher number must list the slot.
+   listed_number: the number of the last holdings message that listed it.  */
 typedef struct
 {
   csp_index_node_t node;
-  struct cds_list_head of_holder;
-  struct cds_list_head of_target;
-  struct cds_list_head of_queue;
+  struct cds_list_head holder_link;
+  struct cds_list_head target_link;
+  struct cds_list_head queue_link;
   holder_t *holder;
   target_t *target;
   uint64_t ask_id;
@@ -54,8 +54,9 @@
   slot_state_t state;
 } slot_t;
 
-/* leases and drains hold slots in order of expiry, since each kind lasts
-   equally long.  */
+/* reserved_queue: reserved slots.  draining_queue: orphaned and draining
+   slots.  All slots of a queue last equally long, so each is in order of
+   expiry.  */
 struct csp_slot_table_s
 {
   csp_slot_settings_t settings;
@@ -63,29 +64,32 @@
   csp_index_t slots;
   csp_index_t holders;
   csp_index_t targets;
-  struct cds_list_head leases;
-  struct cds_list_head drains;
+  struct cds_list_head reserved_queue;
+  struct cds_list_head draining_queue;
 };
 
-/* The life that a message comes from, made if need be; NULL where a later
-   life of the same host is known already, or without memory.  A first message
-   from a later life orphans what the earlier one held.  */
-holder_t *csp_find_slot_holder (csp_slot_table_t *table,
-                                const csp_host_ref_t *ref, int64_t now_ms);
+/* Returns the holder for the incarnation that sent a message, created if
+   missing.  NULL if a later incarnation of the same host is known, or out of
+   memory.  The first message of a later incarnation orphans the slots of the
+   earlier one.  */
+holder_t *csp_get_slot_holder (csp_slot_table_t *table,
+                               const csp_host_ref_t *ref, int64_t now_ms);
 
-/* A target, made if need be; NULL without memory.  */
-target_t *csp_find_slot_target (csp_slot_table_t *table, const char *name,
-                                bool make);
+/* Returns a target.  If it is missing, creates it if create is true, and
+   returns NULL otherwise or if out of memory.  */
+target_t *csp_get_slot_target (csp_slot_table_t *table, const char *name,
+                               bool create);
 
-slot_t *csp_find_held_slot (const csp_slot_table_t *table,
-                            const holder_t *holder, uint64_t ask_id);
+slot_t *csp_find_slot_by_ask (const csp_slot_table_t *table,
+                              const holder_t *holder, uint64_t ask_id);
 
-/* A new slot that is in no state yet; NULL without memory.  */
+/* Adds a held slot that never expires; csp_set_slot_state then sets its state.
+   NULL if out of memory.  */
 slot_t *csp_add_slot (csp_slot_table_t *table, holder_t *holder,
                       target_t *target, uint64_t ask_id,
                       uint32_t expected_tokens);
 
-/* Move a slot into a state, and its expiry with it.  */
+/* Sets the state of a slot and the expiry that follows from it.  */
 void csp_set_slot_state (csp_slot_table_t *table, slot_t *slot,
                          slot_state_t state, int64_t now_ms);
 
--- a/source/handoff/slot-table.c
+++ b/source/handoff/slot-table.c
@@ -29,8 +29,8 @@
     return NULL;
   table->settings = *settings;
   csp_seed_random (&table->random, seed);
-  CDS_INIT_LIST_HEAD (&table->leases);
-  CDS_INIT_LIST_HEAD (&table->drains);
+  CDS_INIT_LIST_HEAD (&table->reserved_queue);
+  CDS_INIT_LIST_HEAD (&table->draining_queue);
   if (csp_open_index (&table->slots, EXPECTED_SLOTS) != 0
       || csp_open_index (&table->holders, EXPECTED_HOSTS) != 0
       || csp_open_index (&table->targets, EXPECTED_HOSTS) != 0)
@@ -48,7 +48,7 @@
   csp_index_node_t *next;
   target_t *target;
   slot_t *slot;
-  slot_t *after;
+  slot_t *next_slot;
   size_t i;
 
   for (i = 0; i < table->targets.bucket_count; i++)
@@ -56,8 +56,8 @@
       {
         next = node->next;
         target = CSP_INDEXED (node, target_t, node);
-        cds_list_for_each_entry_safe (slot, after, &target->slots, of_target)
-            csp_free_slot (table, slot);
+        cds_list_for_each_entry_safe (slot, next_slot, &target->slots,
+                                      target_link) csp_free_slot (table, slot);
         free (target);
       }
 }
@@ -100,7 +100,7 @@
   slot_t *next;
   size_t freed = 0;
 
-  cds_list_for_each_entry_safe (slot, next, queue, of_queue)
+  cds_list_for_each_entry_safe (slot, next, queue, queue_link)
   {
     if (slot->expiry_ms > now_ms)
       break;
@@ -113,8 +113,8 @@
 size_t
 csp_expire_slots (csp_slot_table_t *table, int64_t now_ms)
 {
-  return expire_queue (table, &table->leases, now_ms)
-         + expire_queue (table, &table->drains, now_ms);
+  return expire_queue (table, &table->reserved_queue, now_ms)
+         + expire_queue (table, &table->draining_queue, now_ms);
 }
 
 void
@@ -127,7 +127,7 @@
 }
 
 static void
-grant_slot (const csp_slot_table_t *table, const slot_t *slot,
+fill_grant (const csp_slot_table_t *table, const slot_t *slot,
             csp_reserve_answer_t *answer)
 {
   memset (answer, 0, sizeof *answer);
@@ -138,8 +138,8 @@
   memcpy (answer->target, slot->target->name, sizeof answer->target);
 }
 
-/* A link that repeats a message would otherwise take a second slot for the
-   same request; the target would look fuller than it is until the lease
+/* Otherwise a duplicate message would reserve a second slot for the same
+   request, and the target would seem fuller than it is until the lease
    ends.  */
 bool
 csp_find_slot (csp_slot_table_t *table, const csp_reserve_ask_t *ask,
@@ -149,13 +149,13 @@
   slot_t *slot;
 
   csp_expire_slots (table, now_ms);
-  holder = csp_find_slot_holder (table, &ask->sender, now_ms);
+  holder = csp_get_slot_holder (table, &ask->sender, now_ms);
   if (holder == NULL)
     return false;
-  slot = csp_find_held_slot (table, holder, ask->ask_id);
+  slot = csp_find_slot_by_ask (table, holder, ask->ask_id);
   if (slot == NULL)
     return false;
-  grant_slot (table, slot, answer);
+  fill_grant (table, slot, answer);
   return true;
 }
 
@@ -166,36 +166,36 @@
 {
   uint32_t retry_after_ms = table->settings.reserve_lease_ms;
   holder_t *holder;
-  target_t *place;
+  target_t *entry;
   slot_t *slot;
 
   if (csp_find_slot (table, ask, now_ms, answer))
     return;
-  holder = csp_find_slot_holder (table, &ask->sender, now_ms);
-  place = csp_find_slot_target (table, target, true);
-  if (holder == NULL || place == NULL)
+  holder = csp_get_slot_holder (table, &ask->sender, now_ms);
+  entry = csp_get_slot_target (table, target, true);
+  if (holder == NULL || entry == NULL)
     goto refuse;
-  if (place->closed_until_ms > now_ms)
+  if (entry->settling_until_ms > now_ms)
     {
-      retry_after_ms = (uint32_t)(place->closed_until_ms - now_ms);
+      retry_after_ms = (uint32_t)(entry->settling_until_ms - now_ms);
       goto refuse;
     }
   slot
-      = csp_add_slot (table, holder, place, ask->ask_id, ask->expected_tokens);
+      = csp_add_slot (table, holder, entry, ask->ask_id, ask->expected_tokens);
   if (slot == NULL)
     goto refuse;
   csp_set_slot_state (table, slot, SLOT_RESERVED, now_ms);
-  grant_slot (table, slot, answer);
+  fill_grant (table, slot, answer);
   return;
 
 refuse:
   csp_refuse_slot (ask, retry_after_ms, answer);
 }
 
-/* Only the grant's own nonce commits.  A paused sender's commit may reach an
-   owner that was restarted, or whose lease on the slot ended and which has
-   given the room away; with the nonce unknown it is told so and runs
-   nothing.  */
+/* A commit is accepted only with the nonce of its grant.  A paused sender's
+   commit may reach an owner that was restarted, or that has granted the
+   capacity to another after the lease ended.  The answer is then not held, and
+   the sender doesn't send the request.  */
 void
 csp_commit_slot (csp_slot_table_t *table, const csp_commit_ask_t *ask,
                  int64_t now_ms, csp_commit_answer_t *answer)
@@ -207,9 +207,9 @@
   memset (answer, 0, sizeof *answer);
   answer->ask_id = ask->ask_id;
   answer->nonce = ask->nonce;
-  holder = csp_find_slot_holder (table, &ask->sender, now_ms);
+  holder = csp_get_slot_holder (table, &ask->sender, now_ms);
   if (holder != NULL)
-    slot = csp_find_held_slot (table, holder, ask->ask_id);
+    slot = csp_find_slot_by_ask (table, holder, ask->ask_id);
   if (slot == NULL || slot->nonce != ask->nonce
       || slot->state == SLOT_DRAINING)
     return;
@@ -220,8 +220,9 @@
   answer->lease_ms = table->settings.open_lease_ms;
 }
 
-/* An engine whose link was cut goes on decoding.  If its slot were free at
-   once, the next request would meet a full memory and be preempted.  */
+/* An engine whose connection was cut goes on decoding.  If its slot were freed
+   at once, the next request would find the engine's memory full and be
+   preempted.  */
 void
 csp_release_slot (csp_slot_table_t *table, const csp_release_t *release,
                   int64_t now_ms)
@@ -230,10 +231,10 @@
   slot_t *slot;
 
   csp_expire_slots (table, now_ms);
-  holder = csp_find_slot_holder (table, &release->sender, now_ms);
+  holder = csp_get_slot_holder (table, &release->sender, now_ms);
   if (holder == NULL)
     return;
-  slot = csp_find_held_slot (table, holder, release->ask_id);
+  slot = csp_find_slot_by_ask (table, holder, release->ask_id);
   if (slot == NULL || slot->nonce != release->nonce)
     return;
   if (!release->maybe_decoding)
@@ -243,15 +244,16 @@
 }
 
 static void
-take_listed_slot (csp_slot_table_t *table, holder_t *holder,
-                  const csp_held_slot_t *held, uint64_t number, int64_t now_ms)
+apply_listed_slot (csp_slot_table_t *table, holder_t *holder,
+                   const csp_held_slot_t *held, uint64_t number,
+                   int64_t now_ms)
 {
-  slot_t *slot = csp_find_held_slot (table, holder, held->ask_id);
+  slot_t *slot = csp_find_slot_by_ask (table, holder, held->ask_id);
   target_t *target;
 
   if (slot == NULL)
     {
-      target = csp_find_slot_target (table, held->target, true);
+      target = csp_get_slot_target (table, held->target, true);
       if (target != NULL)
         slot = csp_add_slot (table, holder, target, held->ask_id,
                              held->expected_tokens);
@@ -267,19 +269,21 @@
   csp_set_slot_state (table, slot, SLOT_HELD, now_ms);
 }
 
-/* Whether a list of this number had to name the slot.  A list made before the
-   commit may arrive after it, and must not end what it could not know.  */
+/* Whether a holdings message with this number should have listed the slot but
+   did not.  A message made before the commit may arrive after it, and must not
+   end a slot that it could not list.  */
 static bool
-was_left_out (const slot_t *slot, uint64_t number)
+is_missing_from_holdings (const slot_t *slot, uint64_t number)
 {
   if (slot->state != SLOT_HELD && slot->state != SLOT_ORPHANED)
     return false;
   return slot->commit_number < number && slot->listed_number < number;
 }
 
-/* The release of a slot that is left out was lost, and with it whether the
-   engine still decodes.  Freed at once, the slot of a cut stream would be
-   filled a second time, and the engine preempts.  */
+/* If a slot is missing, its release was lost, and with it the information
+   whether the engine still decodes.  So the slot drains: if it were freed at
+   once, its capacity could be granted while the engine still decodes, and the
+   engine would preempt.  */
 void
 csp_take_holdings (csp_slot_table_t *table, const csp_holdings_t *holdings,
                    int64_t now_ms)
@@ -289,16 +293,16 @@
   size_t i;
 
   csp_expire_slots (table, now_ms);
-  holder = csp_find_slot_holder (table, &holdings->sender, now_ms);
+  holder = csp_get_slot_holder (table, &holdings->sender, now_ms);
   if (holder == NULL || holdings->number <= holder->holdings_number)
     return;
   holder->holdings_number = holdings->number;
   for (i = 0; i < holdings->count; i++)
-    take_listed_slot (table, holder, &holdings->slots[i], holdings->number,
-                      now_ms);
-  cds_list_for_each_entry (slot, &holder->slots, of_holder)
+    apply_listed_slot (table, holder, &holdings->slots[i], holdings->number,
+                       now_ms);
+  cds_list_for_each_entry (slot, &holder->slots, holder_link)
   {
-    if (was_left_out (slot, holdings->number))
+    if (is_missing_from_holdings (slot, holdings->number))
       csp_set_slot_state (table, slot, SLOT_DRAINING, now_ms);
   }
 }
@@ -340,51 +344,51 @@
     }
 }
 
-/* A new owner does not know what peers reserved with the old one.  If it
-   granted at once, target and memory would be given twice.  */
+/* A new owner doesn't know the slots that peers hold from the old owner.  If
+   it granted slots at once, the engine's memory would be granted twice.  */
 void
 csp_gain_target (csp_slot_table_t *table, const char *target, int64_t now_ms)
 {
-  target_t *place = csp_find_slot_target (table, target, true);
+  target_t *entry = csp_get_slot_target (table, target, true);
 
-  if (place != NULL)
-    place->closed_until_ms = now_ms + table->settings.settle_ms;
+  if (entry != NULL)
+    entry->settling_until_ms = now_ms + table->settings.settle_ms;
 }
 
 void
 csp_open_target (csp_slot_table_t *table, const char *target)
 {
-  target_t *place = csp_find_slot_target (table, target, false);
+  target_t *entry = csp_get_slot_target (table, target, false);
 
-  if (place != NULL)
-    place->closed_until_ms = INT64_MIN;
+  if (entry != NULL)
+    entry->settling_until_ms = INT64_MIN;
 }
 
 void
 csp_lose_target (csp_slot_table_t *table, const char *target)
 {
-  target_t *place = csp_find_slot_target (table, target, false);
+  target_t *entry = csp_get_slot_target (table, target, false);
   slot_t *slot;
   slot_t *next;
 
-  if (place == NULL)
+  if (entry == NULL)
     return;
-  cds_list_for_each_entry_safe (slot, next, &place->slots, of_target)
+  cds_list_for_each_entry_safe (slot, next, &entry->slots, target_link)
       csp_free_slot (table, slot);
-  csp_remove_from_index (&table->targets, &place->node);
-  free (place);
+  csp_remove_from_index (&table->targets, &entry->node);
+  free (entry);
 }
 
 void
 csp_count_target (csp_slot_table_t *table, const char *target, int64_t now_ms,
                   csp_target_usage_t *usage)
 {
-  target_t *place = csp_find_slot_target (table, target, false);
+  target_t *entry = csp_get_slot_target (table, target, false);
 
   csp_expire_slots (table, now_ms);
   memset (usage, 0, sizeof *usage);
-  if (place != NULL)
-    *usage = place->usage;
+  if (entry != NULL)
+    *usage = entry->usage;
 }
 
 size_t
--- a/tests/handoff/slot-table-test.c
+++ b/tests/handoff/slot-table-test.c
@@ -9,7 +9,7 @@
     = { .ask_id = 7, .sender = { "s", 1 }, .expected_tokens = 400 };
 
 static csp_slot_table_t *
-open_table (uint64_t seed)
+create_table (uint64_t seed)
 {
   csp_slot_settings_t settings = csp_default_slot_settings ();
 
@@ -28,7 +28,7 @@
 }
 
 static csp_target_usage_t
-count (csp_slot_table_t *table, const char *target, int64_t now_ms)
+get_usage (csp_slot_table_t *table, const char *target, int64_t now_ms)
 {
   csp_target_usage_t usage;
 
@@ -36,19 +36,19 @@
   return usage;
 }
 
-/* The owner restarts, and a copy of the reserve that a link had kept reaches
-   its new life, which grants another target.  The sender, who knows only the
-   first grant, would open an engine at which nobody counts it; its caller
-   would see stalls.  */
+/* The owner restarts, and a delayed duplicate of the reserve makes its new
+   incarnation grant another target.  If the sender could commit the first
+   grant, it would use an engine at which no slot is counted for it, and the
+   engine would be overcommitted.  */
 START_TEST (commit_of_an_earlier_grant_is_refused)
 {
-  csp_slot_table_t *table = open_table (1);
+  csp_slot_table_t *table = create_table (1);
   csp_reserve_answer_t first;
   csp_reserve_answer_t second;
 
   csp_reserve_slot (table, &ask, "e0", 0, &first);
   csp_destroy_slot_table (table);
-  table = open_table (2);
+  table = create_table (2);
   csp_reserve_slot (table, &ask, "e1", 0, &second);
   ck_assert (second.granted);
   ck_assert (!commit (table, first.nonce, 0, 0));
@@ -57,11 +57,12 @@
 }
 END_TEST
 
-/* A link delivers a reserve twice.  Were the copy granted for itself, an
-   engine would look fuller than it is, and callers wait beside a free one. */
-START_TEST (a_doubled_reserve_takes_one_slot)
+/* A reserve is delivered twice.  If the duplicate got its own slot, an engine
+   would look fuller than it is, and requests would wait although it has free
+   capacity.  */
+START_TEST (duplicate_reserve_takes_one_slot)
 {
-  csp_slot_table_t *table = open_table (1);
+  csp_slot_table_t *table = create_table (1);
   csp_reserve_answer_t first;
   csp_reserve_answer_t second;
 
@@ -74,31 +75,31 @@
 }
 END_TEST
 
-/* A list of holdings made before the commit arrives after it.  If it ended
-   the slot, a stream longer than the drain would go on uncounted, and the
-   engine would be given more than it can hold.  */
-START_TEST (a_list_older_than_the_commit_ends_nothing)
+/* A holdings message made before the commit arrives after it.  If it released
+   the slot, a stream that outlasts the drain would no longer be counted, and
+   the engine would be overcommitted.  */
+START_TEST (holdings_older_than_the_commit_release_nothing)
 {
-  csp_slot_table_t *table = open_table (1);
-  csp_holdings_t nothing = { .sender = { "s", 1 }, .number = 4 };
+  csp_slot_table_t *table = create_table (1);
+  csp_holdings_t empty_holdings = { .sender = { "s", 1 }, .number = 4 };
   csp_reserve_answer_t answer;
 
   csp_reserve_slot (table, &ask, "e0", 0, &answer);
   ck_assert (commit (table, answer.nonce, 4, 0));
-  csp_take_holdings (table, &nothing, 10);
-  ck_assert_uint_eq (count (table, "e0", 60000).held, 1);
-  nothing.number = 5;
-  csp_take_holdings (table, &nothing, 60000);
-  ck_assert_uint_eq (count (table, "e0", 60000).orphaned, 1);
-  ck_assert_uint_eq (count (table, "e0", 95000).orphaned, 0);
+  csp_take_holdings (table, &empty_holdings, 10);
+  ck_assert_uint_eq (get_usage (table, "e0", 60000).held, 1);
+  empty_holdings.number = 5;
+  csp_take_holdings (table, &empty_holdings, 60000);
+  ck_assert_uint_eq (get_usage (table, "e0", 60000).orphaned, 1);
+  ck_assert_uint_eq (get_usage (table, "e0", 95000).orphaned, 0);
   csp_destroy_slot_table (table);
 }
 END_TEST
 
-/* A peer grants after the sender has gone on to another.  If the sender kept
-   silent, each slow answer would cost the peer a slot for a whole lease, just
-   when all are full.  */
-START_TEST (a_late_grant_is_given_back_at_once)
+/* A peer grants after the sender has asked the next peer.  If the sender did
+   not release the slot, each slow answer would cost the peer a slot for a
+   whole lease under overload.  */
+START_TEST (late_grant_is_released_at_once)
 {
   csp_handoff_settings_t settings = csp_default_handoff_settings ();
   csp_handoff_t *handoff = csp_create_handoff (&settings, &ask, 2, 30000);
@@ -121,11 +122,12 @@
 }
 END_TEST
 
-/* A caller hangs up and the engine confirms the cancel.  Without the second
-   release its memory would stay counted for half a minute, and others wait. */
-START_TEST (a_confirmed_cancel_frees_the_slot)
+/* A caller disconnects and the engine confirms the cancel.  Without the second
+   release the slot would stay counted for orphan_ms although the engine's
+   memory is free.  */
+START_TEST (confirmed_cancel_frees_the_slot)
 {
-  csp_slot_table_t *table = open_table (1);
+  csp_slot_table_t *table = create_table (1);
   csp_reserve_answer_t answer;
   csp_release_t release = { .ask_id = 7, .sender = { "s", 1 } };
 
@@ -134,7 +136,7 @@
   ck_assert (commit (table, answer.nonce, 0, 0));
   release.maybe_decoding = true;
   csp_release_slot (table, &release, 10);
-  ck_assert_uint_eq (count (table, "e0", 10).orphaned, 1);
+  ck_assert_uint_eq (get_usage (table, "e0", 10).orphaned, 1);
   release.maybe_decoding = false;
   csp_release_slot (table, &release, 20);
   ck_assert_uint_eq (csp_count_slots (table), 0);
@@ -149,10 +151,10 @@
   TCase *tcase = tcase_create ("slot-table");
 
   tcase_add_test (tcase, commit_of_an_earlier_grant_is_refused);
-  tcase_add_test (tcase, a_doubled_reserve_takes_one_slot);
-  tcase_add_test (tcase, a_list_older_than_the_commit_ends_nothing);
-  tcase_add_test (tcase, a_late_grant_is_given_back_at_once);
-  tcase_add_test (tcase, a_confirmed_cancel_frees_the_slot);
+  tcase_add_test (tcase, duplicate_reserve_takes_one_slot);
+  tcase_add_test (tcase, holdings_older_than_the_commit_release_nothing);
+  tcase_add_test (tcase, late_grant_is_released_at_once);
+  tcase_add_test (tcase, confirmed_cancel_frees_the_slot);
   suite_add_tcase (suite, tcase);
   return run_suite (suite);
 }
--- a/tests/handoff/world.h
+++ b/tests/handoff/world.h
@@ -4,8 +4,8 @@
 #include "cowslipspoke/handoff.h"
 #include "cowslipspoke/random.h"
 
-/* The world of the interleaving test: senders, owners, and messages under way.
- */
+/* The simulation of the interleaving test: senders, owners and messages in
+   flight.  */
 
 enum
 {
@@ -17,24 +17,24 @@
   MESSAGES = 512,
   CAPACITY = 3,
   STEP_MS = 20,
-  LOAD_MS = 60000,
+  LOAD_PERIOD_MS = 60000,
   DRAIN_MS = 65000,
   STREAM_MAX_MS = 20000,
   RESUME_WINDOW_MS = 30000,
   SILENCE_MS = 5000,
-  HOLDINGS_MS = 1000
+  HOLDINGS_PERIOD_MS = 1000
 };
 
 typedef enum
 {
   FAULT_LOSS,
-  FAULT_DOUBLE,
+  FAULT_DUPLICATE,
   FAULT_SENDER_PAUSE,
   FAULT_SENDER_RESTART,
   FAULT_OWNER_PAUSE,
   FAULT_OWNER_RESTART,
   FAULT_OWNER_MOVE,
-  FAULT_SLIP,
+  FAULT_PAUSE_AT_SEND,
   FAULT_COUNT
 } fault_t;
 
@@ -56,7 +56,7 @@
   int request;
   csp_handoff_action_t action;
   csp_handoff_event_t event;
-  uint64_t number;
+  uint64_t holdings_number;
   size_t count;
   csp_held_slot_t slots[WORKERS];
   uint64_t incarnation;
@@ -73,9 +73,9 @@
 {
   csp_host_ref_t ref;
   int64_t paused_ms;
-  int64_t heard_ms;
-  uint64_t number;
-  uint64_t next_ask;
+  int64_t last_holdings_ms;
+  uint64_t holdings_number;
+  uint64_t next_ask_id;
   worker_t workers[WORKERS];
 } sender_t;
 
@@ -89,7 +89,7 @@
 typedef struct
 {
   int starts;
-  bool promised_not_run;
+  bool reported_not_run;
   bool done;
   int target;
   int sender;
@@ -103,12 +103,12 @@
   int64_t now_ms;
   sender_t senders[SENDERS];
   owner_t owners[OWNERS];
-  int view[OWNERS];
+  int target_owners[OWNERS];
   message_t messages[MESSAGES];
   request_t requests[REQUESTS];
   int request_count;
-  int slips;
-  uint32_t peak;
-} world_t;
+  int pauses_at_send;
+  uint32_t peak_running;
+} simulation_t;
 
 #endif
