--- a/include/cowslipspoke/spread.h
+++ b/include/cowslipspoke/spread.h
@@ -8,48 +8,52 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* Who reads the configuration service, who pulls from which peer, and when.
-
-   Load pattern: bursts of changes before 330 hosts that share 2,000 reads a
-   second.  If every host watched, each change would wake them all, and ten
-   changes a second would take more than everybody's reads.  So the first
-   CSP_READERS hosts of a data centre, in rendezvous order, watch; the rest
-   learn the revision from heartbeats and pull the changes from a peer.
-
-   Pure: events in, actions out, deterministic for a seed.  */
+/* Decides when this host reads the configuration service, and when it pulls
+   configuration changes from which peer.
+
+   Load pattern: bursts of changes, and 330 hosts that share 2,000 reads a
+   second.  If every host watched the service, each change would end all their
+   watches, and ten changes a second would exceed the shared limit.  So only
+   the first CSP_READERS_PER_DATA_CENTRE hosts of each data centre, in
+   rendezvous order, watch.  The others learn the revision from heartbeats and
+   pull the changes from a peer.
+
+   Performs no I/O: takes events, returns actions and is deterministic for a
+   seed.  */
 typedef struct csp_spread csp_spread_t;
 
 enum
 {
-  /* Two, so that one dead reader delays nothing; three would cost half as
-     many reads again for a case (two die within one heartbeat) that the next
-     in order mends in seconds anyway.  */
-  CSP_READERS = 2,
-  /* Bursts coalesce: at most one read, and one pull, a second each.  Half of
-     the ten seconds are then left for faults.  */
+  /* With two, the failure of one reader causes no delay.  Three would cost
+     half as many reads again for the case that two fail within one heartbeat,
+     in which the next host in order takes over within seconds anyway.  */
+  CSP_READERS_PER_DATA_CENTRE = 2,
+  /* Coalesces bursts: at most one read and one pull a second.  This leaves
+     half of the 10 s, in which a change should reach all hosts, for faults. */
   CSP_READ_GAP_MS = 1000,
   CSP_PULL_GAP_MS = 1000,
-  /* A watch waits this long; shorter finds a hanging service sooner, longer
-     saves reads: 56 readers make 14 a second.  */
+  /* How long a watch waits for a change.  A shorter wait detects a hanging
+     service sooner, a longer one saves reads: 56 readers make 14 reads a
+     second.  */
   CSP_WATCH_WAIT_MS = 4000,
-  /* A watch that is this much overdue counts as failed.  */
+  /* A watch that is overdue by this much has failed.  */
   CSP_WATCH_GRACE_MS = 2000,
-  /* Pause after a failed read; all 330 hosts together then try 66 times a
-     second when the service is away.  */
+  /* Pause after a failed read.  While the service is unreachable, 330 hosts
+     together try 66 reads a second.  */
   CSP_READ_RETRY_MS = 5000,
   CSP_PULL_TIMEOUT_MS = 2000,
-  /* A reader reads the whole this often (and a random part more), to notice
-     a service that reuses revisions.  */
-  CSP_WHOLE_CHECK_MS = 600000,
-  /* A host that starts waits this long for a first configuration from
-     anywhere before it serves what it has (or says it has none).  */
+  /* A reader makes a full read after this time plus a random time of up to as
+     much again, to detect a service that reuses revisions.  */
+  CSP_FULL_READ_PERIOD_MS = 600000,
+  /* After its start a host waits at most this long for a configuration.  Then
+     it serves with the one it has, or reports that it has none.  */
   CSP_START_WAIT_MS = 5000,
-  /* With a configuration from the service but nothing newer from a peer it
-     waits this long for peers: two heartbeats.  */
-  CSP_START_SETTLE_MS = 2000
+  /* After its start a host with a configuration from the service waits this
+     long for a peer to report a revision: two heartbeats.  */
+  CSP_START_PEER_WAIT_MS = 2000
 };
 
-/* What the membership says of a peer; csp_fill_spread_peers makes these.  */
+/* A peer's state from the membership, filled in by csp_fill_spread_peers.  */
 typedef struct
 {
   int64_t revision;
@@ -66,8 +70,8 @@
   /* GET /v1/config?after=after&wait_ms=wait_ms; time out after timeout_ms and
      report csp_handle_read or csp_handle_read_failed with id.  */
   CSP_SPREAD_READ_SERVICE,
-  /* Ask peer for changes behind after; report csp_handle_pull or
-     csp_handle_pull_failed with id.  */
+  /* Request the changes after revision after from peer; report
+     csp_handle_pull or csp_handle_pull_failed with id.  */
   CSP_SPREAD_PULL_PEER
 } csp_spread_kind_t;
 
@@ -96,50 +100,51 @@
 typedef struct
 {
   bool reader;
-  /* This host tried to read and failed; travels in its heartbeats.  */
+  /* This host's last read failed; sent in its heartbeats.  */
   bool service_silent;
   /* A configuration is in force, or CSP_START_WAIT_MS has passed.  */
-  bool start_over;
+  bool startup_done;
   uint64_t reads;
   uint64_t failed_reads;
   uint64_t pulls;
   uint64_t failed_pulls;
-  /* Answers to questions that were no longer open, dropped.  */
-  uint64_t crossed_answers;
-  /* Peers that have the revision in force with another digest now.  */
+  /* Answers that were dropped since their request was no longer pending.  */
+  uint64_t dropped_answers;
+  /* Peers that now report the revision in force with another digest.  */
   size_t peer_conflicts;
 } csp_spread_status_t;
 
-/* Fill peers from the membership: the hosts of our data centre in rendezvous
-   order, then hosts elsewhere that answered us lately.  Returns how many, and
-   our own place in the order in rank.  */
+/* Fills peers from the membership: the hosts of the own data centre in
+   rendezvous order, then hosts of other data centres that answered recently.
+   Returns how many, and in rank this host's own position in the order.  */
 size_t csp_fill_spread_peers (const csp_membership_t *membership,
                               int64_t now_ms, csp_spread_peer_t *peers,
                               size_t capacity, size_t *rank);
 
-/* Create over a configuration, which must outlive it.  */
+/* Creates the state for a configuration, which must outlive it.  */
 csp_spread_t *csp_create_spread (csp_configuration_t *configuration,
                                  uint64_t seed, int64_t now_ms);
 void csp_destroy_spread (csp_spread_t *spread);
 
-/* Decide.  peers are the live hosts, own data centre's in rendezvous order
-   first; rank is this host's own place in that order (0 is first) among the
-   hosts of its data centre.  Call every 100 ms to 500 ms and after events.  */
+/* Times out pending requests and decides on new ones.  peers: the live hosts,
+   those of the own data centre first and in rendezvous order.  rank: this
+   host's own position in that order (0 is first) among the hosts of its data
+   centre.  To be called every 100 ms to 500 ms and after events.  */
 void csp_tick_spread (csp_spread_t *spread, const csp_spread_peer_t *peers,
                       size_t peer_count, size_t rank, int64_t now_ms,
                       csp_spread_actions_t *actions);
 
-/* An answer of the service to the read with this id.  An answer to a read
-   that is no longer open is counted, dropped and gives CSP_CONFIG_SAME; so
-   for pulls.  */
+/* Handles the service's answer to the read with this id.  If the read is no
+   longer pending, the answer is counted and dropped, and the result is
+   CSP_CONFIG_SAME.  The same holds for pulls.  */
 csp_config_result_t csp_handle_read (csp_spread_t *spread, uint64_t id,
                                      const csp_config_delta_t *delta,
                                      int64_t now_ms);
 void csp_handle_read_failed (csp_spread_t *spread, uint64_t id,
                              int64_t now_ms);
 
-/* A peer's answer to the pull with this id; it also carries the peer's
-   refused revision, 0 for none, and its faults.  */
+/* Handles a peer's answer to the pull with this id, with the peer's refused
+   revision, 0 if none, and its faults.  */
 csp_config_result_t csp_handle_pull (csp_spread_t *spread, uint64_t id,
                                      const csp_config_delta_t *delta,
                                      int64_t refused_revision,
--- a/source/configuration/config-state.c
+++ b/source/configuration/config-state.c
@@ -13,10 +13,10 @@
 }
 
 static void
-release_cell (csp_config_cell_t *cell)
+release_entry (csp_config_entry_t *entry)
 {
-  if (--cell->uses == 0)
-    free (cell);
+  if (--entry->ref_count == 0)
+    free (entry);
 }
 
 void
@@ -27,26 +27,26 @@
   if (state == NULL)
     return;
   for (i = 0; i < state->count; i++)
-    release_cell (state->cells[i]);
-  free (state->cells);
+    release_entry (state->entries[i]);
+  free (state->entries);
   free (state->values);
   free (state);
 }
 
-static csp_config_cell_t *
-create_cell (const char *key, const char *json)
+static csp_config_entry_t *
+create_entry (const char *key, const char *json)
 {
   size_t key_bytes = strlen (key) + 1;
   size_t json_bytes = strlen (json) + 1;
-  csp_config_cell_t *cell = malloc (sizeof *cell + key_bytes + json_bytes);
+  csp_config_entry_t *entry = malloc (sizeof *entry + key_bytes + json_bytes);
 
-  if (cell == NULL)
+  if (entry == NULL)
     return NULL;
-  cell->uses = 1;
-  cell->hash = csp_hash_pair (key, json);
-  memcpy (cell->text, key, key_bytes);
-  memcpy (cell->text + key_bytes, json, json_bytes);
-  return cell;
+  entry->ref_count = 1;
+  entry->hash = csp_hash_pair (key, json);
+  memcpy (entry->text, key, key_bytes);
+  memcpy (entry->text + key_bytes, json, json_bytes);
+  return entry;
 }
 
 static int
@@ -79,7 +79,8 @@
   return true;
 }
 
-/* The delta's values in order of key; NULL and a fault if one is bad.  */
+/* Returns the delta's values sorted by key; NULL and a fault text if a value
+   is invalid.  */
 static const csp_config_value_t **
 sort_delta (const csp_config_delta_t *delta, char fault[CSP_FAULT_BYTES])
 {
@@ -93,91 +94,92 @@
     {
       sorted[i] = &delta->values[i];
       if (!check_value (sorted[i], NULL, fault))
-        goto bad;
+        goto invalid;
     }
   qsort (sorted, delta->value_count, sizeof (void *), compare_values);
   for (i = 1; i < delta->value_count; i++)
     if (!check_value (sorted[i], sorted[i - 1], fault))
-      goto bad;
+      goto invalid;
   return sorted;
-bad:
+invalid:
   free (sorted);
   return NULL;
 }
 
 static void
-append_cell (csp_config_state_t *state, csp_config_cell_t *cell,
-             int64_t revision)
+append_entry (csp_config_state_t *state, csp_config_entry_t *entry,
+              int64_t revision)
 {
   csp_config_value_t *value = &state->values[state->count];
 
-  value->key = cell->text;
-  value->json = cell->text + strlen (cell->text) + 1;
+  value->key = entry->text;
+  value->json = entry->text + strlen (entry->text) + 1;
   value->revision = revision;
-  state->cells[state->count++] = cell;
-  state->digest += cell->hash;
+  state->entries[state->count++] = entry;
+  state->digest += entry->hash;
   state->size_bytes += strlen (value->key) + strlen (value->json);
 }
 
 static void
-keep_value (csp_config_state_t *made, const csp_config_state_t *old, size_t at)
+share_value (csp_config_state_t *merged, const csp_config_state_t *old,
+             size_t old_index)
 {
-  old->cells[at]->uses++;
-  append_cell (made, old->cells[at], old->values[at].revision);
+  old->entries[old_index]->ref_count++;
+  append_entry (merged, old->entries[old_index],
+                old->values[old_index].revision);
 }
 
-/* A value whose text changed but which claims to be no newer than what was in
-   force comes from a service that reuses revisions.  Peers that ask for the
-   changes behind the old revision would miss it, so it counts as changed
-   now.  */
+/* If a value changed but its revision is not higher than the old state's, the
+   service reuses revisions.  Peers that ask for the changes after the old
+   revision would miss the value, so it gets the new state's revision.  */
 static bool
-put_value (csp_config_state_t *made, const csp_config_state_t *old,
+add_value (csp_config_state_t *merged, const csp_config_state_t *old,
            size_t match, const csp_config_value_t *value)
 {
-  csp_config_cell_t *cell;
+  csp_config_entry_t *entry;
   int64_t revision = value->revision;
 
-  if (revision > made->revision)
-    revision = made->revision;
+  if (revision > merged->revision)
+    revision = merged->revision;
   if (match < old->count && strcmp (old->values[match].json, value->json) == 0)
     {
-      keep_value (made, old, match);
-      made->values[made->count - 1].revision = revision;
+      share_value (merged, old, match);
+      merged->values[merged->count - 1].revision = revision;
       return true;
     }
   if (revision <= old->revision)
-    revision = made->revision;
-  cell = create_cell (value->key, value->json);
-  if (cell == NULL)
+    revision = merged->revision;
+  entry = create_entry (value->key, value->json);
+  if (entry == NULL)
     return false;
-  append_cell (made, cell, revision);
+  append_entry (merged, entry, revision);
   return true;
 }
 
 static bool
-merge (csp_config_state_t *made, const csp_config_state_t *old,
+merge (csp_config_state_t *merged, const csp_config_state_t *old,
        const csp_config_delta_t *delta, const csp_config_value_t **sorted)
 {
-  size_t at = 0;
-  size_t next = 0;
+  size_t old_index = 0;
+  size_t delta_index = 0;
   int order;
 
-  while (at < old->count || next < delta->value_count)
+  while (old_index < old->count || delta_index < delta->value_count)
     {
-      if (at == old->count)
+      if (old_index == old->count)
         order = 1;
-      else if (next == delta->value_count)
+      else if (delta_index == delta->value_count)
         order = -1;
       else
-        order = strcmp (old->values[at].key, sorted[next]->key);
+        order = strcmp (old->values[old_index].key, sorted[delta_index]->key);
       if (order < 0 && !delta->full)
-        keep_value (made, old, at);
-      if (order >= 0 && sorted[next]->json != NULL
-          && !put_value (made, old, order == 0 ? at : old->count,
-                         sorted[next]))
+        share_value (merged, old, old_index);
+      if (order >= 0 && sorted[delta_index]->json != NULL
+          && !add_value (merged, old, order == 0 ? old_index : old->count,
+                         sorted[delta_index]))
         return false;
-      at += order <= 0;
-      next += order >= 0;
+      old_index += order <= 0;
+      delta_index += order >= 0;
     }
   return true;
 }
@@ -188,25 +190,25 @@
                         char fault[CSP_FAULT_BYTES])
 {
   const csp_config_value_t **sorted = sort_delta (delta, fault);
-  csp_config_state_t *made = csp_create_config_state ();
-  size_t most = state->count + delta->value_count + 1;
-  bool good = false;
+  csp_config_state_t *merged = csp_create_config_state ();
+  size_t capacity = state->count + delta->value_count + 1;
+  bool succeeded = false;
 
-  if (sorted == NULL || made == NULL)
+  if (sorted == NULL || merged == NULL)
     goto out;
-  made->revision = delta->revision;
-  made->values = calloc (most, sizeof *made->values);
-  made->cells = calloc (most, sizeof (void *));
-  if (made->values == NULL || made->cells == NULL)
+  merged->revision = delta->revision;
+  merged->values = calloc (capacity, sizeof *merged->values);
+  merged->entries = calloc (capacity, sizeof (void *));
+  if (merged->values == NULL || merged->entries == NULL)
     goto out;
-  good = merge (made, state, delta, sorted);
-  if (good && made->size_bytes > CSP_MAX_ANSWER_BYTES)
-    good = fail (fault, "configuration", "is larger than 16 MB");
+  succeeded = merge (merged, state, delta, sorted);
+  if (succeeded && merged->size_bytes > CSP_MAX_ANSWER_BYTES)
+    succeeded = fail (fault, "configuration", "is larger than 16 MB");
 out:
   free (sorted);
-  if (good)
-    return made;
-  csp_destroy_config_state (made);
+  if (succeeded)
+    return merged;
+  csp_destroy_config_state (merged);
   return NULL;
 }
 
--- a/source/configuration/configuration.c
+++ b/source/configuration/configuration.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A deletion that deltas still have to carry.  */
+/* A deletion that deltas still have to include.  */
 typedef struct
 {
   char *key;
@@ -16,11 +16,11 @@
   csp_config_check_t check;
   csp_config_state_t *state;
   void *built;
-  /* Deltas behind an older revision than this would miss deletions.  */
-  int64_t floor;
+  /* Deltas after an older revision than this would miss deletions.  */
+  int64_t oldest_delta_base;
   size_t tombstone_count;
   tombstone_t tombstones[CSP_MAX_TOMBSTONES];
-  /* The values of the last delta given out.  */
+  /* The values of the last delta returned by csp_find_config_changes.  */
   csp_config_value_t *changes;
   size_t changes_capacity;
   csp_config_status_t status;
@@ -68,18 +68,18 @@
 }
 
 static void
-drop_tombstone (csp_configuration_t *configuration, size_t at)
+drop_tombstone (csp_configuration_t *configuration, size_t index)
 {
   tombstone_t *tombstones = configuration->tombstones;
 
-  free (tombstones[at].key);
+  free (tombstones[index].key);
   configuration->tombstone_count--;
-  memmove (&tombstones[at], &tombstones[at + 1],
-           (configuration->tombstone_count - at) * sizeof *tombstones);
+  memmove (&tombstones[index], &tombstones[index + 1],
+           (configuration->tombstone_count - index) * sizeof *tombstones);
 }
 
-/* Where a deletion can't be remembered, deltas across it must not be given:
-   a peer would keep the deleted key for ever.  */
+/* If a deletion can't be kept, no delta may span it: a peer would keep the
+   deleted key forever.  */
 static void
 add_tombstone (csp_configuration_t *configuration, const char *key,
                int64_t revision)
@@ -89,13 +89,15 @@
 
   if (copy == NULL)
     {
-      configuration->floor = revision;
+      configuration->oldest_delta_base = revision;
       return;
     }
   if (configuration->tombstone_count == CSP_MAX_TOMBSTONES)
     {
-      if (configuration->floor < configuration->tombstones[0].revision)
-        configuration->floor = configuration->tombstones[0].revision;
+      if (configuration->oldest_delta_base
+          < configuration->tombstones[0].revision)
+        configuration->oldest_delta_base
+            = configuration->tombstones[0].revision;
       drop_tombstone (configuration, 0);
     }
   tombstone = &configuration->tombstones[configuration->tombstone_count++];
@@ -105,35 +107,36 @@
 
 static void
 update_tombstones (csp_configuration_t *configuration,
-                   const csp_config_state_t *made)
+                   const csp_config_state_t *merged)
 {
   const csp_config_state_t *old = configuration->state;
   size_t i;
 
   for (i = configuration->tombstone_count; i-- > 0;)
-    if (csp_find_config_value (made, configuration->tombstones[i].key) != NULL)
+    if (csp_find_config_value (merged, configuration->tombstones[i].key)
+        != NULL)
       drop_tombstone (configuration, i);
   for (i = 0; i < old->count; i++)
-    if (csp_find_config_value (made, old->values[i].key) == NULL)
-      add_tombstone (configuration, old->values[i].key, made->revision);
+    if (csp_find_config_value (merged, old->values[i].key) == NULL)
+      add_tombstone (configuration, old->values[i].key, merged->revision);
 }
 
 static void
-put_in_force (csp_configuration_t *configuration, csp_config_state_t *made,
-              void *built)
+activate (csp_configuration_t *configuration, csp_config_state_t *merged,
+          void *built)
 {
   csp_config_status_t *status = &configuration->status;
 
-  /* What was deleted before the first whole is unknown here.  */
+  /* Deletions before the first full configuration are unknown.  */
   if (configuration->state->revision == 0)
-    configuration->floor = made->revision;
+    configuration->oldest_delta_base = merged->revision;
   else
-    update_tombstones (configuration, made);
+    update_tombstones (configuration, merged);
   csp_destroy_config_state (configuration->state);
-  configuration->state = made;
+  configuration->state = merged;
   release_built (configuration);
   configuration->built = built;
-  if (status->refused_revision <= made->revision)
+  if (status->refused_revision <= merged->revision)
     {
       status->refused_revision = 0;
       status->fault[0] = '\0';
@@ -149,17 +152,17 @@
   return CSP_CONFIG_REFUSED;
 }
 
-/* Same revision: every value given must be what is held, and a whole must
-   have the same digest.  A service that was restored from a backup and went
-   on counting shows here; otherwise half the fleet would decide by one
-   content and half by the other, under one number.  */
+/* For the revision in force, every value received must equal the value in
+   force, and a full configuration must have the same digest.  This detects a
+   service that was restored from a backup and reuses revisions; otherwise
+   parts of the fleet would use different content under the same revision.  */
 static csp_config_result_t
 compare_content (csp_configuration_t *configuration,
                  const csp_config_delta_t *delta)
 {
   const csp_config_state_t *held = configuration->state;
   const csp_config_value_t *value;
-  csp_config_state_t *made;
+  csp_config_state_t *merged;
   char fault[CSP_FAULT_BYTES] = "";
   bool same;
   size_t i;
@@ -176,81 +179,84 @@
     }
   if (!delta->full)
     return CSP_CONFIG_SAME;
-  made = csp_merge_config_state (held, delta, fault);
-  same = made != NULL && made->digest == held->digest;
-  csp_destroy_config_state (made);
+  merged = csp_merge_config_state (held, delta, fault);
+  same = merged != NULL && merged->digest == held->digest;
+  csp_destroy_config_state (merged);
   return same ? CSP_CONFIG_SAME : CSP_CONFIG_CONFLICT;
 }
 
 static csp_config_result_t
-take_newer (csp_configuration_t *configuration, csp_config_source_t source,
-            const csp_config_delta_t *delta)
+apply_newer (csp_configuration_t *configuration, csp_config_source_t source,
+             const csp_config_delta_t *delta)
 {
   csp_config_status_t *status = &configuration->status;
   char fault[CSP_FAULT_BYTES] = "";
-  csp_config_state_t *made;
+  csp_config_state_t *merged;
   void *built;
 
-  /* A delta only fits on the history it was made from.  */
+  /* A delta can only be applied to a state that includes its base.  */
   if (!delta->full
       && (delta->base > configuration->state->revision
           || configuration->state->revision == 0
-          || (source == CSP_SOURCE_SERVICE && status->distrust_deltas)))
+          || (source == CSP_SOURCE_SERVICE && status->needs_full_read)))
     return CSP_CONFIG_ASK_WHOLE;
-  made = csp_merge_config_state (configuration->state, delta, fault);
-  if (made == NULL)
+  merged = csp_merge_config_state (configuration->state, delta, fault);
+  if (merged == NULL)
     return refuse (configuration, delta->revision, fault);
-  /* The sender's digest shows a half delta, or a base with other content.  */
-  if (delta->digest != 0 && delta->digest != made->digest)
+  /* The digest differs if the delta is incomplete, or its base had other
+     content.  */
+  if (delta->digest != 0 && delta->digest != merged->digest)
     {
-      csp_destroy_config_state (made);
+      csp_destroy_config_state (merged);
       return CSP_CONFIG_ASK_WHOLE;
     }
-  built
-      = configuration->check.build (configuration->check.state, made->revision,
-                                    made->values, made->count, fault);
+  built = configuration->check.build (configuration->check.state,
+                                      merged->revision, merged->values,
+                                      merged->count, fault);
   if (built == NULL)
     {
-      csp_destroy_config_state (made);
+      csp_destroy_config_state (merged);
       return refuse (configuration, delta->revision, fault);
     }
-  put_in_force (configuration, made, built);
+  activate (configuration, merged, built);
   return CSP_CONFIG_TAKEN;
 }
 
 static csp_config_result_t
-judge (csp_configuration_t *configuration, csp_config_source_t source,
-       const csp_config_delta_t *delta)
+apply_delta (csp_configuration_t *configuration, csp_config_source_t source,
+             const csp_config_delta_t *delta)
 {
   int64_t revision = configuration->state->revision;
 
   if (delta->revision < revision)
     return CSP_CONFIG_STALE;
-  /* A watch behind a refused revision ended without news.  Taken for a gap,
-     it would make every reader read the whole at each end of a watch.  */
+  /* A watch after a refused revision ended without a change.  If this counted
+     as a missing base, every reader would make a full read at the end of each
+     watch.  */
   if (!delta->full && delta->value_count == 0 && delta->base == delta->revision
       && delta->revision == configuration->status.refused_revision)
     return CSP_CONFIG_SAME;
   if (delta->revision == revision)
     return compare_content (configuration, delta);
-  return take_newer (configuration, source, delta);
+  return apply_newer (configuration, source, delta);
 }
 
-/* After the service fell back or showed other content, its deltas may skip
-   what it published a second time under revisions that we already had; only
-   a whole read ends that.  */
+/* Once the service has returned a lower revision or other content, its deltas
+   may omit what it published again under revisions already in force here.  So
+   its deltas are not applied until a full read succeeds.  */
 static void
-note_service (csp_configuration_t *configuration,
-              const csp_config_delta_t *delta, csp_config_result_t result)
+update_service_status (csp_configuration_t *configuration,
+                       const csp_config_delta_t *delta,
+                       csp_config_result_t result)
 {
   csp_config_status_t *status = &configuration->status;
 
   if (delta->revision < status->service_revision || result == CSP_CONFIG_STALE
       || result == CSP_CONFIG_CONFLICT)
-    status->distrust_deltas = true;
+    status->needs_full_read = true;
   else if (delta->full
            && (result == CSP_CONFIG_TAKEN || result == CSP_CONFIG_SAME))
-    status->distrust_deltas = false;
+    status->needs_full_read = false;
   status->service_revision = delta->revision;
   status->service_stale = result == CSP_CONFIG_STALE;
 }
@@ -260,11 +266,11 @@
                         csp_config_source_t source,
                         const csp_config_delta_t *delta)
 {
-  csp_config_result_t result = judge (configuration, source, delta);
+  csp_config_result_t result = apply_delta (configuration, source, delta);
 
   configuration->status.counts[result]++;
   if (source == CSP_SOURCE_SERVICE)
-    note_service (configuration, delta, result);
+    update_service_status (configuration, delta, result);
   return result;
 }
 
@@ -327,7 +333,8 @@
   delta->digest = state->digest;
   if (after >= state->revision)
     return;
-  if (after < configuration->floor || !reserve_changes (configuration))
+  if (after < configuration->oldest_delta_base
+      || !reserve_changes (configuration))
     {
       delta->base = 0;
       delta->full = true;
@@ -355,7 +362,7 @@
 void
 csp_note_conflict (csp_configuration_t *configuration)
 {
-  configuration->status.distrust_deltas = true;
+  configuration->status.needs_full_read = true;
 }
 
 void *
--- a/source/configuration/spread.c
+++ b/source/configuration/spread.c
@@ -4,29 +4,30 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A question that is out; id 0 is none.  */
+/* A pending read or pull; id is 0 if none is pending.  */
 typedef struct
 {
   uint64_t id;
   int64_t started_ms;
-  int64_t until_ms;
+  int64_t timeout_at_ms;
   int64_t next_ms;
-  bool whole;
+  bool full;
   char peer[CSP_HOST_NAME_BYTES];
-} question_t;
+} pending_request_t;
 
 struct csp_spread
 {
   csp_configuration_t *configuration;
   csp_random_t random;
   int64_t started_ms;
-  int64_t whole_due_ms;
+  int64_t full_read_due_ms;
   uint64_t last_id;
-  question_t read;
-  question_t pull;
-  /* The last read was an attempt at all, and the last pull failed there.  */
+  pending_request_t read;
+  pending_request_t pull;
+  /* service_tried: a read of the service has succeeded or failed since the
+     start.  failed_peer: the peer of the last failed pull.  */
   bool service_tried;
-  char bad_peer[CSP_HOST_NAME_BYTES];
+  char failed_peer[CSP_HOST_NAME_BYTES];
   csp_spread_status_t status;
 };
 
@@ -47,8 +48,8 @@
   spread->configuration = configuration;
   spread->started_ms = now_ms;
   csp_seed_random (&spread->random, seed);
-  spread->whole_due_ms
-      = now_ms + CSP_WHOLE_CHECK_MS + jitter (spread, CSP_WHOLE_CHECK_MS);
+  spread->full_read_due_ms = now_ms + CSP_FULL_READ_PERIOD_MS
+                             + jitter (spread, CSP_FULL_READ_PERIOD_MS);
   return spread;
 }
 
@@ -59,23 +60,24 @@
 }
 
 static void
-start_question (csp_spread_t *spread, question_t *question, bool whole,
-                uint32_t timeout_ms, int64_t now_ms)
+start_request (csp_spread_t *spread, pending_request_t *request, bool full,
+               uint32_t timeout_ms, int64_t now_ms)
 {
-  question->id = ++spread->last_id;
-  question->started_ms = now_ms;
-  question->until_ms = now_ms + timeout_ms;
-  question->whole = whole;
+  request->id = ++spread->last_id;
+  request->started_ms = now_ms;
+  request->timeout_at_ms = now_ms + timeout_ms;
+  request->full = full;
 }
 
-/* A host reads while fewer than CSP_READERS hosts before it, in the order
-   that all share, say that the service answers them.  A reader that died
-   leaves the order; one that is cut off from the service says so in its
-   heartbeats; either way the next in order takes its place.  */
+/* A host is a reader while fewer than CSP_READERS_PER_DATA_CENTRE hosts before
+   it in the common rendezvous order can read the service.  A reader that
+   failed is no longer in the order, and one that can't reach the service
+   reports so in its heartbeats; in both cases the next host in order takes its
+   place.  */
 static bool
 is_reader (const csp_spread_peer_t *peers, size_t peer_count, size_t rank)
 {
-  size_t ahead = 0;
+  size_t answering_before = 0;
   size_t seen = 0;
   size_t i;
 
@@ -83,22 +85,23 @@
     if (peers[i].same_data_centre)
       {
         seen++;
-        ahead += !peers[i].service_silent;
+        answering_before += !peers[i].service_silent;
       }
-  return ahead < CSP_READERS;
+  return answering_before < CSP_READERS_PER_DATA_CENTRE;
 }
 
 static csp_spread_action_t *
 add_action (csp_spread_actions_t *actions, csp_spread_kind_t kind,
-            const question_t *question, int64_t after)
+            const pending_request_t *request, int64_t after)
 {
   csp_spread_action_t *action = &actions->items[actions->count++];
 
   memset (action, 0, sizeof *action);
   action->kind = kind;
-  action->id = question->id;
-  action->after = question->whole ? 0 : after;
-  action->timeout_ms = (uint32_t)(question->until_ms - question->started_ms);
+  action->id = request->id;
+  action->after = request->full ? 0 : after;
+  action->timeout_ms
+      = (uint32_t)(request->timeout_at_ms - request->started_ms);
   return action;
 }
 
@@ -107,68 +110,69 @@
              csp_spread_actions_t *actions)
 {
   int64_t after = csp_find_watch_base (spread->configuration);
-  bool first = !spread->service_tried;
+  bool first_read = !spread->service_tried;
   csp_spread_action_t *action;
-  question_t *read = &spread->read;
-  bool whole = read->whole;
+  pending_request_t *read = &spread->read;
+  bool full = read->full;
   uint32_t wait_ms;
 
   if (read->id != 0 || now_ms < read->next_ms
-      || !(spread->status.reader || first))
+      || !(spread->status.reader || first_read))
     return;
-  if (now_ms >= spread->whole_due_ms)
+  if (now_ms >= spread->full_read_due_ms)
     {
-      whole = true;
-      spread->whole_due_ms
-          = now_ms + CSP_WHOLE_CHECK_MS + jitter (spread, CSP_WHOLE_CHECK_MS);
+      full = true;
+      spread->full_read_due_ms = now_ms + CSP_FULL_READ_PERIOD_MS
+                                 + jitter (spread, CSP_FULL_READ_PERIOD_MS);
     }
-  wait_ms = whole || after == 0 ? 0 : CSP_WATCH_WAIT_MS;
-  start_question (spread, read, whole, wait_ms + CSP_WATCH_GRACE_MS, now_ms);
+  wait_ms = full || after == 0 ? 0 : CSP_WATCH_WAIT_MS;
+  start_request (spread, read, full, wait_ms + CSP_WATCH_GRACE_MS, now_ms);
   action = add_action (actions, CSP_SPREAD_READ_SERVICE, read, after);
   action->wait_ms = wait_ms;
   spread->status.reads++;
 }
 
-/* Whether a peer has a revision, or a fault to show, that we have not.  */
+/* Whether a peer has a higher revision, or a higher refused revision, than
+   this host.  */
 static bool
-has_news (const csp_spread_peer_t *peer, const csp_config_status_t *held,
-          int64_t known)
+has_newer_revision (const csp_spread_peer_t *peer,
+                    const csp_config_status_t *current, int64_t known_revision)
 {
-  return peer->revision > known
-         || (peer->refused_revision > held->revision
-             && peer->refused_revision > held->refused_revision);
+  return peer->revision > known_revision
+         || (peer->refused_revision > current->revision
+             && peer->refused_revision > current->refused_revision);
 }
 
-/* One of the peers with news, at random so that the readers share the work;
-   of our own data centre if any is.  */
+/* Chooses a peer with a newer revision, one of the own data centre if there is
+   any.  The choice is random, so that pulls are shared among the readers.  */
 static const csp_spread_peer_t *
 choose_peer (csp_spread_t *spread, const csp_spread_peer_t *peers,
              size_t peer_count)
 {
   const csp_spread_peer_t *chosen = NULL;
-  csp_config_status_t held;
-  int64_t known = csp_find_watch_base (spread->configuration);
-  uint32_t equals = 0;
+  csp_config_status_t current;
+  int64_t known_revision = csp_find_watch_base (spread->configuration);
+  uint32_t tie_count = 0;
   bool better;
   size_t i;
 
-  csp_describe_configuration (spread->configuration, &held);
+  csp_describe_configuration (spread->configuration, &current);
   for (i = 0; i < peer_count; i++)
     {
-      if (!has_news (&peers[i], &held, known)
-          || strcmp (peers[i].name, spread->bad_peer) == 0)
+      if (!has_newer_revision (&peers[i], &current, known_revision)
+          || strcmp (peers[i].name, spread->failed_peer) == 0)
         continue;
       better = chosen == NULL
                || peers[i].same_data_centre > chosen->same_data_centre;
       if (!better && peers[i].same_data_centre < chosen->same_data_centre)
         continue;
-      equals = better ? 1 : equals + 1;
-      if (better || csp_random_below (&spread->random, equals) == 0)
+      tie_count = better ? 1 : tie_count + 1;
+      if (better || csp_random_below (&spread->random, tie_count) == 0)
         chosen = &peers[i];
     }
-  /* A peer that failed is left out once, then it may be all there is.  */
+  /* A peer whose pull failed is skipped once; then it may be the only one.  */
   if (chosen == NULL)
-    spread->bad_peer[0] = '\0';
+    spread->failed_peer[0] = '\0';
   return chosen;
 }
 
@@ -177,70 +181,71 @@
              size_t peer_count, int64_t now_ms, csp_spread_actions_t *actions)
 {
   const csp_spread_peer_t *peer;
-  csp_config_status_t held;
+  csp_config_status_t current;
   csp_spread_action_t *action;
-  question_t *pull = &spread->pull;
+  pending_request_t *pull = &spread->pull;
 
   if (pull->id != 0 || now_ms < pull->next_ms)
     return;
   peer = choose_peer (spread, peers, peer_count);
   if (peer == NULL)
     return;
-  csp_describe_configuration (spread->configuration, &held);
-  start_question (spread, pull, pull->whole, CSP_PULL_TIMEOUT_MS, now_ms);
+  csp_describe_configuration (spread->configuration, &current);
+  start_request (spread, pull, pull->full, CSP_PULL_TIMEOUT_MS, now_ms);
   memcpy (pull->peer, peer->name, sizeof pull->peer);
-  action = add_action (actions, CSP_SPREAD_PULL_PEER, pull, held.revision);
+  action = add_action (actions, CSP_SPREAD_PULL_PEER, pull, current.revision);
   memcpy (action->peer, peer->name, sizeof action->peer);
   spread->status.pulls++;
 }
 
 static void
-note_conflicts (csp_spread_t *spread, const csp_spread_peer_t *peers,
-                size_t peer_count)
+record_conflicts (csp_spread_t *spread, const csp_spread_peer_t *peers,
+                  size_t peer_count)
 {
-  csp_config_status_t held;
+  csp_config_status_t current;
   size_t count = 0;
   size_t i;
 
-  csp_describe_configuration (spread->configuration, &held);
+  csp_describe_configuration (spread->configuration, &current);
   for (i = 0; i < peer_count; i++)
-    count += peers[i].revision == held.revision && held.revision > 0
-             && peers[i].digest != 0 && peers[i].digest != held.digest;
+    count += peers[i].revision == current.revision && current.revision > 0
+             && peers[i].digest != 0 && peers[i].digest != current.digest;
   if (count > spread->status.peer_conflicts)
     csp_note_conflict (spread->configuration);
   spread->status.peer_conflicts = count;
 }
 
 static void
-decide_start (csp_spread_t *spread, const csp_spread_peer_t *peers,
-              size_t peer_count, int64_t now_ms)
+update_startup (csp_spread_t *spread, const csp_spread_peer_t *peers,
+                size_t peer_count, int64_t now_ms)
 {
   int64_t waited_ms = now_ms - spread->started_ms;
-  csp_config_status_t held;
-  bool heard = false;
-  bool behind = false;
+  csp_config_status_t current;
+  bool peer_has_configuration = false;
+  bool is_behind = false;
   size_t i;
 
-  if (spread->status.start_over)
+  if (spread->status.startup_done)
     return;
-  csp_describe_configuration (spread->configuration, &held);
+  csp_describe_configuration (spread->configuration, &current);
   for (i = 0; i < peer_count; i++)
     {
-      heard = heard || peers[i].revision > 0;
-      behind = behind || peers[i].revision > held.revision;
+      peer_has_configuration = peer_has_configuration || peers[i].revision > 0;
+      is_behind = is_behind || peers[i].revision > current.revision;
     }
-  spread->status.start_over
+  spread->status.startup_done
       = waited_ms >= CSP_START_WAIT_MS
-        || (held.revision > 0 && spread->service_tried && !behind
-            && (heard || waited_ms >= CSP_START_SETTLE_MS));
+        || (current.revision > 0 && spread->service_tried && !is_behind
+            && (peer_has_configuration
+                || waited_ms >= CSP_START_PEER_WAIT_MS));
 }
 
 static void
-expire_questions (csp_spread_t *spread, int64_t now_ms)
+expire_requests (csp_spread_t *spread, int64_t now_ms)
 {
-  if (spread->read.id != 0 && now_ms >= spread->read.until_ms)
+  if (spread->read.id != 0 && now_ms >= spread->read.timeout_at_ms)
     csp_handle_read_failed (spread, spread->read.id, now_ms);
-  if (spread->pull.id != 0 && now_ms >= spread->pull.until_ms)
+  if (spread->pull.id != 0 && now_ms >= spread->pull.timeout_at_ms)
     csp_handle_pull_failed (spread, spread->pull.id, now_ms);
 }
 
@@ -250,30 +255,30 @@
                  csp_spread_actions_t *actions)
 {
   actions->count = 0;
-  expire_questions (spread, now_ms);
-  note_conflicts (spread, peers, peer_count);
+  expire_requests (spread, now_ms);
+  record_conflicts (spread, peers, peer_count);
   spread->status.reader = is_reader (peers, peer_count, rank);
   decide_read (spread, now_ms, actions);
   decide_pull (spread, peers, peer_count, now_ms, actions);
-  decide_start (spread, peers, peer_count, now_ms);
+  update_startup (spread, peers, peer_count, now_ms);
 }
 
-/* Close the question that an answer belongs to.  An answer that comes after
-   its question timed out, or twice, belongs to none.  */
+/* Ends the pending request that an answer belongs to.  Returns false for an
+   answer that arrives twice or after its request timed out.  */
 static bool
-close_question (csp_spread_t *spread, question_t *question, uint64_t id)
+finish_request (csp_spread_t *spread, pending_request_t *request, uint64_t id)
 {
-  if (id == 0 || question->id != id)
+  if (id == 0 || request->id != id)
     {
-      spread->status.crossed_answers++;
+      spread->status.dropped_answers++;
       return false;
     }
-  question->id = 0;
+  request->id = 0;
   return true;
 }
 
 static int64_t
-after_gap (int64_t started_ms, int64_t gap_ms, int64_t now_ms)
+next_allowed_ms (int64_t started_ms, int64_t gap_ms, int64_t now_ms)
 {
   return started_ms + gap_ms > now_ms ? started_ms + gap_ms : now_ms;
 }
@@ -283,28 +288,28 @@
                  const csp_config_delta_t *delta, int64_t now_ms)
 {
   csp_config_result_t result;
-  question_t *read = &spread->read;
+  pending_request_t *read = &spread->read;
 
-  if (!close_question (spread, read, id))
+  if (!finish_request (spread, read, id))
     return CSP_CONFIG_SAME;
   spread->service_tried = true;
   spread->status.service_silent = false;
   result = csp_take_configuration (spread->configuration, CSP_SOURCE_SERVICE,
                                    delta);
-  read->whole = result == CSP_CONFIG_ASK_WHOLE;
-  /* A stale service answers at once; asking it again at once would make every
-     reader spin on it.  */
-  read->next_ms = after_gap (read->started_ms,
-                             result == CSP_CONFIG_STALE ? CSP_READ_RETRY_MS
-                                                        : CSP_READ_GAP_MS,
-                             now_ms);
+  read->full = result == CSP_CONFIG_ASK_WHOLE;
+  /* A stale service answers a watch at once, so without a pause every reader
+     would read it in a loop.  */
+  read->next_ms = next_allowed_ms (
+      read->started_ms,
+      result == CSP_CONFIG_STALE ? CSP_READ_RETRY_MS : CSP_READ_GAP_MS,
+      now_ms);
   return result;
 }
 
 void
 csp_handle_read_failed (csp_spread_t *spread, uint64_t id, int64_t now_ms)
 {
-  if (!close_question (spread, &spread->read, id))
+  if (!finish_request (spread, &spread->read, id))
     return;
   spread->service_tried = true;
   spread->status.service_silent = true;
@@ -314,9 +319,9 @@
 }
 
 static void
-leave_out_peer (csp_spread_t *spread)
+record_failed_pull (csp_spread_t *spread)
 {
-  memcpy (spread->bad_peer, spread->pull.peer, sizeof spread->bad_peer);
+  memcpy (spread->failed_peer, spread->pull.peer, sizeof spread->failed_peer);
   spread->status.failed_pulls++;
 }
 
@@ -326,33 +331,34 @@
                  const char *fault, int64_t now_ms)
 {
   csp_config_result_t result;
-  question_t *pull = &spread->pull;
+  pending_request_t *pull = &spread->pull;
 
-  if (!close_question (spread, pull, id))
+  if (!finish_request (spread, pull, id))
     return CSP_CONFIG_SAME;
   result
       = csp_take_configuration (spread->configuration, CSP_SOURCE_PEER, delta);
   csp_note_refused (spread->configuration, refused_revision, fault);
-  pull->next_ms = after_gap (pull->started_ms, CSP_PULL_GAP_MS, now_ms);
-  /* A whole that does not give its own digest is broken at the sender; to ask
-     again at once would move the whole configuration every second.  */
-  if (result == CSP_CONFIG_ASK_WHOLE && pull->whole)
+  pull->next_ms = next_allowed_ms (pull->started_ms, CSP_PULL_GAP_MS, now_ms);
+  /* A full configuration that doesn't match its own digest is broken at the
+     sender.  Without a pause, the full configuration would be pulled every
+     second.  */
+  if (result == CSP_CONFIG_ASK_WHOLE && pull->full)
     {
-      leave_out_peer (spread);
+      record_failed_pull (spread);
       pull->next_ms = now_ms + CSP_READ_RETRY_MS;
     }
-  pull->whole = result == CSP_CONFIG_ASK_WHOLE && !pull->whole;
+  pull->full = result == CSP_CONFIG_ASK_WHOLE && !pull->full;
   if (result == CSP_CONFIG_TAKEN)
-    spread->bad_peer[0] = '\0';
+    spread->failed_peer[0] = '\0';
   return result;
 }
 
 void
 csp_handle_pull_failed (csp_spread_t *spread, uint64_t id, int64_t now_ms)
 {
-  if (!close_question (spread, &spread->pull, id))
+  if (!finish_request (spread, &spread->pull, id))
     return;
-  leave_out_peer (spread);
+  record_failed_pull (spread);
   spread->pull.next_ms = now_ms;
 }
 
--- a/tests/configuration/configuration-test.c
+++ b/tests/configuration/configuration-test.c
@@ -46,8 +46,8 @@
 }
 
 static csp_config_result_t
-take (csp_configuration_t *configuration, csp_config_source_t source,
-      csp_config_delta_t delta, const csp_config_value_t *values)
+apply (csp_configuration_t *configuration, csp_config_source_t source,
+       csp_config_delta_t delta, const csp_config_value_t *values)
 {
   delta.values = values;
   while (delta.value_count < MAX_VALUES
@@ -65,17 +65,18 @@
   return status;
 }
 
-/* What is held before each case: a and b at revision 10.  */
+/* Creates the state before each case: keys a and b at revision 10.  */
 static csp_configuration_t *
-create_at_ten (void)
+create_at_revision_10 (void)
 {
   static const csp_config_value_t values[MAX_VALUES]
       = { { "a", "1", 4 }, { "b", "1", 10 } };
-  csp_config_delta_t whole = { .revision = 10, .full = true };
+  csp_config_delta_t full_delta = { .revision = 10, .full = true };
   csp_configuration_t *configuration = create ();
 
-  ck_assert_int_eq (take (configuration, CSP_SOURCE_SERVICE, whole, values),
-                    CSP_CONFIG_TAKEN);
+  ck_assert_int_eq (
+      apply (configuration, CSP_SOURCE_SERVICE, full_delta, values),
+      CSP_CONFIG_TAKEN);
   return configuration;
 }
 
@@ -83,13 +84,13 @@
 {
   csp_config_delta_t delta;
   csp_config_value_t values[MAX_VALUES];
-  int64_t in_force;
+  int64_t expected_revision;
   csp_config_source_t source;
   csp_config_result_t result;
-} take_case_t;
+} apply_case_t;
 
-static const take_case_t take_cases[] = {
-  /* Changes on the base that is held, or on an older one.  */
+static const apply_case_t apply_cases[] = {
+  /* Changes to the base in force, or to an older one.  */
   { { 10, 11, 0, false, 0, NULL },
     { { "a", "2", 11 } },
     11,
@@ -105,13 +106,13 @@
     12,
     CSP_SOURCE_SERVICE,
     CSP_CONFIG_TAKEN },
-  /* Changes on a base that was never here.  */
+  /* Changes to a base that this host never had.  */
   { { 11, 12, 0, false, 0, NULL },
     { { "a", "2", 12 } },
     10,
     CSP_SOURCE_SERVICE,
     CSP_CONFIG_ASK_WHOLE },
-  /* A service that fell back, and a peer that is behind.  */
+  /* A service that returns a lower revision, and a peer that is behind.  */
   { { 0, 9, 0, true, 0, NULL },
     { { "a", "1", 4 } },
     10,
@@ -122,7 +123,7 @@
     10,
     CSP_SOURCE_PEER,
     CSP_CONFIG_STALE },
-  /* The same revision with the same content, and with another.  */
+  /* The same revision with the same content, and with other content.  */
   { { 0, 10, 0, true, 0, NULL },
     { { "a", "1", 4 }, { "b", "1", 10 } },
     10,
@@ -143,13 +144,13 @@
     10,
     CSP_SOURCE_PEER,
     CSP_CONFIG_CONFLICT },
-  /* Half of a peer's changes: the digest is that of another state.  */
+  /* Incomplete changes of a peer: the digest doesn't match.  */
   { { 10, 12, 5, false, 0, NULL },
     { { "a", "2", 11 } },
     10,
     CSP_SOURCE_PEER,
     CSP_CONFIG_ASK_WHOLE },
-  /* A value that fails the check, and a key that stands twice.  */
+  /* A value that fails the check, and a key that occurs twice.  */
   { { 10, 11, 0, false, 0, NULL },
     { { "a", "\"bad\"", 11 } },
     10,
@@ -162,19 +163,20 @@
     CSP_CONFIG_REFUSED },
 };
 
-/* Answers come from a service that fell back, from peers that hold something
-   else, half, twice and in the wrong order.  Were one of them taken, hosts
-   would decide by an old or a mixed configuration.  */
-START_TEST (only_higher_whole_and_good_revisions_are_taken)
+/* The service and peers send stale, conflicting, incomplete, duplicate and
+   reordered answers.  If one of them were applied, hosts would use an old or
+   inconsistent configuration.  */
+START_TEST (only_newer_complete_and_valid_revisions_are_applied)
 {
-  const take_case_t *row = &take_cases[_i];
-  csp_configuration_t *configuration = create_at_ten ();
+  const apply_case_t *row = &apply_cases[_i];
+  csp_configuration_t *configuration = create_at_revision_10 ();
   csp_config_status_t status;
 
-  ck_assert_int_eq (take (configuration, row->source, row->delta, row->values),
-                    row->result);
+  ck_assert_int_eq (
+      apply (configuration, row->source, row->delta, row->values),
+      row->result);
   status = describe (configuration);
-  ck_assert_int_eq (status.revision, row->in_force);
+  ck_assert_int_eq (status.revision, row->expected_revision);
   ck_assert_uint_eq (status.counts[row->result],
                      row->result == CSP_CONFIG_TAKEN ? 2 : 1);
   ck_assert_ptr_nonnull (csp_built_configuration (configuration));
@@ -182,72 +184,76 @@
 }
 END_TEST
 
-/* An operator publishes a revision with a fault.  Without the last good one
-   every host would stop serving; without the fault text the operator would
-   wonder why nothing changed.  */
-START_TEST (a_bad_revision_leaves_the_last_good_one_and_shows_its_fault)
+/* An operator publishes an invalid revision.  If the last valid one were not
+   kept, every host would stop serving; without the fault text the operator
+   couldn't tell why nothing changed.  */
+START_TEST (bad_revision_keeps_the_last_valid_one_and_reports_its_fault)
 {
   static const csp_config_value_t bad[MAX_VALUES] = { { "a", "\"bad\"", 11 } };
   static const csp_config_value_t good[MAX_VALUES]
       = { { "a", "5", 12 }, { "b", "1", 10 } };
-  csp_config_delta_t eleven = { .base = 10, .revision = 11 };
-  csp_config_delta_t twelve = { .base = 11, .revision = 12 };
-  csp_configuration_t *configuration = create_at_ten ();
+  csp_config_delta_t revision_11 = { .base = 10, .revision = 11 };
+  csp_config_delta_t revision_12 = { .base = 11, .revision = 12 };
+  csp_configuration_t *configuration = create_at_revision_10 ();
 
-  take (configuration, CSP_SOURCE_SERVICE, eleven, bad);
+  apply (configuration, CSP_SOURCE_SERVICE, revision_11, bad);
   ck_assert_int_eq (describe (configuration).refused_revision, 11);
   ck_assert_str_eq (describe (configuration).fault, "a is bad");
-  /* The watch goes on behind the bad one, or it would wake at once.  */
+  /* The watch asks after the refused revision; otherwise it would end at
+     once.  */
   ck_assert_int_eq (csp_find_watch_base (configuration), 11);
-  ck_assert_int_eq (take (configuration, CSP_SOURCE_SERVICE, twelve, good),
-                    CSP_CONFIG_ASK_WHOLE);
-  twelve.base = 0;
-  twelve.full = true;
-  ck_assert_int_eq (take (configuration, CSP_SOURCE_SERVICE, twelve, good),
-                    CSP_CONFIG_TAKEN);
+  ck_assert_int_eq (
+      apply (configuration, CSP_SOURCE_SERVICE, revision_12, good),
+      CSP_CONFIG_ASK_WHOLE);
+  revision_12.base = 0;
+  revision_12.full = true;
+  ck_assert_int_eq (
+      apply (configuration, CSP_SOURCE_SERVICE, revision_12, good),
+      CSP_CONFIG_TAKEN);
   ck_assert_int_eq (describe (configuration).refused_revision, 0);
   csp_destroy_configuration (configuration);
 }
 END_TEST
 
-/* The service is restored from an old backup and counts on from there, so
-   that revisions 10 and 11 come a second time with other content.  By deltas
-   alone a host would keep what the service no longer has, and no two hosts
-   would agree.  */
-START_TEST (a_restored_service_is_read_whole_before_it_is_followed)
+/* The service is restored from an old backup and continues from there, so that
+   it reuses revisions 10 and 11 for other content.  By deltas alone a host
+   would keep values that the service no longer has, and hosts would differ. */
+START_TEST (restored_service_needs_a_full_read)
 {
   static const csp_config_value_t old[MAX_VALUES] = { { "a", "1", 4 } };
   static const csp_config_value_t change[MAX_VALUES] = { { "c", "9", 12 } };
   static const csp_config_value_t now[MAX_VALUES]
       = { { "a", "1", 4 }, { "b", "8", 9 }, { "c", "9", 12 } };
-  csp_config_delta_t eight = { .revision = 8, .base = 10 };
-  csp_config_delta_t twelve = { .base = 10, .revision = 12 };
-  csp_configuration_t *configuration = create_at_ten ();
-  csp_config_delta_t given;
+  csp_config_delta_t revision_8 = { .revision = 8, .base = 10 };
+  csp_config_delta_t revision_12 = { .base = 10, .revision = 12 };
+  csp_configuration_t *configuration = create_at_revision_10 ();
+  csp_config_delta_t changes;
 
-  take (configuration, CSP_SOURCE_SERVICE, eight, old);
+  apply (configuration, CSP_SOURCE_SERVICE, revision_8, old);
   ck_assert (describe (configuration).service_stale);
-  ck_assert_int_eq (take (configuration, CSP_SOURCE_SERVICE, twelve, change),
-                    CSP_CONFIG_ASK_WHOLE);
-  twelve.base = 0;
-  twelve.full = true;
-  ck_assert_int_eq (take (configuration, CSP_SOURCE_SERVICE, twelve, now),
-                    CSP_CONFIG_TAKEN);
-  ck_assert (!describe (configuration).distrust_deltas);
-  /* b changed under a revision that was in force; a peer that still holds 10
-     must hear of it.  */
-  csp_find_config_changes (configuration, 10, &given);
-  ck_assert_uint_eq (given.value_count, 2);
+  ck_assert_int_eq (
+      apply (configuration, CSP_SOURCE_SERVICE, revision_12, change),
+      CSP_CONFIG_ASK_WHOLE);
+  revision_12.base = 0;
+  revision_12.full = true;
+  ck_assert_int_eq (
+      apply (configuration, CSP_SOURCE_SERVICE, revision_12, now),
+      CSP_CONFIG_TAKEN);
+  ck_assert (!describe (configuration).needs_full_read);
+  /* b changed under a revision that was already in force; a peer still at
+     revision 10 must get the change.  */
+  csp_find_config_changes (configuration, 10, &changes);
+  ck_assert_uint_eq (changes.value_count, 2);
   csp_destroy_configuration (configuration);
 }
 END_TEST
 
-START_TEST (a_peer_that_is_too_far_behind_gets_the_whole)
+START_TEST (peer_too_far_behind_gets_the_full_configuration)
 {
-  csp_configuration_t *configuration = create_at_ten ();
+  csp_configuration_t *configuration = create_at_revision_10 ();
   csp_config_value_t value[MAX_VALUES] = { { "z", NULL, 0 } };
   csp_config_delta_t change = { 0 };
-  csp_config_delta_t given;
+  csp_config_delta_t changes;
   char key[16];
   int64_t revision = 10;
   int i;
@@ -260,21 +266,21 @@
       change.base = revision;
       change.revision = ++revision;
       ck_assert_int_eq (
-          take (configuration, CSP_SOURCE_SERVICE, change, value),
+          apply (configuration, CSP_SOURCE_SERVICE, change, value),
           CSP_CONFIG_TAKEN);
     }
-  csp_find_config_changes (configuration, 11, &given);
-  ck_assert (given.full);
-  csp_find_config_changes (configuration, revision - 20, &given);
-  ck_assert (!given.full);
-  ck_assert_uint_eq (given.value_count, 10);
-  csp_find_config_changes (configuration, revision + 1, &given);
-  ck_assert_uint_eq (given.value_count, 0);
+  csp_find_config_changes (configuration, 11, &changes);
+  ck_assert (changes.full);
+  csp_find_config_changes (configuration, revision - 20, &changes);
+  ck_assert (!changes.full);
+  ck_assert_uint_eq (changes.value_count, 10);
+  csp_find_config_changes (configuration, revision + 1, &changes);
+  ck_assert_uint_eq (changes.value_count, 0);
   csp_destroy_configuration (configuration);
 }
 END_TEST
 
-/* Random change of one of a few keys, or of its absence.  */
+/* Sets or deletes one of a few keys at random.  */
 static void
 change_randomly (csp_configuration_t *configuration, csp_random_t *random)
 {
@@ -288,15 +294,15 @@
   value[0].revision = change.revision;
   if (csp_random_below (random, 3) == 0)
     value[0].json = NULL;
-  take (configuration, CSP_SOURCE_SERVICE, change, value);
+  apply (configuration, CSP_SOURCE_SERVICE, change, value);
 }
 
-/* A follower that misses random runs of changes, and pulls now and then, ends
-   with the same content as the one that it follows.  */
-START_TEST (a_follower_ends_with_the_same_content)
+/* A follower that pulls only now and then, and so misses random runs of
+   revisions, still ends with the same content as the leader.  */
+START_TEST (follower_ends_with_the_same_content)
 {
-  csp_configuration_t *leader = create_at_ten ();
-  csp_configuration_t *follower = create_at_ten ();
+  csp_configuration_t *leader = create_at_revision_10 ();
+  csp_configuration_t *follower = create_at_revision_10 ();
   csp_config_delta_t delta;
   csp_random_t random;
   int i;
@@ -325,14 +331,14 @@
   Suite *suite = suite_create ("configuration");
   TCase *tcase = tcase_create ("configuration");
 
-  tcase_add_loop_test (tcase, only_higher_whole_and_good_revisions_are_taken,
-                       0, sizeof take_cases / sizeof *take_cases);
+  tcase_add_loop_test (tcase,
+                       only_newer_complete_and_valid_revisions_are_applied, 0,
+                       sizeof apply_cases / sizeof *apply_cases);
   tcase_add_test (tcase,
-                  a_bad_revision_leaves_the_last_good_one_and_shows_its_fault);
-  tcase_add_test (tcase,
-                  a_restored_service_is_read_whole_before_it_is_followed);
-  tcase_add_test (tcase, a_peer_that_is_too_far_behind_gets_the_whole);
-  tcase_add_loop_test (tcase, a_follower_ends_with_the_same_content, 0, 50);
+                  bad_revision_keeps_the_last_valid_one_and_reports_its_fault);
+  tcase_add_test (tcase, restored_service_needs_a_full_read);
+  tcase_add_test (tcase, peer_too_far_behind_gets_the_full_configuration);
+  tcase_add_loop_test (tcase, follower_ends_with_the_same_content, 0, 50);
   suite_add_tcase (suite, tcase);
   return run_suite (suite);
 }
--- a/tests/configuration/spread-test.c
+++ b/tests/configuration/spread-test.c
@@ -9,7 +9,7 @@
 
 enum
 {
-  EVERYWHERE_MS = 10000
+  AGREEMENT_MS = 10000
 };
 
 static fleet_t *
@@ -32,12 +32,13 @@
   return fleet;
 }
 
-/* All agree on the service's revision in time, and nobody ever went back.  */
+/* Checks that all hosts reach the service's revision in time, and that no host
+   ever went back to a lower revision.  */
 static void
 finish_fleet (fleet_t *fleet)
 {
   int64_t ms
-      = fleet_time_to_agree (fleet, fleet->service.revision, EVERYWHERE_MS);
+      = fleet_time_to_agree (fleet, fleet->service.revision, AGREEMENT_MS);
 
   ck_assert_int_ge (ms, 0);
   ck_assert_uint_eq (fleet->went_back, 0);
@@ -64,10 +65,10 @@
   { 9, 4, 1 }, { 9, 4, 50 }, { 36, 3, 10 }, { 36, 3, 50 }, { 110, 10, 50 },
 };
 
-/* Operators roll out a large change, tens of revisions a second.  If every
-   host read the service at each of them, the reads that everybody shares
-   would be used up; so each data centre may read twice a second at most, and
-   all hosts have the last revision within ten seconds.  */
+/* Operators roll out a large change with tens of revisions a second.  If every
+   host read the service for each of them, the shared read limit would be
+   exceeded.  So each data centre may read at most twice a second, and all
+   hosts must have the last revision within ten seconds.  */
 START_TEST (bursts_reach_all_with_few_reads)
 {
   const burst_case_t *row = &burst_cases[_i];
@@ -81,14 +82,16 @@
       fleet_run (fleet, 1000);
     }
   ck_assert_uint_le (fleet->reads - reads,
-                     20 * CSP_READERS * row->data_centres + row->nodes);
+                     20 * CSP_READERS_PER_DATA_CENTRE * row->data_centres
+                         + row->nodes);
   finish_fleet (fleet);
 }
 END_TEST
 
-/* A host's settings name a peer, since it can't read the host list.  */
+/* Adds a peer as if from the host's settings, since the host can't read the
+   host list.  */
 static void
-name_a_peer (fleet_t *fleet, size_t node, size_t peer)
+add_known_peer (fleet_t *fleet, size_t node, size_t peer)
 {
   csp_listed_host_t host = { .address = "127.0.0.1" };
 
@@ -99,10 +102,10 @@
   csp_add_known_host (fleet->nodes[node].membership, &host, fleet->now_ms);
 }
 
-/* The service goes away, and meanwhile a host is replaced.  The new host can
-   read nothing; without its peers it would turn every caller away until the
-   service is back.  */
-START_TEST (a_new_host_gets_the_configuration_from_peers)
+/* A host is replaced while the service is unreachable.  The new host must get
+   the configuration from its peers; otherwise it would refuse every caller
+   until the service is back.  */
+START_TEST (new_host_gets_the_configuration_from_peers)
 {
   fleet_t *fleet = start_fleet (6, 2, (uint64_t)_i);
   csp_spread_status_t status;
@@ -112,69 +115,69 @@
   fleet->service_away = true;
   fleet_run (fleet, 20000);
   fleet_start (fleet, 3);
-  name_a_peer (fleet, 3, 1);
+  add_known_peer (fleet, 3, 1);
   fleet_run (fleet, CSP_START_WAIT_MS);
   ck_assert_int_eq (fleet_revision (fleet, 3), fleet->service.revision);
   csp_describe_spread (fleet->nodes[3].spread, &status);
-  ck_assert (status.start_over);
+  ck_assert (status.startup_done);
   finish_fleet (fleet);
 }
 END_TEST
 
-/* The service falls back to an old state and answers with it, also to a host
-   that starts.  No host may follow it down, and the one that starts gets the
-   higher revision from its peers before it serves.  */
-START_TEST (a_stale_service_takes_nobody_back)
+/* The service returns to an old state and answers with it, also to a host that
+   starts.  No host may go back to the lower revision, and the host that starts
+   must get the higher revision from its peers.  */
+START_TEST (stale_service_rolls_no_host_back)
 {
   fleet_t *fleet = start_fleet (6, 2, (uint64_t)_i);
   fleet_service_t old = fleet->service;
   int64_t highest;
 
   fleet_publish (fleet, 5);
-  fleet_run (fleet, EVERYWHERE_MS);
+  fleet_run (fleet, AGREEMENT_MS);
   highest = fleet->service.revision;
   fleet->service = old;
   fleet_kill (fleet, 0);
   fleet_run (fleet, 1000);
   fleet_start (fleet, 0);
-  fleet_run (fleet, EVERYWHERE_MS);
+  fleet_run (fleet, AGREEMENT_MS);
   ck_assert (fleet_agrees_on (fleet, highest));
   ck_assert (describe (fleet, 0).service_stale
              || describe (fleet, 2).service_stale
              || describe (fleet, 4).service_stale);
-  /* It counts on and reuses five revisions; the sixth is higher.  */
+  /* The service reuses five revisions; the sixth is higher.  */
   fleet_publish (fleet, 6);
-  fleet_run (fleet, EVERYWHERE_MS);
+  fleet_run (fleet, AGREEMENT_MS);
   ck_assert (fleet_agrees_on (fleet, highest + 1));
-  /* What is in force is what the service holds, not a mixture.  */
+  /* The content in force must be the service's, not a mixture.  */
   fleet_start (fleet, 0);
   finish_fleet (fleet);
 }
 END_TEST
 
-/* Both readers of a data centre lose the platform, but not their peers.  Were
-   the others to wait for them, the data centre would serve by an old
-   configuration for as long as the cut lasts.  */
+/* Both readers of a data centre lose the platform, but not their peers.  If
+   the other hosts waited for them, the data centre would use an old
+   configuration until the readers can reach the platform again.  */
 START_TEST (others_read_when_both_readers_lose_the_platform)
 {
   fleet_t *fleet = start_fleet (6, 1, (uint64_t)_i);
   csp_spread_status_t status;
-  size_t cut = 0;
+  size_t readers = 0;
   size_t i;
 
   for (i = 0; i < 6; i++)
     {
       csp_describe_spread (fleet->nodes[i].spread, &status);
       fleet->nodes[i].platform_cut = status.reader;
-      cut += status.reader;
+      readers += status.reader;
     }
-  ck_assert_uint_eq (cut, CSP_READERS);
+  ck_assert_uint_eq (readers, CSP_READERS_PER_DATA_CENTRE);
   fleet_publish (fleet, 3);
   finish_fleet (fleet);
 }
 END_TEST
 
-/* Both readers die at once, in the middle of a burst.  */
+/* Both readers fail at once before a burst; other hosts must take over.  */
 START_TEST (others_read_when_both_readers_die)
 {
   fleet_t *fleet = start_fleet (6, 1, (uint64_t)_i);
@@ -192,9 +195,10 @@
 }
 END_TEST
 
-/* The fleet is split, and only one side reaches the platform; changes go on.
-   The other side serves on what it has, and follows when the split ends.  */
-START_TEST (both_sides_of_a_partition_go_forward_only)
+/* A partition splits the fleet, and only one side reaches the platform while
+   changes continue.  The other side must keep its revision, and catch up when
+   the partition ends.  */
+START_TEST (partition_never_rolls_a_host_back)
 {
   fleet_t *fleet = start_fleet (8, 2, (uint64_t)_i);
   int64_t before = fleet->service.revision;
@@ -211,18 +215,18 @@
   for (i = 4; i < 8; i++)
     ck_assert_int_eq (fleet_revision (fleet, i), before);
   fleet_split (fleet, 4, false);
-  /* Still without the platform: the other side brings it.  Silent hosts are
-     asked every five seconds.  */
+  /* The platform is still unreachable for these hosts, so they must get the
+     changes from the other side.  Silent hosts are asked every 5 s.  */
   fleet_run (fleet, CSP_READ_RETRY_MS);
   finish_fleet (fleet);
 }
 END_TEST
 
-/* The platform is restored and counts on under revisions that were used
-   before, while one data centre can't see it.  Two contents then stand under
-   one number.  Each host that meets the other content counts it, and the next
-   revision, read whole, ends it.  */
-START_TEST (two_contents_of_one_revision_are_noticed_and_end)
+/* The platform is restored and reuses revisions while one data centre can't
+   reach it, so that one revision has two contents.  Hosts must count peers
+   with the other content, and the next revision, a full read, must resolve the
+   conflict.  */
+START_TEST (conflicting_contents_of_a_revision_are_detected_and_resolved)
 {
   fleet_t *fleet = start_fleet (6, 2, (uint64_t)_i);
   csp_spread_status_t status;
@@ -235,12 +239,12 @@
   for (i = 0; i < 36; i++)
     fleet->cuts[i / 6][i % 6] = i / 6 % 2 != i % 6 % 2;
   fleet_publish_value (fleet, 1, 11);
-  fleet_run (fleet, EVERYWHERE_MS);
+  fleet_run (fleet, AGREEMENT_MS);
   fleet->service = fork;
   fleet_publish_value (fleet, 2, 22);
   for (i = 0; i < 6; i++)
     fleet->nodes[i].platform_cut = i % 2 == 0;
-  fleet_run (fleet, EVERYWHERE_MS + CSP_READ_RETRY_MS);
+  fleet_run (fleet, AGREEMENT_MS + CSP_READ_RETRY_MS);
   memset (fleet->cuts, 0, sizeof fleet->cuts);
   for (i = 0; i < 6; i++)
     fleet->nodes[i].platform_cut = false;
@@ -257,10 +261,9 @@
 }
 END_TEST
 
-/* An operator publishes a value that no host can use.  Each host goes on with
-   the last good revision, and each can show the fault, also those that do not
-   read the service themselves.  */
-START_TEST (every_host_shows_the_fault_of_a_bad_revision)
+/* An operator publishes an invalid value.  Each host must keep the last valid
+   revision and report the fault, also hosts that don't read the service.  */
+START_TEST (every_host_reports_the_fault_of_a_bad_revision)
 {
   fleet_t *fleet = start_fleet (8, 2, (uint64_t)_i);
   int64_t good = fleet->service.revision;
@@ -268,7 +271,7 @@
   size_t i;
 
   fleet_publish_value (fleet, 5, FLEET_BAD_VALUE);
-  fleet_run (fleet, EVERYWHERE_MS);
+  fleet_run (fleet, AGREEMENT_MS);
   reads = fleet->reads;
   for (i = 0; i < 8; i++)
     {
@@ -276,18 +279,19 @@
       ck_assert_int_eq (describe (fleet, i).refused_revision, good + 1);
       ck_assert_ptr_nonnull (strstr (describe (fleet, i).fault, "o5"));
     }
-  /* The bad revision does not make the watch spin.  */
+  /* The bad revision must not make the readers read in a loop.  */
   fleet_run (fleet, 20000);
-  ck_assert_uint_le (fleet->reads - reads, 2 * CSP_READERS * 6);
+  ck_assert_uint_le (fleet->reads - reads,
+                     2 * CSP_READERS_PER_DATA_CENTRE * 6);
   fleet_publish_value (fleet, 5, 5);
   finish_fleet (fleet);
 }
 END_TEST
 
-/* A peer's answer comes after it was given up, and once more after the next
-   question.  Taken for the answer to that, it would close the wrong
-   question, and a delta would meet a base it was not made for.  */
-START_TEST (crossed_answers_are_dropped)
+/* A peer's answer arrives after its request timed out and the next request was
+   sent.  If it counted as the answer to the next request, a delta could be
+   applied to the wrong base.  */
+START_TEST (late_answers_are_dropped)
 {
   fleet_t *fleet = start_fleet (2, 1, 1);
   csp_spread_t *spread = fleet->nodes[0].spread;
@@ -310,15 +314,15 @@
       csp_handle_pull (spread, first, &delta, 0, "", fleet->now_ms),
       CSP_CONFIG_SAME);
   csp_describe_spread (spread, &status);
-  ck_assert_uint_eq (status.crossed_answers, 1);
+  ck_assert_uint_eq (status.dropped_answers, 1);
   ck_assert_int_eq (fleet_revision (fleet, 0), fleet->service.revision);
   fleet_destroy (fleet);
 }
 END_TEST
 
-/* Two random faults at a time: hosts die, start, sleep, links and platform
-   are cut, while changes go on.  */
-START_TEST (random_faults_never_take_a_host_back)
+/* Two random faults at a time while changes continue: hosts fail, start or are
+   paused, and links or the platform are cut.  */
+START_TEST (random_faults_never_roll_a_host_back)
 {
   fleet_t *fleet
       = start_fleet (_i % 2 == 0 ? 6 : 9, _i % 3 == 0 ? 3 : 1, (uint64_t)_i);
@@ -339,19 +343,20 @@
   tcase_set_timeout (tcase, 120);
   tcase_add_loop_test (tcase, bursts_reach_all_with_few_reads, 0,
                        sizeof burst_cases / sizeof *burst_cases);
-  tcase_add_loop_test (tcase, a_new_host_gets_the_configuration_from_peers, 0,
+  tcase_add_loop_test (tcase, new_host_gets_the_configuration_from_peers, 0,
                        5);
-  tcase_add_loop_test (tcase, a_stale_service_takes_nobody_back, 0, 5);
+  tcase_add_loop_test (tcase, stale_service_rolls_no_host_back, 0, 5);
   tcase_add_loop_test (tcase, others_read_when_both_readers_lose_the_platform,
                        0, 5);
   tcase_add_loop_test (tcase, others_read_when_both_readers_die, 0, 5);
-  tcase_add_loop_test (tcase, both_sides_of_a_partition_go_forward_only, 0, 5);
-  tcase_add_loop_test (tcase, two_contents_of_one_revision_are_noticed_and_end,
+  tcase_add_loop_test (tcase, partition_never_rolls_a_host_back, 0, 5);
+  tcase_add_loop_test (
+      tcase, conflicting_contents_of_a_revision_are_detected_and_resolved, 0,
+      5);
+  tcase_add_loop_test (tcase, every_host_reports_the_fault_of_a_bad_revision,
                        0, 5);
-  tcase_add_loop_test (tcase, every_host_shows_the_fault_of_a_bad_revision, 0,
-                       5);
-  tcase_add_test (tcase, crossed_answers_are_dropped);
-  tcase_add_loop_test (tcase, random_faults_never_take_a_host_back, 0, 40);
+  tcase_add_test (tcase, late_answers_are_dropped);
+  tcase_add_loop_test (tcase, random_faults_never_roll_a_host_back, 0, 40);
   suite_add_tcase (suite, tcase);
   return run_suite (suite);
 }
