--- a/include/cowslipspoke/once.h
+++ b/include/cowslipspoke/once.h
@@ -187,29 +187,29 @@
    started.  */
 csp_once_t *csp_create_once (const csp_once_settings_t *settings,
                              const csp_host_ref_t *self, int64_t now_ms);
-void csp_destroy_once (csp_once_t *once);
+void csp_destroy_once (csp_once_t *store);
 
 /* Restarts the delay after which this host counts as a witness.  To be called
    while heartbeat answers show that some live host of this data centre does
    not know this incarnation yet: that host may claim keys without asking this
    one.  */
-void csp_delay_witness (csp_once_t *once, int64_t now_ms);
+void csp_delay_witness (csp_once_t *store, int64_t now_ms);
 
 /* Records a claim, this host's own included, and fills in the answer.  */
-void csp_claim_key (csp_once_t *once, const csp_claim_ask_t *ask,
+void csp_claim_key (csp_once_t *store, const csp_claim_ask_t *ask,
                     int64_t now_ms, int64_t wall_ms,
                     csp_claim_answer_t *answer);
 
 /* Records the outcome of a claim.  Ignored if another claim holds the key.  */
-void csp_settle_claim (csp_once_t *once, const csp_outcome_tell_t *tell,
+void csp_settle_claim (csp_once_t *store, const csp_outcome_tell_t *report,
                        int64_t now_ms, int64_t wall_ms);
 
 /* Removes keys older than retention_ms and returns how many.  Each claim also
    removes a few.  */
-size_t csp_expire_keys (csp_once_t *once, int64_t now_ms);
+size_t csp_expire_keys (csp_once_t *store, int64_t now_ms);
 
-size_t csp_count_keys (const csp_once_t *once);
-size_t csp_measure_once_bytes (const csp_once_t *once);
+size_t csp_count_keys (const csp_once_t *store);
+size_t csp_measure_once_bytes (const csp_once_t *store);
 
 /* A host in the list that a claim uses.  */
 typedef struct
@@ -222,14 +222,13 @@
    confirmed_ms: monotonic time at which the list was last known to be up to
    date.  It is the time at which the last answered heartbeat, or the last
    answered read of the platform's host list, was sent.  The time at which the
-   answer was read would be wrong: a host that was paused reads old answers.
-   complete: this host has read a list since it started.  */
+   answer was read would be wrong: a host that was paused reads old answers. */
 typedef struct
 {
   const csp_once_peer_t *hosts;
   size_t count;
   int64_t confirmed_ms;
-  bool complete;
+  bool complete; /* this host has read a list since its start */
 } csp_once_view_t;
 
 typedef enum
@@ -259,15 +258,16 @@
 typedef enum
 {
   CSP_ONCE_WAIT,
-  CSP_ONCE_ASK,     /* send ask to the hosts listed */
+  CSP_ONCE_ASK,     /* send the claim to hosts */
   CSP_ONCE_RUN,     /* granted; step with BEFORE_SEND before sending */
   CSP_ONCE_SEND,    /* send the first byte now */
   CSP_ONCE_GIVE_UP, /* answer the caller with error; send the outcome too */
-  CSP_ONCE_TELL     /* send the outcome to the hosts listed */
+  CSP_ONCE_TELL     /* send the outcome to hosts */
 } csp_once_action_kind_t;
 
-/* hosts: the names of the hosts to which ask or tell is sent, owned by the
-   round and valid until its next step.  Both GIVE_UP and TELL send tell.  */
+/* hosts: the names of the hosts to which the claim or its outcome is sent,
+   owned by the round and valid until its next step.  The outcome is sent for
+   CSP_ONCE_GIVE_UP and CSP_ONCE_TELL.  */
 typedef struct
 {
   csp_once_action_kind_t kind;
--- a/source/once/once-key.c
+++ b/source/once/once-key.c
@@ -23,7 +23,7 @@
 /* Copies the field before the separator and advances the text past it.  False
    if the field is empty, too long or has no separator.  */
 static bool
-take_field (const char **text, char separator, char *field, size_t size_bytes)
+parse_field (const char **text, char separator, char *field, size_t size_bytes)
 {
   const char *end = strchr (*text, separator);
   size_t length;
@@ -40,12 +40,12 @@
 }
 
 static bool
-take_number (const char **text, char separator, int base, uint64_t *number)
+parse_number (const char **text, char separator, int base, uint64_t *number)
 {
   char field[NUMBER_CHARS];
   char *end;
 
-  if (!take_field (text, separator, field, sizeof field)
+  if (!parse_field (text, separator, field, sizeof field)
       || !isxdigit ((unsigned char)field[0]))
     return false;
   errno = 0;
@@ -54,11 +54,11 @@
 }
 
 static bool
-take_date (const char **text, int64_t *date_ms)
+parse_date (const char **text, int64_t *date_ms)
 {
   uint64_t number;
 
-  if (!take_number (text, '~', DECIMAL, &number) || number > INT64_MAX / 2)
+  if (!parse_number (text, '~', DECIMAL, &number) || number > INT64_MAX / 2)
     return false;
   *date_ms = (int64_t)number;
   return **text != '\0';
@@ -68,17 +68,17 @@
 parse_host_key (const char *text, csp_once_key_t *key)
 {
   key->scope = CSP_ONCE_SCOPE_HOST;
-  return take_field (&text, ':', key->home.name, sizeof key->home.name)
-         && take_number (&text, ':', HEX, &key->home.incarnation)
-         && take_date (&text, &key->date_ms);
+  return parse_field (&text, ':', key->home.name, sizeof key->home.name)
+         && parse_number (&text, ':', HEX, &key->home.incarnation)
+         && parse_date (&text, &key->date_ms);
 }
 
 static bool
 parse_data_centre_key (const char *text, csp_once_key_t *key)
 {
   key->scope = CSP_ONCE_SCOPE_DATA_CENTRE;
-  return take_field (&text, ':', key->data_centre, sizeof key->data_centre)
-         && take_date (&text, &key->date_ms);
+  return parse_field (&text, ':', key->data_centre, sizeof key->data_centre)
+         && parse_date (&text, &key->date_ms);
 }
 
 static bool
--- a/source/once/once.c
+++ b/source/once/once.c
@@ -70,20 +70,20 @@
 csp_create_once (const csp_once_settings_t *settings,
                  const csp_host_ref_t *self, int64_t now_ms)
 {
-  csp_once_t *once = calloc (1, sizeof *once);
+  csp_once_t *store = calloc (1, sizeof *store);
 
-  if (once == NULL)
+  if (store == NULL)
     return NULL;
-  once->settings = *settings;
-  once->self = *self;
-  once->known_to_peers_ms = now_ms;
-  if (csp_open_index (&once->records, settings->capacity) != 0
-      || csp_open_index (&once->organisations, EXPECTED_ORGANISATIONS) != 0)
+  store->settings = *settings;
+  store->self = *self;
+  store->known_to_peers_ms = now_ms;
+  if (csp_open_index (&store->records, settings->capacity) != 0
+      || csp_open_index (&store->organisations, EXPECTED_ORGANISATIONS) != 0)
     {
-      csp_destroy_once (once);
+      csp_destroy_once (store);
       return NULL;
     }
-  return once;
+  return store;
 }
 
 static void
@@ -101,41 +101,41 @@
 }
 
 void
-csp_destroy_once (csp_once_t *once)
+csp_destroy_once (csp_once_t *store)
 {
   csp_index_node_t *node;
   csp_index_node_t *next;
   size_t i;
 
-  if (once == NULL)
+  if (store == NULL)
     return;
   for (i = 0;
-       once->organisations.buckets && i < once->organisations.bucket_count;
+       store->organisations.buckets && i < store->organisations.bucket_count;
        i++)
-    for (node = once->organisations.buckets[i]; node != NULL; node = next)
+    for (node = store->organisations.buckets[i]; node != NULL; node = next)
       {
         next = node->next;
         free_organisation (CSP_INDEXED (node, organisation_t, node));
       }
-  csp_close_index (&once->records);
-  csp_close_index (&once->organisations);
-  free (once);
+  csp_close_index (&store->records);
+  csp_close_index (&store->organisations);
+  free (store);
 }
 
 /* With a link that works in one direction only, a new host can answer claims
    of some hosts while another host does not know it yet.  That host's runs are
    not recorded here, so a repeat that relied on this host would run again.  */
 void
-csp_delay_witness (csp_once_t *once, int64_t now_ms)
+csp_delay_witness (csp_once_t *store, int64_t now_ms)
 {
-  once->known_to_peers_ms = now_ms;
+  store->known_to_peers_ms = now_ms;
 }
 
 static organisation_t *
-get_organisation (csp_once_t *once, const char *name)
+get_organisation (csp_once_t *store, const char *name)
 {
   uint64_t hash = csp_mix_name (name);
-  csp_index_node_t *node = csp_find_in_index (&once->organisations, hash);
+  csp_index_node_t *node = csp_find_in_index (&store->organisations, hash);
   organisation_t *organisation;
 
   for (; node != NULL; node = csp_find_next_in_index (node))
@@ -149,26 +149,26 @@
     return NULL;
   memcpy (organisation->name, name, strlen (name));
   organisation->floor_ms = INT64_MIN;
-  csp_add_to_index (&once->organisations, &organisation->node, hash);
+  csp_add_to_index (&store->organisations, &organisation->node, hash);
   return organisation;
 }
 
 /* Callers choose the keys, so the hash is salted with the host's incarnation
    against deliberate collisions.  */
 static uint64_t
-hash_digest (const csp_once_t *once, const uint8_t *digest)
+hash_digest (const csp_once_t *store, const uint8_t *digest)
 {
   uint64_t hash;
 
   memcpy (&hash, digest, sizeof hash);
-  return csp_mix_u64 (hash ^ csp_mix_u64 (once->self.incarnation));
+  return csp_mix_u64 (hash ^ csp_mix_u64 (store->self.incarnation));
 }
 
 static record_t *
-find_record (const csp_once_t *once, const uint8_t *digest)
+find_record (const csp_once_t *store, const uint8_t *digest)
 {
   csp_index_node_t *node
-      = csp_find_in_index (&once->records, hash_digest (once, digest));
+      = csp_find_in_index (&store->records, hash_digest (store, digest));
   record_t *record;
 
   for (; node != NULL; node = csp_find_next_in_index (node))
@@ -184,7 +184,7 @@
    second time.  So removing a key raises floor_ms above the key's date, and
    keys dated before floor_ms are refused.  */
 static void
-forget_oldest (csp_once_t *once, organisation_t *organisation)
+remove_oldest (csp_once_t *store, organisation_t *organisation)
 {
   record_t *record = organisation->oldest;
 
@@ -194,42 +194,42 @@
   if (organisation->oldest == NULL)
     organisation->newest = NULL;
   organisation->count--;
-  csp_remove_from_index (&once->records, &record->node);
+  csp_remove_from_index (&store->records, &record->node);
   free (record);
 }
 
 static size_t
-expire_organisation (csp_once_t *once, organisation_t *organisation,
+expire_organisation (csp_once_t *store, organisation_t *organisation,
                      size_t limit, int64_t now_ms)
 {
-  size_t forgotten = 0;
+  size_t removed = 0;
 
-  while (organisation->oldest != NULL && forgotten < limit
+  while (organisation->oldest != NULL && removed < limit
          && now_ms - organisation->oldest->recorded_ms
-                >= once->settings.retention_ms)
+                >= store->settings.retention_ms)
     {
-      forget_oldest (once, organisation);
-      forgotten++;
+      remove_oldest (store, organisation);
+      removed++;
     }
-  return forgotten;
+  return removed;
 }
 
 size_t
-csp_expire_keys (csp_once_t *once, int64_t now_ms)
+csp_expire_keys (csp_once_t *store, int64_t now_ms)
 {
   csp_index_node_t *node;
-  size_t forgotten = 0;
+  size_t removed = 0;
   size_t i;
 
-  for (i = 0; i < once->organisations.bucket_count; i++)
-    for (node = once->organisations.buckets[i]; node; node = node->next)
-      forgotten += expire_organisation (
-          once, CSP_INDEXED (node, organisation_t, node), SIZE_MAX, now_ms);
-  return forgotten;
+  for (i = 0; i < store->organisations.bucket_count; i++)
+    for (node = store->organisations.buckets[i]; node; node = node->next)
+      removed += expire_organisation (
+          store, CSP_INDEXED (node, organisation_t, node), SIZE_MAX, now_ms);
+  return removed;
 }
 
 static record_t *
-add_record (csp_once_t *once, organisation_t *organisation,
+add_record (csp_once_t *store, organisation_t *organisation,
             const csp_once_key_t *key, csp_claim_id_t claim, int64_t now_ms)
 {
   record_t *record = calloc (1, sizeof *record);
@@ -246,8 +246,8 @@
     organisation->newest->newer = record;
   organisation->newest = record;
   organisation->count++;
-  csp_add_to_index (&once->records, &record->node,
-                    hash_digest (once, key->digest));
+  csp_add_to_index (&store->records, &record->node,
+                    hash_digest (store, key->digest));
   return record;
 }
 
@@ -274,15 +274,15 @@
 
 /* Whether a key that is not in the store may be recorded.  */
 static csp_claim_result_t
-check_new_key (csp_once_t *once, organisation_t *organisation,
+check_new_key (csp_once_t *store, organisation_t *organisation,
                const csp_once_key_t *key, int64_t now_ms, int64_t wall_ms)
 {
-  expire_organisation (once, organisation, EXPIRED_PER_CLAIM, now_ms);
+  expire_organisation (store, organisation, EXPIRED_PER_CLAIM, now_ms);
   if (key->date_ms < organisation->floor_ms
-      || key->date_ms < wall_ms - once->settings.retention_ms)
+      || key->date_ms < wall_ms - store->settings.retention_ms)
     return CSP_CLAIM_FORGOTTEN;
-  if (once->records.count >= once->settings.capacity
-      || organisation->count >= once->settings.organisation_capacity)
+  if (store->records.count >= store->settings.capacity
+      || organisation->count >= store->settings.organisation_capacity)
     return CSP_CLAIM_FULL;
   return CSP_CLAIM_RECORDED;
 }
@@ -291,94 +291,94 @@
    can't distinguish a repeat from a first attempt.  So a key with host scope
    names the incarnation.  */
 static bool
-is_key_for_this_host (const csp_once_t *once, const csp_once_key_t *key)
+is_key_for_this_host (const csp_once_t *store, const csp_once_key_t *key)
 {
   return key->scope != CSP_ONCE_SCOPE_HOST
-         || csp_same_host (&key->home, &once->self);
+         || csp_same_host (&key->home, &store->self);
 }
 
 static csp_claim_result_t
-claim_key (csp_once_t *once, const csp_claim_ask_t *ask, int64_t now_ms,
+claim_key (csp_once_t *store, const csp_claim_ask_t *ask, int64_t now_ms,
            int64_t wall_ms, csp_once_outcome_t *outcome)
 {
   organisation_t *organisation;
   csp_claim_result_t result;
   record_t *record;
 
-  if (!is_key_for_this_host (once, &ask->key))
+  if (!is_key_for_this_host (store, &ask->key))
     return CSP_CLAIM_WRONG_HOST;
-  if (ask->key.date_ms > wall_ms + once->settings.clock_skew_ms)
+  if (ask->key.date_ms > wall_ms + store->settings.clock_skew_ms)
     return CSP_CLAIM_WRONG_DATE;
-  record = find_record (once, ask->key.digest);
+  record = find_record (store, ask->key.digest);
   if (record != NULL)
     {
       result = claim_known_key (record, ask);
       *outcome = record->outcome;
       return result;
     }
-  organisation = get_organisation (once, ask->key.organisation);
+  organisation = get_organisation (store, ask->key.organisation);
   if (organisation == NULL)
     return CSP_CLAIM_FULL;
-  result = check_new_key (once, organisation, &ask->key, now_ms, wall_ms);
+  result = check_new_key (store, organisation, &ask->key, now_ms, wall_ms);
   if (result == CSP_CLAIM_RECORDED
-      && add_record (once, organisation, &ask->key, ask->claim, now_ms)
+      && add_record (store, organisation, &ask->key, ask->claim, now_ms)
              == NULL)
     return CSP_CLAIM_FULL;
   return result;
 }
 
 void
-csp_claim_key (csp_once_t *once, const csp_claim_ask_t *ask, int64_t now_ms,
+csp_claim_key (csp_once_t *store, const csp_claim_ask_t *ask, int64_t now_ms,
                int64_t wall_ms, csp_claim_answer_t *answer)
 {
   memset (answer, 0, sizeof *answer);
   answer->claim = ask->claim;
-  answer->from = once->self;
+  answer->from = store->self;
   answer->outcome = CSP_ONCE_OPEN;
-  answer->result = claim_key (once, ask, now_ms, wall_ms, &answer->outcome);
-  answer->witness_since_ms = wall_ms - (now_ms - once->known_to_peers_ms)
-                             + once->settings.witness_delay_ms;
+  answer->result = claim_key (store, ask, now_ms, wall_ms, &answer->outcome);
+  answer->witness_since_ms = wall_ms - (now_ms - store->known_to_peers_ms)
+                             + store->settings.witness_delay_ms;
 }
 
 /* An outcome may arrive before its claim, which travels on another connection.
    The outcome is recorded then, so that the late claim doesn't leave the key
    open without an outcome.  */
 void
-csp_settle_claim (csp_once_t *once, const csp_outcome_tell_t *tell,
+csp_settle_claim (csp_once_t *store, const csp_outcome_tell_t *report,
                   int64_t now_ms, int64_t wall_ms)
 {
   organisation_t *organisation;
   record_t *record;
 
-  if (!is_key_for_this_host (once, &tell->key))
+  if (!is_key_for_this_host (store, &report->key))
     return;
-  record = find_record (once, tell->key.digest);
+  record = find_record (store, report->key.digest);
   if (record == NULL)
     {
-      organisation = get_organisation (once, tell->key.organisation);
+      organisation = get_organisation (store, report->key.organisation);
       if (organisation == NULL
-          || check_new_key (once, organisation, &tell->key, now_ms, wall_ms)
+          || check_new_key (store, organisation, &report->key, now_ms, wall_ms)
                  != CSP_CLAIM_RECORDED)
         return;
-      record
-          = add_record (once, organisation, &tell->key, tell->claim, now_ms);
+      record = add_record (store, organisation, &report->key, report->claim,
+                           now_ms);
     }
-  if (record != NULL && is_same_claim (&record->claim, &tell->claim)
+  if (record != NULL && is_same_claim (&record->claim, &report->claim)
       && record->outcome == CSP_ONCE_OPEN)
-    record->outcome = tell->outcome;
+    record->outcome = report->outcome;
 }
 
 size_t
-csp_count_keys (const csp_once_t *once)
+csp_count_keys (const csp_once_t *store)
 {
-  return once->records.count;
+  return store->records.count;
 }
 
 size_t
-csp_measure_once_bytes (const csp_once_t *once)
+csp_measure_once_bytes (const csp_once_t *store)
 {
-  return sizeof *once + once->records.count * sizeof (record_t)
-         + once->organisations.count * sizeof (organisation_t)
-         + (once->records.bucket_count + once->organisations.bucket_count)
+  return sizeof *store + store->records.count * sizeof (record_t)
+         + store->organisations.count * sizeof (organisation_t)
+         + (store->records.bucket_count + store->organisations.bucket_count)
                * sizeof (csp_index_node_t *);
 }
--- a/tests/configuration/configuration-test.c
+++ b/tests/configuration/configuration-test.c
@@ -189,26 +189,27 @@
    couldn't tell why nothing changed.  */
 START_TEST (bad_revision_keeps_the_last_valid_one_and_reports_its_fault)
 {
-  static const csp_config_value_t bad[MAX_VALUES] = { { "a", "\"bad\"", 11 } };
-  static const csp_config_value_t good[MAX_VALUES]
+  static const csp_config_value_t invalid_values[MAX_VALUES]
+      = { { "a", "\"bad\"", 11 } };
+  static const csp_config_value_t valid_values[MAX_VALUES]
       = { { "a", "5", 12 }, { "b", "1", 10 } };
   csp_config_delta_t revision_11 = { .base = 10, .revision = 11 };
   csp_config_delta_t revision_12 = { .base = 11, .revision = 12 };
   csp_configuration_t *configuration = create_at_revision_10 ();
 
-  apply (configuration, CSP_SOURCE_SERVICE, revision_11, bad);
+  apply (configuration, CSP_SOURCE_SERVICE, revision_11, invalid_values);
   ck_assert_int_eq (describe (configuration).refused_revision, 11);
   ck_assert_str_eq (describe (configuration).fault, "a is bad");
   /* The watch asks after the refused revision; otherwise it would end at
      once.  */
   ck_assert_int_eq (csp_find_watch_base (configuration), 11);
   ck_assert_int_eq (
-      apply (configuration, CSP_SOURCE_SERVICE, revision_12, good),
+      apply (configuration, CSP_SOURCE_SERVICE, revision_12, valid_values),
       CSP_CONFIG_ASK_WHOLE);
   revision_12.base = 0;
   revision_12.full = true;
   ck_assert_int_eq (
-      apply (configuration, CSP_SOURCE_SERVICE, revision_12, good),
+      apply (configuration, CSP_SOURCE_SERVICE, revision_12, valid_values),
       CSP_CONFIG_TAKEN);
   ck_assert_int_eq (describe (configuration).refused_revision, 0);
   csp_destroy_configuration (configuration);
--- a/tests/configuration/spread-test.c
+++ b/tests/configuration/spread-test.c
@@ -266,7 +266,7 @@
 START_TEST (every_host_reports_the_fault_of_a_bad_revision)
 {
   fleet_t *fleet = start_fleet (8, 2, (uint64_t)_i);
-  int64_t good = fleet->service.revision;
+  int64_t valid_revision = fleet->service.revision;
   uint64_t reads;
   size_t i;
 
@@ -275,8 +275,9 @@
   reads = fleet->reads;
   for (i = 0; i < 8; i++)
     {
-      ck_assert_int_eq (describe (fleet, i).revision, good);
-      ck_assert_int_eq (describe (fleet, i).refused_revision, good + 1);
+      ck_assert_int_eq (describe (fleet, i).revision, valid_revision);
+      ck_assert_int_eq (describe (fleet, i).refused_revision,
+                        valid_revision + 1);
       ck_assert_ptr_nonnull (strstr (describe (fleet, i).fault, "o5"));
     }
   /* The bad revision must not make the readers read in a loop.  */
--- a/tests/once/interleaving-test.c
+++ b/tests/once/interleaving-test.c
@@ -97,7 +97,7 @@
 
   m.kind = action->kind == CSP_ONCE_ASK ? ASK : OUTCOME;
   m.ask = action->ask;
-  m.tell = action->tell;
+  m.report = action->tell;
   for (i = 0; i < action->host_count; i++)
     {
       m.to = host_index (action->hosts[i]);
@@ -293,13 +293,13 @@
     {
     case ASK:
       reply.kind = ANSWER;
-      csp_claim_key (sim->hosts[m->to].once, &m->ask, sim->now_ms,
+      csp_claim_key (sim->hosts[m->to].store, &m->ask, sim->now_ms,
                      wall_clock_ms (sim, m->to), &reply.answer);
       send_message (sim, &reply);
       return;
     case OUTCOME:
       reply.kind = OUTCOME_ACK;
-      csp_settle_claim (sim->hosts[m->to].once, &m->tell, sim->now_ms,
+      csp_settle_claim (sim->hosts[m->to].store, &m->report, sim->now_ms,
                         wall_clock_ms (sim, m->to));
       send_message (sim, &reply);
       return;
@@ -384,8 +384,8 @@
         csp_destroy_once_round (sim->rounds[r].round);
         sim->rounds[r].round = NULL;
       }
-  csp_destroy_once (sim->hosts[h].once);
-  sim->hosts[h].once = NULL;
+  csp_destroy_once (sim->hosts[h].store);
+  sim->hosts[h].store = NULL;
   sim->hosts[h].up = false;
 }
 
@@ -399,7 +399,7 @@
   host->view_ms = -1;
   host->ref.incarnation++;
   snprintf (host->ref.name, sizeof host->ref.name, "h%d", h);
-  host->once = csp_create_once (&sim->settings, &host->ref, sim->now_ms);
+  host->store = csp_create_once (&sim->settings, &host->ref, sim->now_ms);
 }
 
 /* Stops one host for good and starts another.  The platform's list shows both
--- a/tests/once/once-test.c
+++ b/tests/once/once-test.c
@@ -148,7 +148,7 @@
 claim_elsewhere (fixture_t *fixture, csp_once_outcome_t outcome)
 {
   csp_claim_ask_t ask = { fixture->key, other_claim () };
-  csp_outcome_tell_t tell = { fixture->key, other_claim (), outcome };
+  csp_outcome_tell_t report = { fixture->key, other_claim (), outcome };
   csp_claim_answer_t answer;
   int i;
 
@@ -156,7 +156,7 @@
     {
       csp_claim_key (fixture->hosts[i], &ask, fixture->now_ms, WALL_MS,
                      &answer);
-      csp_settle_claim (fixture->hosts[i], &tell, fixture->now_ms, WALL_MS);
+      csp_settle_claim (fixture->hosts[i], &report, fixture->now_ms, WALL_MS);
     }
 }
 
@@ -317,7 +317,7 @@
 }
 
 static void
-tell_hosts (fixture_t *fixture)
+send_outcome (fixture_t *fixture)
 {
   size_t i;
 
@@ -387,7 +387,7 @@
         i = MAX_STEPS;
         break;
       }
-  tell_hosts (fixture);
+  send_outcome (fixture);
   csp_destroy_once_round (round);
 }
 
