--- a/tests/once/once-key-test.c
+++ b/tests/once/once-key-test.c
@@ -5,9 +5,9 @@
 #include <check.h>
 #include <stdlib.h>
 
-/* Two customers choose the same key.  Were keys shared, the second one's
-   lease would never be scored.  */
-START_TEST (organisations_are_separate)
+/* Two organisations may choose the same key text.  If their keys were shared,
+   the second organisation's call would never run.  */
+START_TEST (same_key_of_two_organisations_differs)
 {
   static const char text[] = "018f0000-0000-7000-8000-00000000000A";
   static const char lower[] = "018f0000-0000-7000-8000-00000000000a";
@@ -25,8 +25,8 @@
 }
 END_TEST
 
-/* A caller sends keys that carry no date.  Taken, they could not be told from
-   keys that were forgotten, and a late repeat would run again.  */
+/* A key without a date can't be distinguished from a key that was removed, so
+   accepting it would let a late repeat run again.  */
 START_TEST (keys_without_a_date_are_refused)
 {
   static const char *const texts[]
@@ -52,35 +52,35 @@
 }
 END_TEST
 
-/* A host's memory is full, or a key has been kept long enough, and then a
-   repeat comes.  If the host had merely forgotten the key, the call would run
+/* A repeat arrives when the key store is full or the key has been removed
+   after retention_ms.  If the host treated the key as new, the call would run
    a second time.  */
-START_TEST (a_forgotten_key_is_refused)
+START_TEST (removed_key_is_refused)
 {
   csp_once_settings_t settings = csp_default_once_settings ();
   csp_host_ref_t self = { "a", 1 };
   csp_claim_ask_t ask = { 0 };
   csp_claim_answer_t answer;
   csp_error_t error;
-  csp_once_t *once;
+  csp_once_t *store;
 
   settings.organisation_capacity = 1;
-  once = csp_create_once (&settings, &self, 0);
+  store = csp_create_once (&settings, &self, 0);
   ck_assert (csp_parse_once_key ("org", "d:c:5000~1", &ask.key, &error));
   ask.claim.low = 1;
-  csp_claim_key (once, &ask, 0, 5000, &answer);
+  csp_claim_key (store, &ask, 0, 5000, &answer);
   ck_assert_int_eq (answer.result, CSP_CLAIM_RECORDED);
   ck_assert (csp_parse_once_key ("org", "d:c:5000~2", &ask.key, &error));
-  csp_claim_key (once, &ask, 0, 5000, &answer);
+  csp_claim_key (store, &ask, 0, 5000, &answer);
   ck_assert_int_eq (answer.result, CSP_CLAIM_FULL);
   ck_assert (csp_parse_once_key ("other", "d:c:5000~2", &ask.key, &error));
-  csp_claim_key (once, &ask, 0, 5000, &answer);
+  csp_claim_key (store, &ask, 0, 5000, &answer);
   ck_assert_int_eq (answer.result, CSP_CLAIM_RECORDED);
-  ck_assert_uint_eq (csp_expire_keys (once, settings.retention_ms), 2);
+  ck_assert_uint_eq (csp_expire_keys (store, settings.retention_ms), 2);
   ck_assert (csp_parse_once_key ("org", "d:c:5000~1", &ask.key, &error));
-  csp_claim_key (once, &ask, settings.retention_ms, 5000, &answer);
+  csp_claim_key (store, &ask, settings.retention_ms, 5000, &answer);
   ck_assert_int_eq (answer.result, CSP_CLAIM_FORGOTTEN);
-  csp_destroy_once (once);
+  csp_destroy_once (store);
 }
 END_TEST
 
@@ -90,9 +90,9 @@
   Suite *suite = suite_create ("once-key");
   TCase *tcase = tcase_create ("once-key");
 
-  tcase_add_test (tcase, organisations_are_separate);
+  tcase_add_test (tcase, same_key_of_two_organisations_differs);
   tcase_add_loop_test (tcase, keys_without_a_date_are_refused, 0, 13);
-  tcase_add_test (tcase, a_forgotten_key_is_refused);
+  tcase_add_test (tcase, removed_key_is_refused);
   suite_add_tcase (suite, tcase);
   return run_suite (suite);
 }
