--- a/include/cowslipspoke/peer.h
+++ b/include/cowslipspoke/peer.h
@@ -8,13 +8,13 @@
 #include "cowslipspoke/settings.h"
 #include "cowslipspoke/spread.h"
 
-/* What hosts say to each other: typed messages, their codec, and the links
-   that carry them.  Every ask has one answer.  */
+/* Control traffic between hosts: typed messages, their codec, and the links
+   that carry them.  Every request has one reply.  */
 
 typedef enum
 {
   CSP_PEER_NONE,
-  CSP_PEER_HEARTBEAT, /* its answer is a heartbeat too */
+  CSP_PEER_HEARTBEAT, /* request and reply */
   CSP_PEER_CARRY_ASK,
   CSP_PEER_CARRY_ANSWER,
   CSP_PEER_PULL_ASK,
@@ -38,9 +38,9 @@
   CSP_PEER_TRIED_MAX = 4
 };
 
-/* What a reservation needs besides csp_reserve_ask_t: the owner judges the
-   stream by its own forecast, and does not give a target that has failed the
-   request already.  */
+/* A request to reserve a slot.  The fields besides csp_reserve_ask_t let the
+   owner forecast the stream's load itself and leave out targets that have
+   already failed the request.  */
 typedef struct
 {
   csp_reserve_ask_t ask;
@@ -49,11 +49,13 @@
   char class_name[CSP_NAME_BYTES];
   uint32_t prompt_tokens;
   uint32_t max_tokens;
-  uint32_t lend_below_millis; /* of the pool's load; 0 where it is not lent */
+  /* Grant only while the pool's load is below this, in thousandths; 0: the
+     slot isn't lent, so there is no such condition.  */
+  uint32_t lend_below_millis;
 } csp_peer_reserve_t;
 
-/* An answer with where the target listens, for a sender of another data
-   centre, whose own list may lag.  */
+/* The reply to a reservation, with the address of the granted target: a sender
+   in another data centre may not have it in its own target list yet.  */
 typedef struct
 {
   csp_reserve_answer_t answer;
@@ -61,8 +63,8 @@
   uint16_t port;
 } csp_peer_reserved_t;
 
-/* failed: the link to the named target failed, so that the owner avoids it for
-   a while.  */
+/* Releases a slot, and reports whether the link to the named target failed, so
+   that the owner avoids the target for a while.  */
 typedef struct
 {
   csp_release_t release;
@@ -71,8 +73,9 @@
   char target[CSP_TARGET_NAME_BYTES];
 } csp_peer_release_t;
 
-/* One message.  Texts and arrays that it points to belong to whoever made it;
-   those of a decoded message to the message, until csp_clear_peer_message. */
+/* One message.  A message to be encoded borrows the strings and arrays that it
+   points to.  A decoded message owns them; csp_clear_peer_message frees
+   them.  */
 typedef struct
 {
   csp_peer_kind_t kind;
@@ -117,8 +120,8 @@
       const char *list;
     } hosts_answer;
   } u;
-  void *unpacked; /* of a decoded message */
-  void *array;    /* of a decoded message */
+  void *unpacked; /* the protobuf frame of a decoded message */
+  void *array;    /* the list that was converted from that frame, if any */
 } csp_peer_message_t;
 
 enum
@@ -126,66 +129,77 @@
   CSP_PEER_MESSAGE_LIMIT_BYTES = 64 << 20
 };
 
-/* Encode for peers of a deployment (csp_hash_pair ("deployment", NAME)).
-   NULL when memory fails; to be freed.  */
+/* Encode a message for peers of a deployment, which is
+   csp_hash_pair ("deployment", NAME).  The caller frees the result; NULL when
+   out of memory.  */
 uint8_t *csp_encode_peer_message (const csp_peer_message_t *message,
                                   uint64_t deployment, size_t *size_bytes);
 
-/* Decode.  False for what is malformed, of another deployment, or of a
-   protocol that this version does not understand.  */
+/* Decode a message.  False if it is malformed, comes from another deployment,
+   or has a protocol version that this one does not support.  */
 bool csp_decode_peer_message (const uint8_t *data, size_t size_bytes,
                               uint64_t deployment,
                               csp_peer_message_t *message);
 
-/* Free what a decoded message owns.  */
+/* Free the memory that a decoded message owns.  */
 void csp_clear_peer_message (csp_peer_message_t *message);
 
-/* Links to peers over nng: one listener, and a socket for each peer asked.  */
+/* Links to peers over nng: one listener, and one client socket for each peer
+   that requests are sent to.  */
 typedef struct csp_peers csp_peers_t;
 
-/* Names an ask that waits for its answer.  */
+/* A received request that has not been answered yet.  */
 typedef struct csp_peer_call csp_peer_call_t;
 
-/* An ask came.  It is answered once, on any thread, by csp_answer_peer.  The
-   data is freed behind the call.  */
-typedef void (*csp_take_peer_ask_t) (void *state, csp_peer_call_t *call,
-                                     const uint8_t *data, size_t size_bytes);
-
-/* An answer came; data is NULL when none did in time.  */
-typedef void (*csp_take_peer_answer_t) (void *state, const uint8_t *data,
-                                        size_t size_bytes);
-
-/* With tls files set, both sides have to show a certificate for the
-   deployment's name, signed by the authority in ca_file.  */
+/* Called for each request received.  The callee answers it exactly once, on
+   any thread, by csp_answer_peer.  The data is valid only during the
+   callback.  */
+typedef void (*csp_handle_peer_request_t) (void *state, csp_peer_call_t *call,
+                                           const uint8_t *data,
+                                           size_t size_bytes);
+
+/* Called with the reply to a request that was sent.  data is NULL if the
+   request failed or timed out.  */
+typedef void (*csp_handle_peer_reply_t) (void *state, const uint8_t *data,
+                                         size_t size_bytes);
+
+/* With TLS files set, both sides must present a certificate signed by the
+   authority in ca_file; that of the listener must carry the deployment's
+   name.  */
 typedef struct
 {
   const char *address;
-  uint16_t port; /* 0: the kernel picks */
+  uint16_t port; /* 0: any free port */
   const char *deployment;
   const csp_tls_settings_t *tls;
-  csp_take_peer_ask_t take;
+  csp_handle_peer_request_t take;
   void *state;
 } csp_peers_settings_t;
 
-/* Listen.  NULL with a message when that fails.  */
+/* Start to listen.  On failure NULL, and message holds the reason.  */
 csp_peers_t *csp_create_peers (const csp_peers_settings_t *settings,
                                char *message, size_t message_bytes);
 
-/* Close all links; every open ask gets its answer or NULL first.  */
+/* Close all links.  The callback of every request still open is called first,
+   with the reply or with NULL.  */
 void csp_destroy_peers (csp_peers_t *peers);
 
+/* The port that the listener is bound to.  */
 uint16_t csp_peers_port (const csp_peers_t *peers);
 
-/* Ask a peer.  done is called once, perhaps on another thread.  */
+/* Send a request to a peer.  on_reply is called once, possibly on another
+   thread.  */
 void csp_ask_peer (csp_peers_t *peers, const char *address, uint16_t port,
                    const uint8_t *data, size_t size_bytes, uint32_t timeout_ms,
-                   csp_take_peer_answer_t done, void *state);
+                   csp_handle_peer_reply_t on_reply, void *state);
 
-/* Answer an ask; size 0 drops it.  */
+/* Send the reply to a request.  With size_bytes 0 no reply is sent, and the
+   sender times out.  */
 void csp_answer_peer (csp_peer_call_t *call, const uint8_t *data,
                       size_t size_bytes);
 
-/* Bytes sent and received so far, for the budget of control traffic.  */
-uint64_t csp_peers_bytes (const csp_peers_t *peers);
+/* Payload bytes sent and received so far, to check control traffic against
+   its budget.  */
+uint64_t csp_peers_traffic_bytes (const csp_peers_t *peers);
 
 #endif
--- a/source/peer/peer-codec-imp.h
+++ b/source/peer/peer-codec-imp.h
@@ -4,8 +4,8 @@
 #include "cowslipspoke/peer.h"
 #include "peer/peer.pb-c.h"
 
-/* The heartbeat's part of the codec.  The arrays of a frame being encoded
-   live in a scratch that the encoder owns.  */
+/* Codec of heartbeats.  The scratch holds the arrays that a heartbeat points
+   to while it is encoded; the encoder owns it.  */
 typedef struct
 {
   CspWire__Heartbeat heartbeat;
@@ -22,7 +22,8 @@
 bool csp_unpack_heartbeat (const CspWire__Heartbeat *wire,
                            csp_heartbeat_t *heartbeat);
 
-/* Copy a text of the wire into a field; false when it does not fit.  */
-bool csp_read_wire_text (char *field, size_t room_bytes, const char *text);
+/* Copy a received string into a field of fixed size; false if it doesn't
+   fit.  */
+bool csp_copy_wire_text (char *field, size_t field_bytes, const char *text);
 
 #endif
--- a/source/peer/peer-decode.c
+++ b/source/peer/peer-decode.c
@@ -3,8 +3,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Reads what a peer sent.  A peer may be another version, another deployment
-   by mistake, or broken; nothing of a frame is used unless all of it fits.  */
+/* Decodes frames from peers.  A peer may run another version, belong to
+   another deployment by mistake, or be faulty, so a frame is rejected as a
+   whole if any of its fields is out of range.  */
 
 static bool
 unpack_host (const CspWire__HostRef *wire, csp_host_ref_t *host)
@@ -12,7 +13,7 @@
   if (wire == NULL)
     return false;
   host->incarnation = wire->incarnation;
-  return csp_read_wire_text (host->name, sizeof host->name, wire->name);
+  return csp_copy_wire_text (host->name, sizeof host->name, wire->name);
 }
 
 static bool
@@ -25,14 +26,15 @@
   key->scope = (csp_once_scope_t)wire->scope;
   key->date_ms = wire->date_ms;
   return unpack_host (wire->home, &key->home)
-         && csp_read_wire_text (key->organisation, sizeof key->organisation,
+         && csp_copy_wire_text (key->organisation, sizeof key->organisation,
                                 wire->organisation)
-         && csp_read_wire_text (key->data_centre, sizeof key->data_centre,
+         && csp_copy_wire_text (key->data_centre, sizeof key->data_centre,
                                 wire->data_centre);
 }
 
 static bool
-unpack_carries (const CspWire__CarryAnswer *wire, csp_peer_message_t *message)
+unpack_carry_answer (const CspWire__CarryAnswer *wire,
+                     csp_peer_message_t *message)
 {
   csp_carry_t *carries = calloc (wire->n_carries + 1, sizeof *carries);
   size_t i;
@@ -45,7 +47,7 @@
       carries[i].carried_tokens = wire->carries[i]->carried_tokens;
       carries[i].carried_streams = wire->carries[i]->carried_streams;
       carries[i].owning = wire->carries[i]->owning;
-      if (!csp_read_wire_text (carries[i].target, sizeof carries[i].target,
+      if (!csp_copy_wire_text (carries[i].target, sizeof carries[i].target,
                                wire->carries[i]->target))
         return false;
     }
@@ -55,7 +57,8 @@
 }
 
 static bool
-unpack_pull (const CspWire__PullAnswer *wire, csp_peer_message_t *message)
+unpack_pull_answer (const CspWire__PullAnswer *wire,
+                    csp_peer_message_t *message)
 {
   csp_config_value_t *values = calloc (wire->n_values + 1, sizeof *values);
   csp_config_delta_t *delta = &message->u.pull_answer.delta;
@@ -96,7 +99,7 @@
       slots[i].ask_id = wire->slots[i]->ask_id;
       slots[i].nonce = wire->slots[i]->nonce;
       slots[i].expected_tokens = wire->slots[i]->expected_tokens;
-      if (!csp_read_wire_text (slots[i].target, sizeof slots[i].target,
+      if (!csp_copy_wire_text (slots[i].target, sizeof slots[i].target,
                                wire->slots[i]->target))
         return false;
     }
@@ -115,7 +118,7 @@
   if (wire->priority > CSP_PRIORITY_MAX || wire->n_tried > CSP_PEER_TRIED_MAX)
     return false;
   for (i = 0; i < wire->n_tried; i++)
-    if (!csp_read_wire_text (reserve->tried[i], sizeof reserve->tried[i],
+    if (!csp_copy_wire_text (reserve->tried[i], sizeof reserve->tried[i],
                              wire->tried[i]))
       return false;
   reserve->tried_count = (uint32_t)wire->n_tried;
@@ -126,11 +129,11 @@
   reserve->max_tokens = wire->max_tokens;
   reserve->lend_below_millis = wire->lend_below_millis;
   return unpack_host (wire->sender, &reserve->ask.sender)
-         && csp_read_wire_text (reserve->ask.model, sizeof reserve->ask.model,
+         && csp_copy_wire_text (reserve->ask.model, sizeof reserve->ask.model,
                                 wire->model)
-         && csp_read_wire_text (reserve->ask.pool, sizeof reserve->ask.pool,
+         && csp_copy_wire_text (reserve->ask.pool, sizeof reserve->ask.pool,
                                 wire->pool)
-         && csp_read_wire_text (reserve->class_name,
+         && csp_copy_wire_text (reserve->class_name,
                                 sizeof reserve->class_name, wire->class_name);
 }
 
@@ -148,9 +151,9 @@
   answer->lease_ms = wire->lease_ms;
   answer->retry_after_ms = wire->retry_after_ms;
   reserved->port = (uint16_t)wire->port;
-  return csp_read_wire_text (answer->target, sizeof answer->target,
+  return csp_copy_wire_text (answer->target, sizeof answer->target,
                              wire->target)
-         && csp_read_wire_text (reserved->address, sizeof reserved->address,
+         && csp_copy_wire_text (reserved->address, sizeof reserved->address,
                                 wire->address);
 }
 
@@ -172,7 +175,7 @@
   release->tokens = wire->tokens;
   release->failed = wire->failed;
   return unpack_host (wire->sender, &release->release.sender)
-         && csp_read_wire_text (release->target, sizeof release->target,
+         && csp_copy_wire_text (release->target, sizeof release->target,
                                 wire->target);
 }
 
@@ -217,14 +220,14 @@
       return message->u.carry_ask.count <= CSP_MAX_CARRY_TARGETS;
     case CSP_WIRE__FRAME__BODY_CARRY_ANSWER:
       message->kind = CSP_PEER_CARRY_ANSWER;
-      return unpack_carries (frame->carry_answer, message);
+      return unpack_carry_answer (frame->carry_answer, message);
     case CSP_WIRE__FRAME__BODY_PULL_ASK:
       message->kind = CSP_PEER_PULL_ASK;
       message->u.pull_ask.after = frame->pull_ask->after;
       return true;
     case CSP_WIRE__FRAME__BODY_PULL_ANSWER:
       message->kind = CSP_PEER_PULL_ANSWER;
-      return unpack_pull (frame->pull_answer, message);
+      return unpack_pull_answer (frame->pull_answer, message);
     case CSP_WIRE__FRAME__BODY_RESERVE_ASK:
       message->kind = CSP_PEER_RESERVE_ASK;
       return unpack_reserve_ask (frame->reserve_ask, &message->u.reserve_ask);
--- a/source/peer/peer-encode.c
+++ b/source/peer/peer-encode.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Everything that a frame under construction points to.  */
+/* A frame that is being encoded, with all memory that it points to.  */
 typedef struct
 {
   CspWire__Frame frame;
@@ -30,8 +30,8 @@
     CspWire__HostsAsk hosts_ask;
     CspWire__HostsAnswer hosts_answer;
   } body;
-  void *rows;      /* of a repeated field */
-  void *row_array; /* pointers to them */
+  void *rows;      /* the elements of a repeated field */
+  void *row_array; /* pointers to rows, as protobuf-c takes them */
 } encoder_t;
 
 static bool
--- a/source/peer/peer-heartbeat.c
+++ b/source/peer/peer-heartbeat.c
@@ -3,11 +3,11 @@
 #include <string.h>
 
 bool
-csp_read_wire_text (char *field, size_t room_bytes, const char *text)
+csp_copy_wire_text (char *field, size_t field_bytes, const char *text)
 {
   size_t size_bytes = strlen (text);
 
-  if (size_bytes >= room_bytes)
+  if (size_bytes >= field_bytes)
     return false;
   memcpy (field, text, size_bytes + 1);
   return true;
@@ -127,9 +127,9 @@
       suspect = &heartbeat->suspects[i];
       suspect->incarnation = wire->suspects[i]->incarnation;
       suspect->age_ms = wire->suspects[i]->age_ms;
-      if (!csp_read_wire_text (suspect->name, sizeof suspect->name,
+      if (!csp_copy_wire_text (suspect->name, sizeof suspect->name,
                                wire->suspects[i]->name)
-          || !csp_read_wire_text (suspect->witness, sizeof suspect->witness,
+          || !csp_copy_wire_text (suspect->witness, sizeof suspect->witness,
                                   wire->suspects[i]->witness))
         return false;
     }
@@ -148,12 +148,12 @@
   for (i = 0; i < wire->n_best && i < CSP_SUMMARY_HOSTS; i++)
     {
       summary->best[i].headroom_tokens = wire->best[i]->headroom_tokens;
-      if (!csp_read_wire_text (summary->best[i].name,
+      if (!csp_copy_wire_text (summary->best[i].name,
                                sizeof summary->best[i].name,
                                wire->best[i]->name))
         return false;
     }
-  return csp_read_wire_text (summary->data_centre, sizeof summary->data_centre,
+  return csp_copy_wire_text (summary->data_centre, sizeof summary->data_centre,
                              wire->data_centre);
 }
 
@@ -196,14 +196,14 @@
   heartbeat->targets_out = wire->targets_out;
   heartbeat->known_incarnation = wire->known_incarnation;
   heartbeat->alive_ms = wire->alive_ms;
-  return csp_read_wire_text (heartbeat->name, sizeof heartbeat->name,
+  return csp_copy_wire_text (heartbeat->name, sizeof heartbeat->name,
                              wire->name)
-         && csp_read_wire_text (heartbeat->region, sizeof heartbeat->region,
+         && csp_copy_wire_text (heartbeat->region, sizeof heartbeat->region,
                                 wire->region)
-         && csp_read_wire_text (heartbeat->data_centre,
+         && csp_copy_wire_text (heartbeat->data_centre,
                                 sizeof heartbeat->data_centre,
                                 wire->data_centre)
-         && csp_read_wire_text (heartbeat->address, sizeof heartbeat->address,
+         && csp_copy_wire_text (heartbeat->address, sizeof heartbeat->address,
                                 wire->address)
          && unpack_suspects (wire, heartbeat)
          && unpack_summaries (wire, heartbeat);
--- a/source/peer/peers-ask.c
+++ b/source/peer/peers-ask.c
@@ -7,17 +7,18 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* One ask on its way: sent, then its answer received, both before until.  */
+/* A request in flight: it is sent, then its reply is received, both before
+   the deadline.  */
 typedef struct
 {
   csp_peers_t *peers;
   nng_ctx context;
   nng_aio *aio;
   bool sent;
-  nng_time until;
-  csp_take_peer_answer_t done;
+  nng_time deadline;
+  csp_handle_peer_reply_t on_reply;
   void *state;
-} peer_ask_t;
+} peer_request_t;
 
 static int
 open_socket (csp_peers_t *peers, const char *url, nng_socket *socket)
@@ -27,8 +28,8 @@
 
   if (error != 0)
     return error;
-  /* The library would repeat an ask by itself; whether it is repeated is for
-     the slices to decide.  */
+  /* Turn off nng's own resending: whoever sends a request decides whether to
+     retry it.  */
   nng_socket_set_ms (*socket, NNG_OPT_REQ_RESENDTIME, NNG_DURATION_INFINITE);
   nng_socket_set_size (*socket, NNG_OPT_RECVMAXSZ,
                        CSP_PEER_MESSAGE_LIMIT_BYTES);
@@ -42,11 +43,11 @@
   return error;
 }
 
-/* The socket of a peer; called with the lock held.  */
+/* Find the socket to a peer, or open one.  Called with the lock held.  */
 static int
 find_socket (csp_peers_t *peers, const char *url, nng_socket *socket)
 {
-  csp_peer_socket_t *row;
+  csp_peer_socket_t *entry;
   uint32_t i;
   int error;
 
@@ -59,135 +60,137 @@
   error = open_socket (peers, url, socket);
   if (error != 0)
     return error;
-  /* When the table is full the oldest goes; its open asks end as lost, and
-     peers that are still there are dialled again.  */
-  if (peers->socket_count == CSP_PEER_SOCKETS)
+  /* When the table is full, the oldest socket is closed: its open requests
+     fail, and the next request to that peer dials again.  */
+  if (peers->socket_count == CSP_PEER_MAX_SOCKETS)
     {
       nng_close (peers->sockets[0].socket);
       memmove (&peers->sockets[0], &peers->sockets[1],
-               (CSP_PEER_SOCKETS - 1) * sizeof peers->sockets[0]);
+               (CSP_PEER_MAX_SOCKETS - 1) * sizeof peers->sockets[0]);
       peers->socket_count--;
     }
-  row = &peers->sockets[peers->socket_count++];
-  snprintf (row->url, sizeof row->url, "%s", url);
-  row->socket = *socket;
+  entry = &peers->sockets[peers->socket_count++];
+  snprintf (entry->url, sizeof entry->url, "%s", url);
+  entry->socket = *socket;
   return 0;
 }
 
 static void
-count_ask_out (csp_peers_t *peers)
+remove_open_request (csp_peers_t *peers)
 {
   pthread_mutex_lock (&peers->lock);
-  peers->open_asks--;
-  if (peers->open_asks == 0)
-    pthread_cond_broadcast (&peers->idle);
+  peers->open_requests--;
+  if (peers->open_requests == 0)
+    pthread_cond_broadcast (&peers->no_open_requests);
   pthread_mutex_unlock (&peers->lock);
 }
 
-/* Called from the handle's own callback, which may not free it; the library
-   reaps it on a thread of its own.  */
+/* This runs in the callback of the request's aio, where the aio must not be
+   freed: nng_aio_reap frees it later on another thread.  */
 static void
-finish_ask (peer_ask_t *ask, const uint8_t *data, size_t size_bytes)
+finish_request (peer_request_t *request, const uint8_t *data,
+                size_t size_bytes)
 {
-  ask->done (ask->state, data, size_bytes);
-  nng_ctx_close (ask->context);
-  nng_aio_reap (ask->aio);
-  count_ask_out (ask->peers);
-  free (ask);
+  request->on_reply (request->state, data, size_bytes);
+  nng_ctx_close (request->context);
+  nng_aio_reap (request->aio);
+  remove_open_request (request->peers);
+  free (request);
 }
 
 static void
-set_time_left (peer_ask_t *ask)
+set_remaining_timeout (peer_request_t *request)
 {
   nng_time now = nng_clock ();
 
-  nng_aio_set_timeout (ask->aio, now < ask->until
-                                     ? (nng_duration)(ask->until - now)
-                                     : NNG_DURATION_ZERO);
+  nng_aio_set_timeout (request->aio,
+                       now < request->deadline
+                           ? (nng_duration)(request->deadline - now)
+                           : NNG_DURATION_ZERO);
 }
 
 static void
-step_ask (void *state)
+on_request_aio (void *state)
 {
-  peer_ask_t *ask = state;
-  int error = nng_aio_result (ask->aio);
+  peer_request_t *request = state;
+  int error = nng_aio_result (request->aio);
   nng_msg *message;
 
   if (error != 0)
     {
-      if (!ask->sent)
-        nng_msg_free (nng_aio_get_msg (ask->aio));
-      finish_ask (ask, NULL, 0);
+      if (!request->sent)
+        nng_msg_free (nng_aio_get_msg (request->aio));
+      finish_request (request, NULL, 0);
       return;
     }
-  if (!ask->sent)
+  if (!request->sent)
     {
-      ask->sent = true;
-      set_time_left (ask);
-      nng_ctx_recv (ask->context, ask->aio);
+      request->sent = true;
+      set_remaining_timeout (request);
+      nng_ctx_recv (request->context, request->aio);
       return;
     }
-  message = nng_aio_get_msg (ask->aio);
-  atomic_fetch_add (&ask->peers->bytes, nng_msg_len (message));
-  finish_ask (ask, nng_msg_body (message), nng_msg_len (message));
+  message = nng_aio_get_msg (request->aio);
+  atomic_fetch_add (&request->peers->bytes, nng_msg_len (message));
+  finish_request (request, nng_msg_body (message), nng_msg_len (message));
   nng_msg_free (message);
 }
 
-static peer_ask_t *
-create_ask (csp_peers_t *peers, const char *url)
+static peer_request_t *
+create_request (csp_peers_t *peers, const char *url)
 {
-  peer_ask_t *ask = calloc (1, sizeof *ask);
+  peer_request_t *request = calloc (1, sizeof *request);
   nng_socket socket = NNG_SOCKET_INITIALIZER;
   int error = NNG_ENOMEM;
 
-  if (ask == NULL)
+  if (request == NULL)
     return NULL;
-  ask->peers = peers;
+  request->peers = peers;
   pthread_mutex_lock (&peers->lock);
   error = find_socket (peers, url, &socket);
   if (error == 0)
-    error = nng_ctx_open (&ask->context, socket);
+    error = nng_ctx_open (&request->context, socket);
   if (error == 0)
-    peers->open_asks++;
+    peers->open_requests++;
   pthread_mutex_unlock (&peers->lock);
   if (error != 0)
     {
-      free (ask);
+      free (request);
       return NULL;
     }
-  if (nng_aio_alloc (&ask->aio, step_ask, ask) == 0)
-    return ask;
-  nng_ctx_close (ask->context);
-  free (ask);
-  count_ask_out (peers);
+  if (nng_aio_alloc (&request->aio, on_request_aio, request) == 0)
+    return request;
+  nng_ctx_close (request->context);
+  free (request);
+  remove_open_request (peers);
   return NULL;
 }
 
 void
 csp_ask_peer (csp_peers_t *peers, const char *address, uint16_t port,
               const uint8_t *data, size_t size_bytes, uint32_t timeout_ms,
-              csp_take_peer_answer_t done, void *state)
+              csp_handle_peer_reply_t on_reply, void *state)
 {
   char url[CSP_PEER_URL_BYTES];
   nng_msg *message = NULL;
-  peer_ask_t *ask = NULL;
+  peer_request_t *request = NULL;
 
   snprintf (url, sizeof url, "%s://%s:%u",
             csp_peers_use_tls (peers) ? "tls+tcp" : "tcp", address, port);
   if (nng_msg_alloc (&message, 0) == 0
       && nng_msg_append (message, data, size_bytes) == 0)
-    ask = create_ask (peers, url);
-  if (ask == NULL)
+    request = create_request (peers, url);
+  if (request == NULL)
     {
       nng_msg_free (message);
-      done (state, NULL, 0);
+      on_reply (state, NULL, 0);
       return;
     }
-  ask->done = done;
-  ask->state = state;
-  ask->until = nng_clock () + timeout_ms;
+  request->on_reply = on_reply;
+  request->state = state;
+  request->deadline = nng_clock () + timeout_ms;
   atomic_fetch_add (&peers->bytes, size_bytes);
-  nng_aio_set_msg (ask->aio, message);
-  set_time_left (ask);
-  nng_ctx_send (ask->context, ask->aio);
+  nng_aio_set_msg (request->aio, message);
+  set_remaining_timeout (request);
+  nng_ctx_send (request->context, request->aio);
 }
--- a/source/peer/peers-tls.c
+++ b/source/peer/peers-tls.c
@@ -9,7 +9,8 @@
   FILE_LIMIT_BYTES = 1 << 16
 };
 
-/* The text of a file; NULL when it can't be read.  */
+/* Read a file into a string that the caller frees; NULL if it can't be
+   read.  */
 static char *
 read_file (const char *path)
 {
@@ -39,9 +40,10 @@
   if (certificate == NULL || key == NULL
       || nng_tls_config_alloc (&config, mode) != 0)
     goto done;
-  /* Both sides show a certificate: a process without one can neither ask nor
-     answer, whatever address it got hold of.  Peers are reached by IP number,
-     so the name that is checked is the deployment's.  */
+  /* Both sides must present a certificate, so that a process without one can
+     neither send requests nor answer them, even on an address of a host.
+     Peers are dialled by IP address, so the name to verify is that of the
+     deployment.  */
   if (nng_tls_config_ca_file (config, tls->ca_file) != 0
       || nng_tls_config_own_cert (config, certificate, key, NULL) != 0
       || nng_tls_config_auth_mode (config, NNG_TLS_AUTH_MODE_REQUIRED) != 0
--- a/source/peer/peers.c
+++ b/source/peer/peers.c
@@ -15,11 +15,11 @@
 }
 
 static void
-take_ask (csp_peer_call_t *call)
+deliver_request (csp_peer_call_t *call)
 {
   nng_msg *message = nng_aio_get_msg (call->aio);
 
-  call->state = CSP_CALL_WAITING;
+  call->state = CSP_CALL_HANDLING;
   atomic_fetch_add (&call->peers->bytes, nng_msg_len (message));
   call->peers->take (call->peers->state, call, nng_msg_body (message),
                      nng_msg_len (message));
@@ -27,7 +27,7 @@
 }
 
 static void
-step_call (void *state)
+on_call_aio (void *state)
 {
   csp_peer_call_t *call = state;
   int error = nng_aio_result (call->aio);
@@ -38,18 +38,18 @@
       if (error == NNG_ECLOSED || error == NNG_ECANCELED)
         return;
       if (error == 0)
-        take_ask (call);
+        deliver_request (call);
       else
         receive_next (call);
       break;
-    case CSP_CALL_ANSWERING:
+    case CSP_CALL_REPLYING:
       if (error == NNG_ECLOSED || error == NNG_ECANCELED)
         return;
       if (error != 0)
         nng_msg_free (nng_aio_get_msg (call->aio));
       receive_next (call);
       break;
-    case CSP_CALL_WAITING:
+    case CSP_CALL_HANDLING:
       break;
     }
 }
@@ -71,7 +71,7 @@
       return;
     }
   atomic_fetch_add (&call->peers->bytes, size_bytes);
-  call->state = CSP_CALL_ANSWERING;
+  call->state = CSP_CALL_REPLYING;
   nng_aio_set_msg (call->aio, message);
   nng_ctx_send (call->context, call->aio);
 }
@@ -113,11 +113,11 @@
   csp_peer_call_t *call;
   int error;
 
-  while (peers->call_count < CSP_PEER_CALLS)
+  while (peers->call_count < CSP_PEER_MAX_CALLS)
     {
       call = &peers->calls[peers->call_count];
       call->peers = peers;
-      error = nng_aio_alloc (&call->aio, step_call, call);
+      error = nng_aio_alloc (&call->aio, on_call_aio, call);
       if (error != 0)
         return error;
       error = nng_ctx_open (&call->context, peers->listener);
@@ -145,7 +145,7 @@
   peers->state = settings->state;
   peers->tls = settings->tls;
   pthread_mutex_init (&peers->lock, NULL);
-  pthread_cond_init (&peers->idle, NULL);
+  pthread_cond_init (&peers->no_open_requests, NULL);
   if (csp_peers_use_tls (peers))
     peers->client_tls
         = csp_create_peer_tls (peers->tls, settings->deployment, false);
@@ -169,11 +169,11 @@
 }
 
 static void
-await_asks (csp_peers_t *peers)
+wait_for_open_requests (csp_peers_t *peers)
 {
   pthread_mutex_lock (&peers->lock);
-  while (peers->open_asks > 0)
-    pthread_cond_wait (&peers->idle, &peers->lock);
+  while (peers->open_requests > 0)
+    pthread_cond_wait (&peers->no_open_requests, &peers->lock);
   pthread_mutex_unlock (&peers->lock);
 }
 
@@ -193,10 +193,10 @@
     }
   for (i = 0; i < peers->socket_count; i++)
     nng_close (peers->sockets[i].socket);
-  await_asks (peers);
+  wait_for_open_requests (peers);
   if (peers->client_tls != NULL)
     nng_tls_config_free (peers->client_tls);
-  pthread_cond_destroy (&peers->idle);
+  pthread_cond_destroy (&peers->no_open_requests);
   pthread_mutex_destroy (&peers->lock);
   free (peers);
 }
@@ -208,7 +208,7 @@
 }
 
 uint64_t
-csp_peers_bytes (const csp_peers_t *peers)
+csp_peers_traffic_bytes (const csp_peers_t *peers)
 {
   return atomic_load (&((csp_peers_t *)peers)->bytes);
 }
--- a/tests/peer/peer-codec-test.c
+++ b/tests/peer/peer-codec-test.c
@@ -8,10 +8,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A peer of another version, another deployment by mistake or a scanner on
-   the peer port sends frames that no encoder made.  One that is trusted in
-   part takes the host down with every stream on it, or puts a wrong target
-   into its view.  */
+/* A peer of another version or deployment, or a port scanner, sends frames
+   that this encoder did not make.  A decoder that trusts part of such a frame
+   crashes the host with all its streams, or puts a wrong target into its
+   view.  */
 
 enum
 {
@@ -35,7 +35,7 @@
     = { { .ask_id = 1, .nonce = 2, .target = "e1", .expected_tokens = 3 },
         { .ask_id = 4, .nonce = 5, .target = "e2", .expected_tokens = 6 } };
 
-#define KEY                                                                   \
+#define ONCE_KEY                                                              \
   {                                                                           \
     .organisation = "llanfair", .digest = { 1, 2, 3, 255 },                   \
     .scope = CSP_ONCE_SCOPE_HOST, .home = { "h1", 9 },                        \
@@ -93,12 +93,12 @@
   { .kind = CSP_PEER_RELEASE,
     .u.release = { { 71, { "h1", 9 }, 72, true }, 73, true, "e1" } },
   { .kind = CSP_PEER_HOLDINGS, .u.holdings = { { "h1", 9 }, 81, 2, slots } },
-  { .kind = CSP_PEER_CLAIM_ASK, .u.claim_ask = { KEY, { 91, 92 } } },
+  { .kind = CSP_PEER_CLAIM_ASK, .u.claim_ask = { ONCE_KEY, { 91, 92 } } },
   { .kind = CSP_PEER_CLAIM_ANSWER,
     .u.claim_answer
     = { { 91, 92 }, { "h1", 9 }, CSP_CLAIM_SEEN, CSP_ONCE_RAN, 93 } },
   { .kind = CSP_PEER_OUTCOME_TELL,
-    .u.outcome_tell = { KEY, { 91, 92 }, CSP_ONCE_CLOSED } },
+    .u.outcome_tell = { ONCE_KEY, { 91, 92 }, CSP_ONCE_CLOSED } },
   { .kind = CSP_PEER_HOSTS_ASK, .u.hosts_ask = { 101 } },
   { .kind = CSP_PEER_HOSTS_ANSWER, .u.hosts_answer = { "{\"version\":1}" } },
   { .kind = CSP_PEER_ACKNOWLEDGE },
@@ -118,7 +118,7 @@
   return frame;
 }
 
-START_TEST (every_kind_has_a_row)
+START_TEST (every_kind_is_tested)
 {
   int kind;
   int i;
@@ -132,85 +132,89 @@
 }
 END_TEST
 
-START_TEST (every_kind_survives_the_wire)
+START_TEST (every_kind_round_trips)
 {
-  csp_peer_message_t heard;
+  csp_peer_message_t decoded;
   size_t size_bytes;
-  size_t again_bytes;
+  size_t reencoded_bytes;
   uint8_t *frame = encode (&messages[_i], &size_bytes);
-  uint8_t *again;
-
-  ck_assert (csp_decode_peer_message (frame, size_bytes, DEPLOYMENT, &heard));
-  ck_assert_int_eq (heard.kind, messages[_i].kind);
-  again = encode (&heard, &again_bytes);
-  ck_assert_mem_eq (frame, again, size_bytes);
-  ck_assert_uint_eq (size_bytes, again_bytes);
-  csp_clear_peer_message (&heard);
+  uint8_t *reencoded;
+
+  ck_assert (
+      csp_decode_peer_message (frame, size_bytes, DEPLOYMENT, &decoded));
+  ck_assert_int_eq (decoded.kind, messages[_i].kind);
+  reencoded = encode (&decoded, &reencoded_bytes);
+  ck_assert_mem_eq (frame, reencoded, size_bytes);
+  ck_assert_uint_eq (size_bytes, reencoded_bytes);
+  csp_clear_peer_message (&decoded);
   free (frame);
-  free (again);
+  free (reencoded);
 }
 END_TEST
 
-START_TEST (fields_arrive_as_they_were_sent)
+START_TEST (decoded_fields_equal_encoded_ones)
 {
-  csp_peer_message_t heard;
+  csp_peer_message_t decoded;
   size_t size_bytes;
   uint8_t *frame = encode (&messages[0], &size_bytes);
 
-  ck_assert (csp_decode_peer_message (frame, size_bytes, DEPLOYMENT, &heard));
-  ck_assert_mem_eq (&heard.u.heartbeat, &messages[0].u.heartbeat,
-                    sizeof heard.u.heartbeat);
-  csp_clear_peer_message (&heard);
+  ck_assert (
+      csp_decode_peer_message (frame, size_bytes, DEPLOYMENT, &decoded));
+  ck_assert_mem_eq (&decoded.u.heartbeat, &messages[0].u.heartbeat,
+                    sizeof decoded.u.heartbeat);
+  csp_clear_peer_message (&decoded);
   free (frame);
 }
 END_TEST
 
-START_TEST (another_deployment_is_refused)
+START_TEST (frames_of_another_deployment_are_refused)
 {
-  csp_peer_message_t heard;
+  csp_peer_message_t decoded;
   size_t size_bytes;
   uint8_t *frame = encode (&messages[_i], &size_bytes);
 
-  ck_assert (
-      !csp_decode_peer_message (frame, size_bytes, OTHER_DEPLOYMENT, &heard));
-  ck_assert_int_eq (heard.kind, CSP_PEER_NONE);
+  ck_assert (!csp_decode_peer_message (frame, size_bytes, OTHER_DEPLOYMENT,
+                                       &decoded));
+  ck_assert_int_eq (decoded.kind, CSP_PEER_NONE);
   free (frame);
 }
 END_TEST
 
-/* A frame that was cut is refused or is a whole one of fewer fields, which
-   has to encode again.  */
+/* A damaged frame is either rejected, or decodes to a valid message that can
+   be encoded again.  */
 static void
-try_frame (const uint8_t *data, size_t size_bytes)
+check_decodes_safely (const uint8_t *data, size_t size_bytes)
 {
-  csp_peer_message_t heard;
-  size_t room_bytes = size_bytes == 0 ? 1 : size_bytes;
-  uint8_t *copy = malloc (room_bytes);
-  size_t again_bytes;
+  csp_peer_message_t decoded;
+  size_t allocated_bytes = size_bytes == 0 ? 1 : size_bytes;
+  uint8_t *copy = malloc (allocated_bytes);
+  size_t reencoded_bytes;
 
-  /* Its own allocation, so that the sanitizer sees a read past the end.  */
+  /* A separate allocation of the exact size, so that the address sanitizer
+     detects reads past the end.  */
   memcpy (copy, data, size_bytes);
-  if (csp_decode_peer_message (copy, size_bytes, DEPLOYMENT, &heard))
+  if (csp_decode_peer_message (copy, size_bytes, DEPLOYMENT, &decoded))
     {
-      free (encode (&heard, &again_bytes));
-      csp_clear_peer_message (&heard);
+      free (encode (&decoded, &reencoded_bytes));
+      csp_clear_peer_message (&decoded);
     }
   free (copy);
 }
 
-START_TEST (frames_cut_anywhere_do_no_harm)
+START_TEST (truncated_frames_are_decoded_safely)
 {
   size_t size_bytes;
   size_t cut;
   uint8_t *frame = encode (&messages[_i], &size_bytes);
 
   for (cut = 0; cut < size_bytes; cut++)
-    try_frame (frame, cut);
+    check_decodes_safely (frame, cut);
   free (frame);
 }
 END_TEST
 
-/* One to four bytes changed, put in, taken out or repeated from elsewhere. */
+/* Make one to four changes, each to one byte: a flipped bit, an extreme value,
+   an inserted copy or a removal.  */
 static size_t
 mutate (csp_random_t *random, uint8_t *data, size_t size_bytes)
 {
@@ -242,7 +246,7 @@
   return size_bytes;
 }
 
-START_TEST (mutated_frames_do_no_harm)
+START_TEST (mutated_frames_are_decoded_safely)
 {
   csp_random_t random;
   size_t size_bytes;
@@ -254,7 +258,7 @@
   for (i = 0; i < MUTANTS_PER_KIND; i++)
     {
       memcpy (mutant, frame, size_bytes);
-      try_frame (mutant, mutate (&random, mutant, size_bytes));
+      check_decodes_safely (mutant, mutate (&random, mutant, size_bytes));
     }
   free (mutant);
   free (frame);
@@ -262,7 +266,8 @@
 END_TEST
 
 static void
-put_number (uint8_t *frame, size_t *size_bytes, uint32_t field, uint32_t value)
+append_varint_field (uint8_t *frame, size_t *size_bytes, uint32_t field,
+                     uint32_t value)
 {
   uint32_t tag = field << 3;
 
@@ -274,17 +279,17 @@
   frame[(*size_bytes)++] = (uint8_t)value;
 }
 
-/* Numbers that the wire can carry and a field can't: a port of 65537 read as
-   1 sends a stream to a stranger.  body and field are numbers of peer.proto.
- */
+/* Values that fit the wire type but not the decoded field: a port of 65537
+   truncated to 1 would send a stream to another process.  body and field are
+   field numbers of peer.proto.  */
 static const struct
 {
-  const char *what;
+  const char *description;
   uint32_t body;
   uint32_t field;
   uint32_t value;
-  bool taken;
-} numbers[] = {
+  bool accepted;
+} bounded_fields[] = {
   { "a heartbeat's peer port that fits", 10, 8, 65535, true },
   { "a heartbeat's peer port that does not", 10, 8, 65537, false },
   { "a heartbeat's HTTP port that does not", 10, 7, 65536, false },
@@ -292,34 +297,36 @@
   { "the port of a grant that does not", 16, 8, 65536, false },
 };
 
-START_TEST (numbers_that_do_not_fit_are_refused)
+START_TEST (values_that_do_not_fit_a_field_are_refused)
 {
-  csp_peer_message_t heard;
+  csp_peer_message_t decoded;
   uint8_t frame[64] = { 0x08, CSP_PROTOCOL_VERSION, 0x11, DEPLOYMENT };
   uint8_t body[16];
   size_t body_bytes = 0;
   size_t size_bytes = 11;
-  uint32_t tag = (numbers[_i].body << 3) | 2;
-  bool taken;
+  uint32_t tag = (bounded_fields[_i].body << 3) | 2;
+  bool accepted;
 
-  put_number (body, &body_bytes, numbers[_i].field, numbers[_i].value);
+  append_varint_field (body, &body_bytes, bounded_fields[_i].field,
+                       bounded_fields[_i].value);
   frame[size_bytes++] = (uint8_t)(tag | 128);
   frame[size_bytes++] = (uint8_t)(tag >> 7);
   frame[size_bytes++] = (uint8_t)body_bytes;
   memcpy (frame + size_bytes, body, body_bytes);
-  taken = csp_decode_peer_message (frame, size_bytes + body_bytes, DEPLOYMENT,
-                                   &heard);
-  ck_assert_msg (taken == numbers[_i].taken, "%s", numbers[_i].what);
-  csp_clear_peer_message (&heard);
+  accepted = csp_decode_peer_message (frame, size_bytes + body_bytes,
+                                      DEPLOYMENT, &decoded);
+  ck_assert_msg (accepted == bounded_fields[_i].accepted, "%s",
+                 bounded_fields[_i].description);
+  csp_clear_peer_message (&decoded);
 }
 END_TEST
 
-/* More rows than the receiver has room for.  */
-START_TEST (counts_over_the_bounds_are_refused)
+/* A list with more entries than the receiver accepts is refused.  */
+START_TEST (lists_over_the_limit_are_refused)
 {
   char **many = calloc (CSP_MAX_CARRY_TARGETS + 1, sizeof *many);
   csp_peer_message_t message = { .kind = CSP_PEER_CARRY_ASK };
-  csp_peer_message_t heard;
+  csp_peer_message_t decoded;
   uint8_t *frame;
   size_t size_bytes;
   size_t i;
@@ -329,12 +336,14 @@
   message.u.carry_ask.targets = many;
   message.u.carry_ask.count = CSP_MAX_CARRY_TARGETS;
   frame = encode (&message, &size_bytes);
-  ck_assert (csp_decode_peer_message (frame, size_bytes, DEPLOYMENT, &heard));
-  csp_clear_peer_message (&heard);
+  ck_assert (
+      csp_decode_peer_message (frame, size_bytes, DEPLOYMENT, &decoded));
+  csp_clear_peer_message (&decoded);
   free (frame);
   message.u.carry_ask.count++;
   frame = encode (&message, &size_bytes);
-  ck_assert (!csp_decode_peer_message (frame, size_bytes, DEPLOYMENT, &heard));
+  ck_assert (
+      !csp_decode_peer_message (frame, size_bytes, DEPLOYMENT, &decoded));
   free (frame);
   free (many);
 }
@@ -347,16 +356,18 @@
   TCase *tcase = tcase_create ("peer codec");
 
   tcase_set_timeout (tcase, 60);
-  tcase_add_test (tcase, every_kind_has_a_row);
-  tcase_add_loop_test (tcase, every_kind_survives_the_wire, 0, MESSAGE_COUNT);
-  tcase_add_test (tcase, fields_arrive_as_they_were_sent);
-  tcase_add_loop_test (tcase, another_deployment_is_refused, 0, MESSAGE_COUNT);
-  tcase_add_loop_test (tcase, frames_cut_anywhere_do_no_harm, 0,
+  tcase_add_test (tcase, every_kind_is_tested);
+  tcase_add_loop_test (tcase, every_kind_round_trips, 0, MESSAGE_COUNT);
+  tcase_add_test (tcase, decoded_fields_equal_encoded_ones);
+  tcase_add_loop_test (tcase, frames_of_another_deployment_are_refused, 0,
+                       MESSAGE_COUNT);
+  tcase_add_loop_test (tcase, truncated_frames_are_decoded_safely, 0,
+                       MESSAGE_COUNT);
+  tcase_add_loop_test (tcase, mutated_frames_are_decoded_safely, 0,
                        MESSAGE_COUNT);
-  tcase_add_loop_test (tcase, mutated_frames_do_no_harm, 0, MESSAGE_COUNT);
-  tcase_add_loop_test (tcase, numbers_that_do_not_fit_are_refused, 0,
-                       sizeof numbers / sizeof *numbers);
-  tcase_add_test (tcase, counts_over_the_bounds_are_refused);
+  tcase_add_loop_test (tcase, values_that_do_not_fit_a_field_are_refused, 0,
+                       sizeof bounded_fields / sizeof *bounded_fields);
+  tcase_add_test (tcase, lists_over_the_limit_are_refused);
   suite_add_tcase (suite, tcase);
   return run_suite (suite);
 }
