--- a/include/cowslipspoke/http.h
+++ b/include/cowslipspoke/http.h
@@ -7,21 +7,22 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* One strict reader of HTTP/1.1 for both directions.
+/* A strict reader of HTTP/1.1 messages, for requests and responses.
 
-   A request that two readers on its way take for different requests lets a
-   caller hide a second request inside the first: the host checks one and the
-   target runs another.  So whatever RFC 9112 leaves to the reader's taste
-   (bare line feeds, folded lines, a space before the colon, two lengths, a
-   length beside a coding) is refused.  The packaged http-parser reads start
-   line and fields; the checks on raw bytes and the chunk framing are ours,
-   since that library lets them pass.  */
+   Request smuggling: if this host and the target parse the same bytes
+   differently, a caller can hide a second request that the host never checks.
+   So everything that RFC 9112 lets a parser tolerate is refused: bare line
+   feeds, folded lines, a space before the colon, repeated lengths, a length
+   together with a transfer coding.  The http-parser library parses the start
+   line and the fields, but accepts such input, so raw bytes and chunk framing
+   are checked here.  */
 
 enum
 {
   CSP_HTTP_FIELDS_MAX = 100,
-  /* Chunk size lines with extensions, and trailers, in all.  */
+  /* The extensions of one chunk size line.  */
   CSP_HTTP_CHUNK_LINE_BYTES = 1024,
+  /* All trailer fields of a message together.  */
   CSP_HTTP_TRAILER_BYTES = 8192
 };
 
@@ -29,9 +30,9 @@
 {
   CSP_HTTP_REQUEST,
   CSP_HTTP_ANSWER
-} csp_http_side_t;
+} csp_http_message_kind_t;
 
-/* How the end of a body is told.  */
+/* What marks the end of a body.  */
 typedef enum
 {
   CSP_BODY_NONE,
@@ -40,17 +41,19 @@
   CSP_BODY_UNTIL_CLOSE
 } csp_body_framing_t;
 
-/* A field; both texts end with a nul and lie in the head's buffer.  */
+/* A header field.  Both strings end with a nul and point into the head's
+   buffer.  */
 typedef struct
 {
   const char *name;
   const char *value;
 } csp_http_field_t;
 
-/* A message up to its empty line.  method and target are "" in answers.  */
+/* The head of a message: everything up to and including the empty line.
+   method and target are "" in responses.  */
 typedef struct
 {
-  csp_http_side_t side;
+  csp_http_message_kind_t kind;
   csp_buffer_t bytes;
   const char *method;
   const char *target;
@@ -73,73 +76,77 @@
   CSP_HTTP_NO_MEMORY
 } csp_http_fault_t;
 
-/* What the next bytes amounted to.  */
+/* What one step of reading produced.  */
 typedef enum
 {
-  CSP_HTTP_MORE, /* all bytes are used, nothing new is whole */
-  CSP_HTTP_HEAD, /* the head is whole; csp_http_head has it */
+  CSP_HTTP_MORE, /* all bytes were consumed and more are needed */
+  CSP_HTTP_HEAD, /* the head is complete; csp_http_head returns it */
   CSP_HTTP_BODY, /* a piece of the body */
-  CSP_HTTP_END,  /* the message is whole */
-  CSP_HTTP_FAULT
+  CSP_HTTP_END,  /* the message is complete */
+  CSP_HTTP_FAULT /* the message is refused; csp_http_fault says why */
 } csp_http_step_t;
 
 typedef struct csp_http_reader csp_http_reader_t;
 
-/* Bounds of one message, in bytes.  */
+/* Size limits of one message.  */
 typedef struct
 {
   uint64_t head_max_bytes;
   uint64_t body_max_bytes;
 } csp_http_limits_t;
 
-csp_http_reader_t *csp_create_http_reader (csp_http_side_t side,
+csp_http_reader_t *csp_create_http_reader (csp_http_message_kind_t kind,
                                            csp_http_limits_t limits);
 void csp_destroy_http_reader (csp_http_reader_t *reader);
 
-/* Make ready for the next message.  headless: the answer has no body whatever
-   its fields say, as one to HEAD.  */
+/* Reset the reader for the next message.  response_to_head: the message is a
+   response to HEAD, which has no body whatever its fields say.  */
 void csp_next_http_message (csp_http_reader_t *reader,
-                            csp_http_limits_t limits, bool headless);
+                            csp_http_limits_t limits, bool response_to_head);
 
-/* Read on from data; *used tells how many bytes were taken.  Call again with
-   the rest until MORE, END or FAULT.  With CSP_HTTP_BODY, *piece and
-   *piece_bytes lie within data.  */
+/* Read the next part of a message from data; *used is how many bytes were
+   consumed.  Call again with the rest until MORE, END or FAULT.  With
+   CSP_HTTP_BODY, *piece points to *piece_bytes of body within data.  */
 csp_http_step_t csp_read_http (csp_http_reader_t *reader, const char *data,
                                size_t size_bytes, size_t *used,
                                const char **piece, size_t *piece_bytes);
 
-/* The peer closed its side: true where that ends a whole message.  */
+/* Handle the peer's close of the connection.  True if the message is complete:
+   it was so before, or the close ends its body.  */
 bool csp_close_http (csp_http_reader_t *reader);
 
-/* Whether any byte of a message was read since the last one ended.  */
+/* Whether any byte of the current message was read.  */
 bool csp_http_began (const csp_http_reader_t *reader);
 bool csp_http_head_whole (const csp_http_reader_t *reader);
+
+/* The head of the current message; valid until the reader is reset.  */
 const csp_http_head_t *csp_http_head (const csp_http_reader_t *reader);
 csp_http_fault_t csp_http_fault (const csp_http_reader_t *reader);
 
-/* The value of the first field of a name, any case; NULL where there is
-   none.  */
+/* The value of the first field with this name, case-insensitive; NULL if there
+   is none.  */
 const char *csp_find_http_field (const csp_http_head_t *head,
                                  const char *name);
 
-/* Seconds as Retry-After gives them, whole or with a fraction; what is beyond
-   the range counts as its end.  False where the value is none, as a date or a
-   negative number.  */
+/* Parse a number of seconds as in Retry-After, with or without a fraction.
+   Values too large for *time_ms become UINT32_MAX.  False for anything else,
+   such as a date or a negative number.  */
 bool csp_read_http_seconds (const char *value, uint32_t *time_ms);
 
-/* Whether a field concerns one connection only, so that it isn't passed on:
-   those of RFC 9110, section 7.6.1, and those that Connection names.  */
+/* Whether a field is hop-by-hop, so that it isn't forwarded: those of RFC
+   9110, section 7.6.1, Expect, the framing fields, and fields that Connection
+   names.  */
 bool csp_is_hop_field (const csp_http_head_t *head, const char *name);
 
-/* The usual words for a status; "Unknown" where there are none.  */
+/* The standard reason phrase of a status code; "Unknown" if there is none.  */
 const char *csp_http_status_words (uint16_t status);
 
-/* Frame a piece of a body as a chunk; a piece of 0 bytes is left out, since
-   it would end the body.  */
+/* Append a piece of a body as a chunk.  A piece of 0 bytes is skipped, since
+   an empty chunk would end the body.  */
 bool csp_append_chunk (csp_buffer_t *buffer, const void *data,
                        size_t size_bytes);
 
-/* The end of a chunked body.  */
+/* The chunk that ends a chunked body, with no trailers.  */
 extern const char csp_last_chunk[];
 
 #endif
--- a/source/http/http-chunk.c
+++ b/source/http/http-chunk.c
@@ -2,13 +2,13 @@
 
 #include <string.h>
 
-/* The framing of chunked bodies, to the letter of RFC 9112, section 7.1.  The
-   packaged parser takes any two bytes for the line end behind a chunk; bytes
-   hidden there are a request to the next reader.  */
+/* Strict framing of chunked bodies after RFC 9112, section 7.1.  The
+   http-parser library accepts any two bytes as the line end after a chunk's
+   data; another parser may read bytes hidden there as a request.  */
 
 enum
 {
-  /* 15 hexadecimal digits never overflow 64 bits.  */
+  /* 15 hexadecimal digits can't overflow 64 bits.  */
   SIZE_DIGITS_MAX = 15,
   DIGIT_BITS = 4,
   BAD_DIGIT = -1
@@ -28,7 +28,7 @@
   return BAD_DIGIT;
 }
 
-/* Control characters other than the tab have no place in a line.  */
+/* Control characters other than the tab are not allowed in a line.  */
 static bool
 is_line_byte (char byte)
 {
@@ -97,7 +97,7 @@
          && ++chunks->trailer_bytes <= CSP_HTTP_TRAILER_BYTES;
 }
 
-/* One byte of framing; false where it can't stand there.  */
+/* Read one byte of framing; false if it isn't allowed in this state.  */
 static bool
 read_framing_byte (csp_chunk_reader_t *chunks, char byte)
 {
--- a/source/http/http-head.c
+++ b/source/http/http-head.c
@@ -4,12 +4,12 @@
 #include <string.h>
 #include <strings.h>
 
-/* Heads: raw checks first, then the packaged parser, then the rules about how
-   the body is framed.  */
+/* Parses the head of a message: checks the raw bytes, runs the http-parser
+   library, then decides how the body is framed.  */
 
 enum
 {
-  /* A length of 15 digits never overflows and is far over any limit.  */
+  /* 15 digits can't overflow 64 bits, and exceed any limit by far.  */
   LENGTH_DIGITS_MAX = 15,
   DECIMAL = 10,
   STATUS_INFORMATIONAL_END = 200,
@@ -17,8 +17,9 @@
   STATUS_NOT_MODIFIED = 304
 };
 
-/* What the parser's callbacks fill; spans become texts when it is done, as
-   the bytes behind them may not be overwritten before.  */
+/* The positions that the parser's callbacks record.  The strings are
+   terminated only after parsing, since a nul overwrites a byte that the parser
+   still has to read.  */
 typedef struct
 {
   csp_http_head_t *head;
@@ -38,7 +39,8 @@
          || (byte != '\0' && strchr ("!#$%&'*+-.^_`|~", byte) != NULL);
 }
 
-/* A field line: a name of token characters, the colon right behind it.  */
+/* Whether a line starts with a field name of token characters, directly
+   followed by a colon.  */
 static bool
 is_field_line (const char *line, size_t size_bytes)
 {
@@ -49,8 +51,9 @@
   return at > 0 && at < size_bytes && line[at] == ':';
 }
 
-/* Lines end with CR LF and hold no control character but the tab; a line that
-   begins with a blank would be folded onto the one before it.  */
+/* Whether all lines end with CR LF, contain no control character except the
+   tab, and, after the first one, are field lines.  That excludes folded lines,
+   which begin with a blank.  */
 static bool
 check_raw_lines (const csp_buffer_t *bytes)
 {
@@ -78,7 +81,7 @@
 }
 
 static int
-take_target (http_parser *parser, const char *at, size_t size_bytes)
+on_target (http_parser *parser, const char *at, size_t size_bytes)
 {
   field_spans_t *spans = parser->data;
 
@@ -88,7 +91,7 @@
 }
 
 static int
-take_name (http_parser *parser, const char *at, size_t size_bytes)
+on_field_name (http_parser *parser, const char *at, size_t size_bytes)
 {
   field_spans_t *spans = parser->data;
   csp_http_head_t *head = spans->head;
@@ -106,7 +109,7 @@
 }
 
 static int
-take_value (http_parser *parser, const char *at, size_t size_bytes)
+on_field_value (http_parser *parser, const char *at, size_t size_bytes)
 {
   field_spans_t *spans = parser->data;
   csp_http_head_t *head = spans->head;
@@ -118,10 +121,10 @@
   return 0;
 }
 
-/* The body is framed by the rules below, so the parser is told there is
-   none.  */
+/* Returns 2, by which http-parser expects no body: choose_framing decides on
+   the body.  */
 static int
-end_head (http_parser *parser)
+on_head_end (http_parser *parser)
 {
   field_spans_t *spans = parser->data;
 
@@ -130,7 +133,7 @@
 }
 
 static void
-close_texts (field_spans_t *spans)
+terminate_strings (field_spans_t *spans)
 {
   csp_http_head_t *head = spans->head;
   size_t i;
@@ -154,9 +157,10 @@
     }
 }
 
-/* Cut the method and the target of a request line into texts.  */
+/* Terminate the method and the target of a request line as strings.  False if
+   the target isn't a path.  */
 static bool
-close_request_line (csp_http_head_t *head, const field_spans_t *spans)
+terminate_request_line (csp_http_head_t *head, const field_spans_t *spans)
 {
   char *target = (char *)spans->target;
   char *space = strchr (head->bytes.data, ' ');
@@ -185,7 +189,7 @@
   return true;
 }
 
-/* Count fields of a name, and keep the last value.  */
+/* Count the fields with this name; *value is set to the last one's value.  */
 static size_t
 count_fields (const csp_http_head_t *head, const char *name,
               const char **value)
@@ -203,16 +207,16 @@
 }
 
 static bool
-answer_has_no_body (const csp_http_head_t *head)
+response_has_no_body (const csp_http_head_t *head)
 {
-  return head->side == CSP_HTTP_ANSWER
+  return head->kind == CSP_HTTP_ANSWER
          && (head->status < STATUS_INFORMATIONAL_END
              || head->status == STATUS_NO_CONTENT
              || head->status == STATUS_NOT_MODIFIED);
 }
 
 static bool
-choose_framing (csp_http_head_t *head, bool headless)
+choose_framing (csp_http_head_t *head, bool response_to_head)
 {
   const char *length = NULL;
   const char *coding = NULL;
@@ -226,13 +230,13 @@
     return false;
   if (lengths > 0 && !parse_length (length, &head->length_bytes))
     return false;
-  if (headless || answer_has_no_body (head))
+  if (response_to_head || response_has_no_body (head))
     head->framing = CSP_BODY_NONE;
   else if (codings > 0)
     head->framing = CSP_BODY_CHUNKED;
   else if (lengths > 0)
     head->framing = head->length_bytes > 0 ? CSP_BODY_LENGTH : CSP_BODY_NONE;
-  else if (head->side == CSP_HTTP_ANSWER)
+  else if (head->kind == CSP_HTTP_ANSWER)
     head->framing = CSP_BODY_UNTIL_CLOSE;
   return true;
 }
@@ -247,20 +251,20 @@
 }
 
 csp_http_fault_t
-csp_parse_http_head (csp_http_head_t *head, bool headless)
+csp_parse_http_head (csp_http_head_t *head, bool response_to_head)
 {
   static const http_parser_settings settings
-      = { .on_url = take_target,
-          .on_header_field = take_name,
-          .on_header_value = take_value,
-          .on_headers_complete = end_head };
+      = { .on_url = on_target,
+          .on_header_field = on_field_name,
+          .on_header_value = on_field_value,
+          .on_headers_complete = on_head_end };
   field_spans_t spans = { .head = head };
   http_parser parser;
   size_t used;
 
   if (!check_raw_lines (&head->bytes))
     return CSP_HTTP_MALFORMED;
-  http_parser_init (&parser, head->side == CSP_HTTP_REQUEST ? HTTP_REQUEST
+  http_parser_init (&parser, head->kind == CSP_HTTP_REQUEST ? HTTP_REQUEST
                                                             : HTTP_RESPONSE);
   parser.data = &spans;
   used = http_parser_execute (&parser, &settings, head->bytes.data,
@@ -275,9 +279,10 @@
   head->minor_version = (uint8_t)parser.http_minor;
   head->status = (uint16_t)parser.status_code;
   head->keep_alive = spans.keep_alive;
-  close_texts (&spans);
-  if (head->side == CSP_HTTP_REQUEST
-      && (!close_request_line (head, &spans) || !check_host (head)))
+  terminate_strings (&spans);
+  if (head->kind == CSP_HTTP_REQUEST
+      && (!terminate_request_line (head, &spans) || !check_host (head)))
     return CSP_HTTP_MALFORMED;
-  return choose_framing (head, headless) ? CSP_HTTP_FINE : CSP_HTTP_MALFORMED;
+  return choose_framing (head, response_to_head) ? CSP_HTTP_FINE
+                                                 : CSP_HTTP_MALFORMED;
 }
--- a/source/http/http-imp.h
+++ b/source/http/http-imp.h
@@ -3,9 +3,11 @@
 
 #include "cowslipspoke/http.h"
 
-/* Parse the head in head->bytes, which ends with its empty line.  headless:
-   see csp_next_http_message.  The bytes are cut into texts in place.  */
-csp_http_fault_t csp_parse_http_head (csp_http_head_t *head, bool headless);
+/* Parse the head in head->bytes, which ends with its empty line.  Its strings
+   are terminated in place, in head->bytes.  response_to_head: see
+   csp_next_http_message.  */
+csp_http_fault_t csp_parse_http_head (csp_http_head_t *head,
+                                      bool response_to_head);
 
 typedef enum
 {
@@ -22,7 +24,7 @@
   CSP_CHUNK_DONE
 } csp_chunk_state_t;
 
-/* Where the reader stands inside a chunked body.  */
+/* The parser state within a chunked body.  */
 typedef struct
 {
   csp_chunk_state_t state;
@@ -32,7 +34,8 @@
   uint32_t trailer_bytes;
 } csp_chunk_reader_t;
 
-/* Read on; like csp_read_http with MORE, BODY, END and FAULT.  */
+/* Read the next part of a chunked body.  Like csp_read_http, but returns only
+   MORE, BODY, END or FAULT.  */
 csp_http_step_t csp_read_chunks (csp_chunk_reader_t *chunks, const char *data,
                                  size_t size_bytes, size_t *used,
                                  const char **piece, size_t *piece_bytes);
--- a/source/http/http-reader.c
+++ b/source/http/http-reader.c
@@ -14,11 +14,12 @@
 struct csp_http_reader
 {
   csp_http_limits_t limits;
-  bool headless;
+  bool response_to_head;
   stage_t stage;
   csp_http_fault_t fault;
-  bool in_empty_line; /* between its two bytes, before a request */
-  /* Bytes of the head that were searched for its end.  */
+  /* After the carriage return of an empty line before a request.  */
+  bool in_empty_line;
+  /* Bytes of the head that were already searched for its end.  */
   size_t searched_bytes;
   uint64_t left_bytes;
   uint64_t body_bytes;
@@ -33,13 +34,13 @@
 };
 
 csp_http_reader_t *
-csp_create_http_reader (csp_http_side_t side, csp_http_limits_t limits)
+csp_create_http_reader (csp_http_message_kind_t kind, csp_http_limits_t limits)
 {
   csp_http_reader_t *reader = calloc (1, sizeof *reader);
 
   if (reader == NULL)
     return NULL;
-  reader->head.side = side;
+  reader->head.kind = kind;
   csp_next_http_message (reader, limits, false);
   return reader;
 }
@@ -55,12 +56,12 @@
 
 void
 csp_next_http_message (csp_http_reader_t *reader, csp_http_limits_t limits,
-                       bool headless)
+                       bool response_to_head)
 {
   csp_http_head_t *head = &reader->head;
 
   reader->limits = limits;
-  reader->headless = headless;
+  reader->response_to_head = response_to_head;
   reader->stage = STAGE_HEAD;
   reader->fault = CSP_HTTP_FINE;
   reader->in_empty_line = false;
@@ -88,7 +89,7 @@
 finish_head (csp_http_reader_t *reader)
 {
   csp_http_fault_t fault
-      = csp_parse_http_head (&reader->head, reader->headless);
+      = csp_parse_http_head (&reader->head, reader->response_to_head);
 
   if (fault != CSP_HTTP_FINE)
     return refuse (reader, fault);
@@ -100,16 +101,16 @@
   return CSP_HTTP_HEAD;
 }
 
-/* Empty lines before a request are passed over, as RFC 9112 asks of servers
-   (section 2.2).  Returns how many bytes they take; sets the fault where a
-   carriage return stands alone.  */
+/* Skip empty lines before a request, as RFC 9112, section 2.2, requires of
+   servers.  Returns how many bytes were skipped; sets the fault if a carriage
+   return isn't followed by a line feed.  */
 static size_t
 skip_empty_lines (csp_http_reader_t *reader, const char *data,
                   size_t size_bytes)
 {
   size_t at = 0;
 
-  if (reader->head.side != CSP_HTTP_REQUEST
+  if (reader->head.kind != CSP_HTTP_REQUEST
       || reader->head.bytes.size_bytes != 0)
     return 0;
   while (at < size_bytes && (reader->in_empty_line || data[at] == '\r'))
@@ -161,8 +162,9 @@
 }
 
 static csp_http_step_t
-read_counted (csp_http_reader_t *reader, const char *data, size_t size_bytes,
-              size_t *used, const char **piece, size_t *piece_bytes)
+read_body_piece (csp_http_reader_t *reader, const char *data,
+                 size_t size_bytes, size_t *used, const char **piece,
+                 size_t *piece_bytes)
 {
   if (size_bytes == 0)
     return CSP_HTTP_MORE;
@@ -185,13 +187,15 @@
     case CSP_BODY_LENGTH:
       if (reader->left_bytes == 0)
         return CSP_HTTP_END;
-      return read_counted (reader, data, size_bytes, used, piece, piece_bytes);
+      return read_body_piece (reader, data, size_bytes, used, piece,
+                              piece_bytes);
     case CSP_BODY_CHUNKED:
       return csp_read_chunks (&reader->chunks, data, size_bytes, used, piece,
                               piece_bytes);
     case CSP_BODY_UNTIL_CLOSE:
       reader->left_bytes = UINT64_MAX;
-      return read_counted (reader, data, size_bytes, used, piece, piece_bytes);
+      return read_body_piece (reader, data, size_bytes, used, piece,
+                              piece_bytes);
     }
   return CSP_HTTP_FAULT;
 }
--- a/tests/http/http-test.c
+++ b/tests/http/http-test.c
@@ -6,8 +6,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* The strict reader, as tables of cases: each is read whole, byte by byte and
-   cut in two at every place, with one outcome.  */
+/* Each request is read in one piece and in two pieces split at every position,
+   always with the same outcome.  */
 
 static const csp_http_limits_t limits
     = { .head_max_bytes = 400, .body_max_bytes = 64 };
@@ -15,19 +15,19 @@
 typedef struct
 {
   csp_http_fault_t fault;
-  bool whole;  /* the message ended */
-  size_t used; /* bytes of the message */
+  bool complete;
+  size_t used; /* bytes consumed */
   char body[256];
   size_t body_bytes;
   const csp_http_head_t *head;
   csp_http_reader_t *reader;
 } outcome_t;
 
-/* Feed bytes in pieces that end at the given places.  */
+/* Read one piece of input and add the result to the outcome.  */
 static void
 feed (outcome_t *outcome, const char *data, size_t size_bytes)
 {
-  while (!outcome->whole && outcome->fault == CSP_HTTP_FINE)
+  while (!outcome->complete && outcome->fault == CSP_HTTP_FINE)
     {
       const char *piece = NULL;
       size_t piece_bytes = 0;
@@ -48,34 +48,36 @@
           outcome->body_bytes += piece_bytes;
         }
       if (step == CSP_HTTP_END)
-        outcome->whole = true;
+        outcome->complete = true;
       if (step == CSP_HTTP_FAULT)
         outcome->fault = csp_http_fault (outcome->reader);
     }
 }
 
 static outcome_t
-read_cut (csp_http_side_t side, const char *text, size_t cut_at)
+read_in_two_pieces (csp_http_message_kind_t kind, const char *text,
+                    size_t split_at)
 {
-  outcome_t outcome = { .reader = csp_create_http_reader (side, limits) };
+  outcome_t outcome = { .reader = csp_create_http_reader (kind, limits) };
   size_t size_bytes = strlen (text);
 
-  feed (&outcome, text, cut_at);
-  feed (&outcome, text + cut_at, size_bytes - cut_at);
+  feed (&outcome, text, split_at);
+  feed (&outcome, text + split_at, size_bytes - split_at);
   outcome.head = csp_http_head (outcome.reader);
   return outcome;
 }
 
 #define HEAD "POST /a HTTP/1.1\r\nHost: h\r\n"
 
-/* What two readers could take for different requests.  A caller hides a
-   second request in the difference, and it runs with nobody's key.  */
+/* Request smuggling: two parsers could split these bytes into different
+   requests.  A caller could hide a second request there, which would run
+   without a check of its key.  */
 static const struct
 {
-  const char *what;
+  const char *description;
   const char *text;
   csp_http_fault_t fault;
-  const char *body; /* where it is fine */
+  const char *body; /* NULL where the request is refused */
 } requests[] = {
   { "a length", HEAD "Content-Length: 5\r\n\r\nhello", CSP_HTTP_FINE,
     "hello" },
@@ -172,19 +174,20 @@
 START_TEST (test_requests)
 {
   const char *text = requests[_i].text;
-  size_t cut_at;
+  size_t split_at;
 
-  for (cut_at = 0; cut_at <= strlen (text); cut_at++)
+  for (split_at = 0; split_at <= strlen (text); split_at++)
     {
-      outcome_t outcome = read_cut (CSP_HTTP_REQUEST, text, cut_at);
+      outcome_t outcome
+          = read_in_two_pieces (CSP_HTTP_REQUEST, text, split_at);
 
       ck_assert_msg (outcome.fault == requests[_i].fault,
-                     "%s, cut at %zu: fault %d", requests[_i].what, cut_at,
-                     (int)outcome.fault);
+                     "%s, cut at %zu: fault %d", requests[_i].description,
+                     split_at, (int)outcome.fault);
       if (requests[_i].body != NULL)
         {
-          ck_assert_msg (outcome.whole, "%s, cut at %zu", requests[_i].what,
-                         cut_at);
+          ck_assert_msg (outcome.complete, "%s, cut at %zu",
+                         requests[_i].description, split_at);
           ck_assert_uint_eq (outcome.body_bytes, strlen (requests[_i].body));
           ck_assert_mem_eq (outcome.body, requests[_i].body,
                             outcome.body_bytes);
@@ -195,17 +198,18 @@
 }
 END_TEST
 
-/* Answers, and whether the server's close ends them well.  */
+/* Responses, and whether the message is complete when the server closes the
+   connection.  */
 static const struct
 {
-  const char *what;
+  const char *description;
   const char *text;
   bool headless;
   csp_http_fault_t fault;
-  bool whole;
-  bool whole_when_closed;
+  bool complete;
+  bool complete_when_closed;
   csp_body_framing_t framing;
-} answers[] = {
+} responses[] = {
   { "a length", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", false,
     CSP_HTTP_FINE, true, true, CSP_BODY_LENGTH },
   { "a length that isn't reached",
@@ -229,41 +233,44 @@
     CSP_HTTP_MALFORMED, false, false, CSP_BODY_NONE },
 };
 
-START_TEST (test_answers)
+START_TEST (test_responses)
 {
   outcome_t outcome
       = { .reader = csp_create_http_reader (CSP_HTTP_ANSWER, limits) };
 
-  csp_next_http_message (outcome.reader, limits, answers[_i].headless);
-  feed (&outcome, answers[_i].text, strlen (answers[_i].text));
-  ck_assert_msg (outcome.fault == answers[_i].fault, "%s", answers[_i].what);
-  ck_assert_msg (outcome.whole == answers[_i].whole, "%s", answers[_i].what);
+  csp_next_http_message (outcome.reader, limits, responses[_i].headless);
+  feed (&outcome, responses[_i].text, strlen (responses[_i].text));
+  ck_assert_msg (outcome.fault == responses[_i].fault, "%s",
+                 responses[_i].description);
+  ck_assert_msg (outcome.complete == responses[_i].complete, "%s",
+                 responses[_i].description);
   ck_assert_msg (csp_close_http (outcome.reader)
-                     == answers[_i].whole_when_closed,
-                 "%s", answers[_i].what);
-  if (answers[_i].fault == CSP_HTTP_FINE)
+                     == responses[_i].complete_when_closed,
+                 "%s", responses[_i].description);
+  if (responses[_i].fault == CSP_HTTP_FINE)
     ck_assert_int_eq (csp_http_head (outcome.reader)->framing,
-                      answers[_i].framing);
+                      responses[_i].framing);
   csp_destroy_http_reader (outcome.reader);
 }
 END_TEST
 
-/* Two requests that arrive together: the first one's end is found exactly, so
-   that the second is read from its first byte.  */
+/* Two pipelined requests: the end of the first is found exactly, so that the
+   second is read from its first byte.  */
 START_TEST (test_pipelined)
 {
   static const char text[]
       = HEAD "Content-Length: 2\r\n\r\nokGET /b HTTP/1.1\r\nHost: h\r\n\r\n";
-  outcome_t outcome = read_cut (CSP_HTTP_REQUEST, text, strlen (text));
+  outcome_t outcome
+      = read_in_two_pieces (CSP_HTTP_REQUEST, text, strlen (text));
   size_t first = outcome.used;
 
-  ck_assert (outcome.whole);
+  ck_assert (outcome.complete);
   ck_assert_mem_eq (text + first, "GET /b", 6);
   csp_next_http_message (outcome.reader, limits, false);
   ck_assert (!csp_http_began (outcome.reader));
-  outcome.whole = false;
+  outcome.complete = false;
   feed (&outcome, text + first, strlen (text) - first);
-  ck_assert (outcome.whole);
+  ck_assert (outcome.complete);
   ck_assert_str_eq (csp_http_head (outcome.reader)->target, "/b");
   csp_destroy_http_reader (outcome.reader);
 }
@@ -273,7 +280,8 @@
 {
   static const char text[] = HEAD "Connection: close, X-Mine\r\nX-Mine: 1\r\n"
                                   "X-Other: 2\r\n\r\n";
-  outcome_t outcome = read_cut (CSP_HTTP_REQUEST, text, strlen (text));
+  outcome_t outcome
+      = read_in_two_pieces (CSP_HTTP_REQUEST, text, strlen (text));
 
   ck_assert (csp_is_hop_field (outcome.head, "x-mine"));
   ck_assert (csp_is_hop_field (outcome.head, "transfer-encoding"));
@@ -288,7 +296,7 @@
 static const struct
 {
   const char *value;
-  bool readable;
+  bool valid;
   uint32_t time_ms;
 } seconds[] = {
   { "0", true, 0 },
@@ -317,7 +325,7 @@
   uint32_t time_ms = 0;
 
   ck_assert_msg (csp_read_http_seconds (seconds[_i].value, &time_ms)
-                     == seconds[_i].readable,
+                     == seconds[_i].valid,
                  "%s", seconds[_i].value);
   ck_assert_uint_eq (time_ms, seconds[_i].time_ms);
 }
@@ -331,8 +339,8 @@
 
   tcase_add_loop_test (cases, test_requests, 0,
                        sizeof requests / sizeof requests[0]);
-  tcase_add_loop_test (cases, test_answers, 0,
-                       sizeof answers / sizeof answers[0]);
+  tcase_add_loop_test (cases, test_responses, 0,
+                       sizeof responses / sizeof responses[0]);
   tcase_add_test (cases, test_pipelined);
   tcase_add_test (cases, test_hop_fields);
   tcase_add_loop_test (cases, test_seconds, 0,
