--- a/include/cowslipspoke/route.h
+++ b/include/cowslipspoke/route.h
@@ -7,18 +7,18 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* One version of what operators declare for forwarded requests: which service
-   a host name and path go to, which key belongs to which organisation, and
-   what callers may send.  It is built once, then read only; the traffic
-   thread counts who still uses it, so that a request keeps the version under
-   which it was let in.  */
+/* The routing table: one version of the operators' configuration for forwarded
+   requests.  It maps host name and path to services and keys to organisations,
+   and limits what callers may send.  It is read-only once it is built.  The
+   traffic thread counts references to it, so that a request keeps the version
+   under which it was admitted.  */
 
-/* What may be done twice.  */
+/* Whether a request may run twice, which decides about retries.  */
 typedef enum
 {
   CSP_ROUTE_IDEMPOTENT, /* may run more than once */
   CSP_ROUTE_ONCE,       /* may run at most once */
-  CSP_ROUTE_STREAM      /* as ONCE, and the answer is a stream of events */
+  CSP_ROUTE_STREAM      /* at most once; the response is an event stream */
 } csp_route_kind_t;
 
 enum
@@ -33,7 +33,7 @@
   uint32_t weight;
 } csp_route_share_t;
 
-/* Texts are copied by csp_add_route.  */
+/* A route.  csp_add_route copies the strings.  */
 typedef struct
 {
   const char *name;
@@ -41,7 +41,7 @@
   const char *prefix; /* begins and ends with a slash */
   csp_route_kind_t kind;
   uint32_t timeout_ms;
-  uint32_t objective_ms;
+  uint32_t objective_ms;   /* latency objective; 0: none */
   uint32_t longest_gap_ms; /* longest pause between two events of a stream */
   uint32_t attempts_max;
   uint32_t urgency; /* 0 is the most urgent */
@@ -50,17 +50,20 @@
   csp_route_share_t shares[CSP_ROUTE_SHARES_MAX];
 } csp_route_t;
 
-/* Model engines have memory and batches; plain services have not.  */
+/* A service: a model engine, which has KV memory and batches requests, or a
+   plain service, for which the fields on memory and copies are unused.  */
 typedef struct
 {
   const char *name;
   bool is_engine;
-  bool takes_backups; /* a run's memory can be copied as it grows */
-  bool moves_runs;    /* a run's memory can be copied on demand */
+  bool takes_backups; /* a stream's KV memory can be backed up as it grows */
+  bool moves_runs;    /* a stream's KV memory can be copied on demand */
   uint32_t memory_tokens;
-  double copy_ms_per_token; /* of a run's memory, within a data centre */
-  /* Behind its start, and behind a cordon, a target is cold for that long, and
-     stands so many requests a second meanwhile; 0: any.  */
+  /* The time to copy a stream's KV memory within a data centre.  */
+  double copy_ms_per_token;
+  /* A target is cold for cold_ms after its start and after a cordon is lifted.
+     While cold it can handle only cold_rate_per_s requests a second; 0: no
+     limit.  */
   uint32_t cold_ms;
   double cold_rate_per_s;
 } csp_route_service_t;
@@ -74,7 +77,8 @@
   uint32_t idle_timeout_ms;
 } csp_caller_limits_t;
 
-/* Whom a key belongs to.  urgency is -1 where the route's counts.  */
+/* An organisation, which owns keys.  With urgency -1 the route's urgency
+   applies.  */
 typedef struct
 {
   const char *name;
@@ -83,11 +87,13 @@
 
 typedef struct csp_routes csp_routes_t;
 
-/* An empty version.  NULL when memory fails.  */
+/* Create an empty version with one reference.  NULL when out of memory.  */
 csp_routes_t *csp_create_routes (uint64_t version, csp_caller_limits_t limits);
 
-/* Build; each false when memory fails.  A key that is added twice belongs to
-   the organisation that was added last.  */
+/* Add to a version that isn't sealed yet.  False when out of memory.  A key
+   belongs to the organisation that was added last before it, and is refused if
+   there is none.  A key that is added twice belongs to the later
+   organisation.  */
 bool csp_add_service (csp_routes_t *routes,
                       const csp_route_service_t *service);
 bool csp_add_route (csp_routes_t *routes, const csp_route_t *route);
@@ -95,36 +101,38 @@
                            int32_t urgency);
 bool csp_add_key (csp_routes_t *routes, const char *key);
 
-/* Sort for reading.  Nothing is added afterwards.  */
+/* Sort the tables for lookups.  Nothing may be added afterwards.  */
 void csp_seal_routes (csp_routes_t *routes);
 
-/* Count a further user, or one less; the last one frees it.  */
+/* Add or drop a reference; dropping the last one frees the version.  */
 csp_routes_t *csp_hold_routes (csp_routes_t *routes);
 void csp_release_routes (csp_routes_t *routes);
 
 uint64_t csp_routes_version (const csp_routes_t *routes);
 const csp_caller_limits_t *csp_routes_limits (const csp_routes_t *routes);
 
-/* Whether keys are asked for at all.  */
+/* Whether callers need keys: true if any organisation is declared.  */
 bool csp_routes_have_keys (const csp_routes_t *routes);
 
-/* The route of a host name, with or without a port, and the longest prefix
-   that begins the path; NULL where there is none.  */
+/* The route for a host name, with or without a port, that has the longest
+   matching prefix of the path; NULL if there is none.  */
 const csp_route_t *csp_match_route (const csp_routes_t *routes,
                                     const char *host, const char *path);
 
-/* NULL where no organisation holds the key.  */
+/* The organisation that owns a key; NULL if there is none.  */
 const csp_route_organisation_t *csp_find_key (const csp_routes_t *routes,
                                               const char *key);
+
+/* The service with this name; NULL if there is none.  */
 const csp_route_service_t *csp_get_route_service (const csp_routes_t *routes,
                                                   const char *name);
 
-/* The services one after another; NULL behind the last.  */
+/* The service at an index; NULL past the last one.  */
 const csp_route_service_t *csp_list_route_service (const csp_routes_t *routes,
                                                    size_t index);
 
-/* One of a route's services, drawn by weight; NULL where all weigh
-   nothing.  */
+/* Pick one of a route's services at random, in proportion to their weights;
+   NULL if all weights are 0.  */
 const char *csp_draw_service (const csp_route_t *route, csp_random_t *random);
 
 #endif
--- a/source/route/route.c
+++ b/source/route/route.c
@@ -4,20 +4,20 @@
 #include <string.h>
 #include <strings.h>
 
-/* Texts of one version live in blocks that go with it: hundreds of routes
-   would else be thousands of small allocations.  */
+/* The strings of a version are stored in blocks that are freed with it, since
+   hundreds of routes would otherwise need thousands of small allocations.  */
 enum
 {
   TEXT_BLOCK_BYTES = 16384
 };
 
-typedef struct text_block
+typedef struct string_block
 {
-  struct text_block *next;
+  struct string_block *next;
   size_t used_bytes;
-  size_t room_bytes;
+  size_t capacity_bytes;
   char bytes[];
-} text_block_t;
+} string_block_t;
 
 typedef struct
 {
@@ -25,24 +25,24 @@
   uint32_t organisation;
 } route_key_t;
 
-/* A growing array; item_bytes is that of one item.  */
+/* A growing array.  */
 typedef struct
 {
   void *items;
   size_t count;
-  size_t room;
-} items_t;
+  size_t capacity;
+} item_array_t;
 
 struct csp_routes
 {
   uint64_t version;
   csp_caller_limits_t limits;
-  uint32_t users;
-  text_block_t *texts;
-  items_t routes;
-  items_t services;
-  items_t organisations;
-  items_t keys;
+  uint32_t references;
+  string_block_t *strings;
+  item_array_t routes;
+  item_array_t services;
+  item_array_t organisations;
+  item_array_t keys;
 };
 
 csp_routes_t *
@@ -54,48 +54,48 @@
     return NULL;
   routes->version = version;
   routes->limits = limits;
-  routes->users = 1;
+  routes->references = 1;
   return routes;
 }
 
 static const char *
-keep_text (csp_routes_t *routes, const char *text)
+copy_string (csp_routes_t *routes, const char *text)
 {
   size_t size_bytes = strlen (text) + 1;
-  text_block_t *block = routes->texts;
-  char *kept;
+  string_block_t *block = routes->strings;
+  char *stored;
 
-  if (block == NULL || block->room_bytes - block->used_bytes < size_bytes)
+  if (block == NULL || block->capacity_bytes - block->used_bytes < size_bytes)
     {
-      size_t room_bytes
+      size_t capacity_bytes
           = size_bytes > TEXT_BLOCK_BYTES ? size_bytes : TEXT_BLOCK_BYTES;
 
-      block = malloc (sizeof *block + room_bytes);
+      block = malloc (sizeof *block + capacity_bytes);
       if (block == NULL)
         return NULL;
-      block->next = routes->texts;
+      block->next = routes->strings;
       block->used_bytes = 0;
-      block->room_bytes = room_bytes;
-      routes->texts = block;
+      block->capacity_bytes = capacity_bytes;
+      routes->strings = block;
     }
-  kept = block->bytes + block->used_bytes;
-  memcpy (kept, text, size_bytes);
+  stored = block->bytes + block->used_bytes;
+  memcpy (stored, text, size_bytes);
   block->used_bytes += size_bytes;
-  return kept;
+  return stored;
 }
 
 static void *
-add_item (items_t *items, size_t item_bytes)
+append_item (item_array_t *items, size_t item_bytes)
 {
-  if (items->count == items->room)
+  if (items->count == items->capacity)
     {
-      size_t room = items->room == 0 ? 8 : items->room * 2;
-      void *grown = realloc (items->items, room * item_bytes);
+      size_t capacity = items->capacity == 0 ? 8 : items->capacity * 2;
+      void *grown = realloc (items->items, capacity * item_bytes);
 
       if (grown == NULL)
         return NULL;
       items->items = grown;
-      items->room = room;
+      items->capacity = capacity;
     }
   return (char *)items->items + item_bytes * items->count++;
 }
@@ -103,33 +103,35 @@
 bool
 csp_add_service (csp_routes_t *routes, const csp_route_service_t *service)
 {
-  csp_route_service_t *kept = add_item (&routes->services, sizeof *kept);
+  csp_route_service_t *stored
+      = append_item (&routes->services, sizeof *stored);
 
-  if (kept == NULL)
+  if (stored == NULL)
     return false;
-  *kept = *service;
-  kept->name = keep_text (routes, service->name);
-  return kept->name != NULL;
+  *stored = *service;
+  stored->name = copy_string (routes, service->name);
+  return stored->name != NULL;
 }
 
 bool
 csp_add_route (csp_routes_t *routes, const csp_route_t *route)
 {
-  csp_route_t *kept = add_item (&routes->routes, sizeof *kept);
+  csp_route_t *stored = append_item (&routes->routes, sizeof *stored);
   size_t i;
 
-  if (kept == NULL)
+  if (stored == NULL)
     return false;
-  *kept = *route;
-  kept->name = keep_text (routes, route->name);
-  kept->host = keep_text (routes, route->host);
-  kept->prefix = keep_text (routes, route->prefix);
-  if (kept->name == NULL || kept->host == NULL || kept->prefix == NULL)
+  *stored = *route;
+  stored->name = copy_string (routes, route->name);
+  stored->host = copy_string (routes, route->host);
+  stored->prefix = copy_string (routes, route->prefix);
+  if (stored->name == NULL || stored->host == NULL || stored->prefix == NULL)
     return false;
   for (i = 0; i < route->share_count; i++)
     {
-      kept->shares[i].service = keep_text (routes, route->shares[i].service);
-      if (kept->shares[i].service == NULL)
+      stored->shares[i].service
+          = copy_string (routes, route->shares[i].service);
+      if (stored->shares[i].service == NULL)
         return false;
     }
   return true;
@@ -138,32 +140,33 @@
 bool
 csp_add_organisation (csp_routes_t *routes, const char *name, int32_t urgency)
 {
-  csp_route_organisation_t *kept
-      = add_item (&routes->organisations, sizeof *kept);
+  csp_route_organisation_t *stored
+      = append_item (&routes->organisations, sizeof *stored);
 
-  if (kept == NULL)
+  if (stored == NULL)
     return false;
-  kept->name = keep_text (routes, name);
-  kept->urgency = urgency;
-  return kept->name != NULL;
+  stored->name = copy_string (routes, name);
+  stored->urgency = urgency;
+  return stored->name != NULL;
 }
 
 bool
 csp_add_key (csp_routes_t *routes, const char *key)
 {
-  route_key_t *kept;
+  route_key_t *stored;
 
   if (routes->organisations.count == 0)
     return false;
-  kept = add_item (&routes->keys, sizeof *kept);
-  if (kept == NULL)
+  stored = append_item (&routes->keys, sizeof *stored);
+  if (stored == NULL)
     return false;
-  kept->key = keep_text (routes, key);
-  kept->organisation = (uint32_t)routes->organisations.count - 1;
-  return kept->key != NULL;
+  stored->key = copy_string (routes, key);
+  stored->organisation = (uint32_t)routes->organisations.count - 1;
+  return stored->key != NULL;
 }
 
-/* By host, and the longest prefix first.  */
+/* Orders routes by host, then by length of prefix, longest first, so that the
+   first match has the longest prefix.  */
 static int
 compare_routes (const void *left, const void *right)
 {
@@ -205,21 +208,21 @@
 csp_routes_t *
 csp_hold_routes (csp_routes_t *routes)
 {
-  routes->users++;
+  routes->references++;
   return routes;
 }
 
 void
 csp_release_routes (csp_routes_t *routes)
 {
-  if (routes == NULL || --routes->users > 0)
+  if (routes == NULL || --routes->references > 0)
     return;
-  while (routes->texts != NULL)
+  while (routes->strings != NULL)
     {
-      text_block_t *next = routes->texts->next;
+      string_block_t *next = routes->strings->next;
 
-      free (routes->texts);
-      routes->texts = next;
+      free (routes->strings);
+      routes->strings = next;
     }
   free (routes->routes.items);
   free (routes->services.items);
@@ -247,7 +250,7 @@
 }
 
 static bool
-is_host (const char *declared, const char *host)
+host_matches (const char *declared, const char *host)
 {
   size_t size_bytes = strlen (declared);
 
@@ -263,7 +266,7 @@
   const csp_route_t *end = route + routes->routes.count;
 
   for (; route < end; route++)
-    if (is_host (route->host, host)
+    if (host_matches (route->host, host)
         && strncmp (path, route->prefix, strlen (route->prefix)) == 0)
       return route;
   return NULL;
@@ -315,15 +318,15 @@
 csp_draw_service (const csp_route_t *route, csp_random_t *random)
 {
   uint32_t total = 0;
-  uint32_t drawn;
+  uint32_t offset;
   size_t i;
 
   for (i = 0; i < route->share_count; i++)
     total += route->shares[i].weight;
   if (total == 0)
     return NULL;
-  drawn = csp_random_below (random, total);
-  for (i = 0; drawn >= route->shares[i].weight; i++)
-    drawn -= route->shares[i].weight;
+  offset = csp_random_below (random, total);
+  for (i = 0; offset >= route->shares[i].weight; i++)
+    offset -= route->shares[i].weight;
   return route->shares[i].service;
 }
--- a/tests/route/route-test.c
+++ b/tests/route/route-test.c
@@ -9,7 +9,7 @@
 static csp_routes_t *routes;
 
 static void
-add (const char *name, const char *host, const char *prefix)
+add_test_route (const char *name, const char *host, const char *prefix)
 {
   csp_route_t route = { .name = name,
                         .host = host,
@@ -26,10 +26,10 @@
   csp_caller_limits_t limits = { 1, 2, 3, 4 };
 
   routes = csp_create_routes (7, limits);
-  add ("all", "a.example", "/");
-  add ("long", "a.example", "/x/y/");
-  add ("short", "a.example", "/x/");
-  add ("other", "b.example", "/x/");
+  add_test_route ("all", "a.example", "/");
+  add_test_route ("long", "a.example", "/x/y/");
+  add_test_route ("short", "a.example", "/x/");
+  add_test_route ("other", "b.example", "/x/");
   ck_assert (csp_add_organisation (routes, "org-a", -1));
   ck_assert (csp_add_key (routes, "k2"));
   ck_assert (csp_add_key (routes, "k1"));
@@ -62,7 +62,7 @@
   { "", "/", NULL },
 };
 
-START_TEST (the_longest_prefix_of_the_host_decides)
+START_TEST (longest_matching_prefix_of_the_host_wins)
 {
   const csp_route_t *route
       = csp_match_route (routes, matches[_i].host, matches[_i].path);
@@ -81,7 +81,7 @@
 } keys[] = { { "k0", "org-b" }, { "k1", "org-b" }, { "k2", "org-a" },
              { "k3", NULL },    { "", NULL },      { "k", NULL } };
 
-START_TEST (a_key_belongs_to_one_organisation)
+START_TEST (key_lookup_returns_the_last_owner)
 {
   const csp_route_organisation_t *organisation
       = csp_find_key (routes, keys[_i].key);
@@ -93,7 +93,7 @@
 }
 END_TEST
 
-START_TEST (services_are_drawn_by_weight)
+START_TEST (services_are_picked_by_weight)
 {
   const csp_route_t *route = csp_match_route (routes, "b.example", "/x/");
   csp_random_t random;
@@ -108,13 +108,13 @@
 }
 END_TEST
 
-START_TEST (a_version_lives_while_it_is_used)
+START_TEST (retained_version_outlives_a_release)
 {
-  csp_routes_t *held = csp_hold_routes (routes);
+  csp_routes_t *retained = csp_hold_routes (routes);
 
   csp_release_routes (routes);
-  ck_assert_uint_eq (csp_routes_version (held), 7);
-  ck_assert_uint_eq (csp_routes_limits (held)->idle_timeout_ms, 4);
+  ck_assert_uint_eq (csp_routes_version (retained), 7);
+  ck_assert_uint_eq (csp_routes_limits (retained)->idle_timeout_ms, 4);
 }
 END_TEST
 
@@ -125,12 +125,12 @@
   TCase *tcase = tcase_create ("route");
 
   tcase_add_checked_fixture (tcase, set_up, tear_down);
-  tcase_add_loop_test (tcase, the_longest_prefix_of_the_host_decides, 0,
+  tcase_add_loop_test (tcase, longest_matching_prefix_of_the_host_wins, 0,
                        sizeof matches / sizeof matches[0]);
-  tcase_add_loop_test (tcase, a_key_belongs_to_one_organisation, 0,
+  tcase_add_loop_test (tcase, key_lookup_returns_the_last_owner, 0,
                        sizeof keys / sizeof keys[0]);
-  tcase_add_test (tcase, services_are_drawn_by_weight);
-  tcase_add_test (tcase, a_version_lives_while_it_is_used);
+  tcase_add_test (tcase, services_are_picked_by_weight);
+  tcase_add_test (tcase, retained_version_outlives_a_release);
   suite_add_tcase (suite, tcase);
   return run_suite (suite);
 }
