--- a/source/page/page.c
+++ b/source/page/page.c
@@ -9,8 +9,9 @@
 enum
 {
   HEAD_MAX_BYTES = 8192,
-  /* Askers come again within seconds.  */
-  IDLE_MS = 15000,
+  /* Clients send their next request within seconds; a connection without input
+     for this long is closed.  */
+  IDLE_TIMEOUT_MS = 15000,
   BACKLOG = 64
 };
 
@@ -23,7 +24,7 @@
   csp_page_t *next;
   csp_page_t *previous;
   csp_http_reader_t *reader;
-  bool held;
+  bool awaiting_answer;
   bool closed;
 };
 
@@ -33,162 +34,165 @@
   uv_loop_t *loop;
   const csp_page_events_t *events;
   void *state;
-  csp_page_t *pages;
+  csp_page_t *connections;
 };
 
-static const csp_http_limits_t page_limits
+static const csp_http_limits_t request_limits
     = { .head_max_bytes = HEAD_MAX_BYTES, .body_max_bytes = 0 };
 
 static void
-free_closed (uv_handle_t *handle)
+on_handle_closed (uv_handle_t *handle)
 {
-  csp_page_t *page = handle->data;
+  csp_page_t *connection = handle->data;
 
-  if (--page->open_handles > 0)
+  if (--connection->open_handles > 0)
     return;
-  csp_destroy_http_reader (page->reader);
-  free (page);
+  csp_destroy_http_reader (connection->reader);
+  free (connection);
 }
 
 static void
-close_page (csp_page_t *page)
+close_connection (csp_page_t *connection)
 {
-  const csp_page_server_t *server = page->server;
+  const csp_page_server_t *server = connection->server;
 
-  if (page->closed)
+  if (connection->closed)
     return;
-  page->closed = true;
-  if (page->previous != NULL)
-    page->previous->next = page->next;
+  connection->closed = true;
+  if (connection->previous != NULL)
+    connection->previous->next = connection->next;
   else
-    page->server->pages = page->next;
-  if (page->next != NULL)
-    page->next->previous = page->previous;
-  uv_close ((uv_handle_t *)&page->tcp, free_closed);
-  uv_close ((uv_handle_t *)&page->timer, free_closed);
-  if (page->held && server->events->left != NULL)
-    server->events->left (server->state, page);
+    connection->server->connections = connection->next;
+  if (connection->next != NULL)
+    connection->next->previous = connection->previous;
+  uv_close ((uv_handle_t *)&connection->tcp, on_handle_closed);
+  uv_close ((uv_handle_t *)&connection->timer, on_handle_closed);
+  if (connection->awaiting_answer && server->events->left != NULL)
+    server->events->left (server->state, connection);
 }
 
 static void
-on_idle (uv_timer_t *timer)
+on_idle_timeout (uv_timer_t *timer)
 {
-  close_page (timer->data);
+  close_connection (timer->data);
 }
 
 void
-csp_answer_page (csp_page_t *page, uint16_t status, const char *type,
+csp_answer_page (csp_page_t *connection, uint16_t status, const char *type,
                  const void *body, size_t size_bytes)
 {
-  const csp_http_head_t *head = csp_http_head (page->reader);
-  bool keep = head->keep_alive;
+  const csp_http_head_t *head = csp_http_head (connection->reader);
+  bool keep_alive = head->keep_alive;
   csp_buffer_t answer = { 0 };
 
-  page->held = false;
+  connection->awaiting_answer = false;
   csp_print_buffer (&answer,
                     "HTTP/1.1 %u %s\r\nContent-Type: %s\r\n"
                     "Content-Length: %zu\r\n%s\r\n",
                     status, csp_http_status_words (status), type, size_bytes,
-                    keep ? "" : "Connection: close\r\n");
+                    keep_alive ? "" : "Connection: close\r\n");
   if (strcmp (head->method, "HEAD") != 0)
     csp_append_buffer (&answer, body, size_bytes);
-  csp_next_http_message (page->reader, page_limits, false);
-  if (!csp_write_stream ((uv_stream_t *)&page->tcp, answer.data,
+  csp_next_http_message (connection->reader, request_limits, false);
+  if (!csp_write_stream ((uv_stream_t *)&connection->tcp, answer.data,
                          answer.size_bytes, NULL, NULL)
-      || !keep)
-    close_page (page);
+      || !keep_alive)
+    close_connection (connection);
   csp_clear_buffer (&answer);
 }
 
-/* Read questions; one that is held keeps the next ones waiting, and askers
-   don't send any.  */
+/* Read requests.  Clients don't pipeline: input while a request is still
+   unanswered closes the connection.  */
 static void
-read_questions (csp_page_t *page, const char *data, size_t left_bytes)
+read_requests (csp_page_t *connection, const char *data, size_t left_bytes)
 {
-  while (left_bytes > 0 && !page->closed)
+  while (left_bytes > 0 && !connection->closed)
     {
       const char *piece;
       size_t piece_bytes;
       size_t used;
       csp_http_step_t step;
 
-      if (page->held)
+      if (connection->awaiting_answer)
         {
-          close_page (page);
+          close_connection (connection);
           return;
         }
-      step = csp_read_http (page->reader, data, left_bytes, &used, &piece,
-                            &piece_bytes);
+      step = csp_read_http (connection->reader, data, left_bytes, &used,
+                            &piece, &piece_bytes);
       data += used;
       left_bytes -= used;
       if (step == CSP_HTTP_MORE)
         return;
       if (step != CSP_HTTP_HEAD
-          || csp_http_head (page->reader)->framing != CSP_BODY_NONE)
+          || csp_http_head (connection->reader)->framing != CSP_BODY_NONE)
         {
-          close_page (page);
+          close_connection (connection);
           return;
         }
-      page->held = true;
-      page->server->events->asked (page->server->state, page,
-                                   csp_http_head (page->reader));
+      connection->awaiting_answer = true;
+      connection->server->events->asked (connection->server->state, connection,
+                                         csp_http_head (connection->reader));
     }
 }
 
 static void
-on_read (uv_stream_t *stream, ssize_t size_bytes, const uv_buf_t *room)
+on_read (uv_stream_t *stream, ssize_t size_bytes, const uv_buf_t *buffer)
 {
-  csp_page_t *page = stream->data;
+  csp_page_t *connection = stream->data;
 
   if (size_bytes < 0)
     {
-      close_page (page);
+      close_connection (connection);
       return;
     }
-  if (page->closed)
+  if (connection->closed)
     return;
-  uv_timer_start (&page->timer, on_idle, IDLE_MS, 0);
-  read_questions (page, room->base, (size_t)size_bytes);
+  uv_timer_start (&connection->timer, on_idle_timeout, IDLE_TIMEOUT_MS, 0);
+  read_requests (connection, buffer->base, (size_t)size_bytes);
 }
 
 static void
 on_connection (uv_stream_t *listener, int status)
 {
   csp_page_server_t *server = listener->data;
-  csp_page_t *page;
+  csp_page_t *connection;
 
   if (status != 0)
     return;
-  page = calloc (1, sizeof *page);
-  if (page == NULL)
+  connection = calloc (1, sizeof *connection);
+  if (connection == NULL)
     return;
-  page->reader = csp_create_http_reader (CSP_HTTP_REQUEST, page_limits);
-  if (page->reader == NULL || uv_tcp_init (server->loop, &page->tcp) != 0)
+  connection->reader
+      = csp_create_http_reader (CSP_HTTP_REQUEST, request_limits);
+  if (connection->reader == NULL
+      || uv_tcp_init (server->loop, &connection->tcp) != 0)
     {
-      csp_destroy_http_reader (page->reader);
-      free (page);
+      csp_destroy_http_reader (connection->reader);
+      free (connection);
       return;
     }
-  uv_timer_init (server->loop, &page->timer);
-  page->open_handles = 2;
-  page->tcp.data = page;
-  page->timer.data = page;
-  page->server = server;
-  page->next = server->pages;
-  if (page->next != NULL)
-    page->next->previous = page;
-  server->pages = page;
-  if (uv_accept (listener, (uv_stream_t *)&page->tcp) != 0)
+  uv_timer_init (server->loop, &connection->timer);
+  connection->open_handles = 2;
+  connection->tcp.data = connection;
+  connection->timer.data = connection;
+  connection->server = server;
+  connection->next = server->connections;
+  if (connection->next != NULL)
+    connection->next->previous = connection;
+  server->connections = connection;
+  if (uv_accept (listener, (uv_stream_t *)&connection->tcp) != 0)
     {
-      close_page (page);
+      close_connection (connection);
       return;
     }
-  uv_timer_start (&page->timer, on_idle, IDLE_MS, 0);
-  uv_read_start ((uv_stream_t *)&page->tcp, csp_share_read_room, on_read);
+  uv_timer_start (&connection->timer, on_idle_timeout, IDLE_TIMEOUT_MS, 0);
+  uv_read_start ((uv_stream_t *)&connection->tcp, csp_share_read_room,
+                 on_read);
 }
 
 static void
-free_server (uv_handle_t *handle)
+on_listener_closed (uv_handle_t *handle)
 {
   free (handle->data);
 }
@@ -214,7 +218,7 @@
         = uv_listen ((uv_stream_t *)&server->listener, BACKLOG, on_connection);
   if (*fault == 0)
     return server;
-  uv_close ((uv_handle_t *)&server->listener, free_server);
+  uv_close ((uv_handle_t *)&server->listener, on_listener_closed);
   return NULL;
 }
 
@@ -223,9 +227,9 @@
 {
   if (server == NULL)
     return;
-  while (server->pages != NULL)
-    close_page (server->pages);
-  uv_close ((uv_handle_t *)&server->listener, free_server);
+  while (server->connections != NULL)
+    close_connection (server->connections);
+  uv_close ((uv_handle_t *)&server->listener, on_listener_closed);
 }
 
 uint16_t
