--- a/include/cowslipspoke/pack.h
+++ b/include/cowslipspoke/pack.h
@@ -6,25 +6,26 @@
 #include <stdbool.h>
 #include <stddef.h>
 
-/* Texts that go to many hosts, in fewer bytes.
+/* Compression of lists that are sent to many hosts.
 
-   Load pattern: 3,000 targets that come and go, and hosts that each hold the
-   list of all of them.  A row is 250 bytes, nine tenths of which stand in each
-   other row too; the first host of a data centre sends its changes to all
-   others there, 2.7 MB a second, and a host that starts on a link of 10 Mbit/s
-   waits for 1.2 s until it knows whom it may send to.  One notices hosts that
-   are late with everything else as soon as targets change in number.  */
+   Load pattern: each host holds the list of all 3,000 targets, which start
+   and stop often.  A row is 250 bytes, nine tenths of which are the same in
+   every row. Uncompressed, the first host of a data centre sends 2.7 MB of
+   changes a second to the others there, and a host that starts on a link of 10
+   Mbit/s waits 1.2 s for the list before it can send requests.  The symptom is
+   hosts whose other work is late whenever many targets change.  */
 
-/* The content type of what is packed.  */
+/* The content type of compressed data.  */
 extern const char csp_packed_type[];
 
-/* Append what the bytes pack into; false when memory fails.  */
+/* Compress bytes and append the result to packed.  False when out of
+   memory.  */
 bool csp_pack_bytes (const void *bytes, size_t size_bytes,
                      csp_buffer_t *packed);
 
-/* Append what was packed; false where the bytes are none that were, would
-   exceed a bound, or memory fails.  */
-bool csp_unpack_bytes (const void *packed, size_t size_bytes,
-                       size_t most_bytes, csp_buffer_t *bytes);
+/* Decompress packed and append the result to bytes.  False if the input is
+   invalid, the result exceeds max_bytes, or memory runs out.  */
+bool csp_unpack_bytes (const void *packed, size_t size_bytes, size_t max_bytes,
+                       csp_buffer_t *bytes);
 
 #endif
--- a/source/pack/pack.c
+++ b/source/pack/pack.c
@@ -7,42 +7,44 @@
 
 enum
 {
-  PIECE_BYTES = 16384,
-  /* The quickest level: rows repeat each other, and hosts are a tenth of a
-     core.  */
-  LEVEL = 1,
-  /* 128 kB of state in place of 256; more finds nothing further in rows of 250
-     bytes.  */
+  OUTPUT_CHUNK_BYTES = 16384,
+  /* The fastest level: rows are so alike that it is enough, and a host has
+     only a tenth of a core.  */
+  COMPRESSION_LEVEL = 1,
+  /* 128 kB of compressor state instead of zlib's default 256 kB.  With rows of
+     250 bytes a larger window finds no further matches.  */
   WINDOW_BITS = 14,
   MEMORY_LEVEL = 7
 };
 
-typedef int (*step_t) (z_stream *stream, int flush);
+typedef int (*zlib_step_t) (z_stream *stream, int flush);
 
-/* Run a stream to its end.  */
+/* Run a zlib stream to its end and append its output to out.  False if the
+   output exceeds max_bytes, the input is invalid, or memory runs out.  */
 static bool
-run_stream (z_stream *stream, step_t step, size_t most_bytes,
-            csp_buffer_t *out)
+run_zlib_stream (z_stream *stream, zlib_step_t step, size_t max_bytes,
+                 csp_buffer_t *out)
 {
-  unsigned char piece[PIECE_BYTES];
+  unsigned char chunk[OUTPUT_CHUNK_BYTES];
   size_t written_bytes = 0;
   int result;
 
   do
     {
-      size_t got_bytes;
+      size_t chunk_bytes;
 
-      stream->next_out = piece;
-      stream->avail_out = sizeof piece;
+      stream->next_out = chunk;
+      stream->avail_out = sizeof chunk;
       result = step (stream, Z_FINISH);
-      got_bytes = sizeof piece - stream->avail_out;
-      written_bytes += got_bytes;
-      if (written_bytes > most_bytes
-          || !csp_append_buffer (out, piece, got_bytes))
+      chunk_bytes = sizeof chunk - stream->avail_out;
+      written_bytes += chunk_bytes;
+      if (written_bytes > max_bytes
+          || !csp_append_buffer (out, chunk, chunk_bytes))
         return false;
     }
-  /* Full output shows as Z_OK or Z_BUF_ERROR; input that is cut off too, and
-     then nothing more is written.  */
+  /* Z_OK and Z_BUF_ERROR are returned when the output buffer is full, and also
+     when the input is truncated.  Truncated input in the end leaves the buffer
+     partly empty, which ends the loop.  */
   while (result != Z_STREAM_END && stream->avail_out == 0);
   return result == Z_STREAM_END && stream->avail_in == 0;
 }
@@ -52,28 +54,28 @@
 {
   z_stream stream
       = { .next_in = (unsigned char *)bytes, .avail_in = (uInt)size_bytes };
-  bool good;
+  bool complete;
 
-  if (deflateInit2 (&stream, LEVEL, Z_DEFLATED, WINDOW_BITS, MEMORY_LEVEL,
-                    Z_DEFAULT_STRATEGY)
+  if (deflateInit2 (&stream, COMPRESSION_LEVEL, Z_DEFLATED, WINDOW_BITS,
+                    MEMORY_LEVEL, Z_DEFAULT_STRATEGY)
       != Z_OK)
     return false;
-  good = run_stream (&stream, deflate, SIZE_MAX, packed);
+  complete = run_zlib_stream (&stream, deflate, SIZE_MAX, packed);
   deflateEnd (&stream);
-  return good;
+  return complete;
 }
 
 bool
-csp_unpack_bytes (const void *packed, size_t size_bytes, size_t most_bytes,
+csp_unpack_bytes (const void *packed, size_t size_bytes, size_t max_bytes,
                   csp_buffer_t *bytes)
 {
   z_stream stream
       = { .next_in = (unsigned char *)packed, .avail_in = (uInt)size_bytes };
-  bool good;
+  bool complete;
 
   if (inflateInit (&stream) != Z_OK)
     return false;
-  good = run_stream (&stream, inflate, most_bytes, bytes);
+  complete = run_zlib_stream (&stream, inflate, max_bytes, bytes);
   inflateEnd (&stream);
-  return good;
+  return complete;
 }
