--- a/include/cowslipspoke/request.h
+++ b/include/cowslipspoke/request.h
@@ -7,7 +7,8 @@
 
 #include "cowslipspoke/verdict.h"
 
-/* A caller's request for a generation, read from the usual API.  */
+/* A caller's request for a generation, parsed from the body of a completions
+   or chat completions call.  */
 
 enum
 {
@@ -23,8 +24,8 @@
 
 typedef struct csp_request csp_request_t;
 
-/* What the header fields of a request say; texts are NULL where the field is
-   missing and belong to the caller.  */
+/* The raw header fields of a request; NULL where a field is missing.  The
+   strings belong to the caller.  */
 typedef struct
 {
   const char *idempotency_key;
@@ -34,8 +35,8 @@
   const char *class_name;
 } csp_request_marks_t;
 
-/* The marks of a request, read and checked.  Texts are empty where the caller
-   said nothing; deadline_ms is 0 and attempt is 0 then.  */
+/* The options from the header fields of a request, parsed and validated.  A
+   missing field leaves an empty string, 0 or false.  */
 typedef struct
 {
   char idempotency_key[CSP_REQUEST_KEY_BYTES];
@@ -45,37 +46,41 @@
   uint32_t deadline_ms;
 } csp_marks_t;
 
-/* Read the marks.  0, or -1 with an error that names the field.  */
-int csp_read_marks (const csp_request_marks_t *fields, csp_marks_t *marks,
+/* Parses the header fields.  Returns 0, or -1 with an error that names the
+   invalid field.  */
+int csp_read_marks (const csp_request_marks_t *fields, csp_marks_t *options,
                     csp_error_t *error);
 
-/* Read a body.  NULL with an error that says what is wrong with it.  */
+/* Parses a request body.  Returns NULL with an error that says what is wrong
+   with the body.  */
 csp_request_t *csp_parse_request (csp_api_t api, const char *body,
                                   size_t size_bytes, csp_error_t *error);
 
-/* Free a request; NULL is allowed.  */
+/* Frees a request; NULL is allowed.  */
 void csp_destroy_request (csp_request_t *request);
 
-/* What the caller asked for.  The model's name belongs to the request.  */
+/* The API, the model and whether the caller wants a stream.  The model's name
+   belongs to the request.  */
 csp_api_t csp_request_api (const csp_request_t *request);
 const char *csp_request_model (const csp_request_t *request);
 bool csp_request_streams (const csp_request_t *request);
 
-/* Tokens of the prompt, guessed from its bytes.  */
+/* Returns the number of prompt tokens, estimated from its size in bytes.  */
 uint32_t csp_request_prompt_tokens (const csp_request_t *request);
 
-/* The beginning of the prompt, for engines that keep what they computed of
-   it: a hash, never 0, and about how many tokens it has; 0 and 0 where the
-   prompt is too short to matter.  */
+/* Hashes the beginning of the prompt, for placement on an engine that has it
+   in its prefix cache.  Returns a hash other than 0 and the prefix's
+   approximate number of tokens; 0 and 0 where the prompt is too short.  */
 void csp_request_prefix (const csp_request_t *request, uint64_t *hash,
                          uint32_t *tokens);
 
-/* The caller's bound on the answer; 0 where there is none.  */
+/* Returns the caller's max_tokens; 0 where there is none.  */
 uint32_t csp_request_max_tokens (const csp_request_t *request);
 
-/* The body for an engine: the caller's, streamed, with the engine's name for
-   the model and a bound on the answer where max_tokens is not 0.  The text
-   belongs to the request and lives until the next call.  */
+/* Builds the body for an engine from the caller's: with the given model name,
+   streaming on, and max_tokens where it is not 0.  The text belongs to the
+   request and is valid until the next call.  Returns NULL when out of
+   memory.  */
 const char *csp_request_engine_body (csp_request_t *request, const char *model,
                                      uint32_t max_tokens);
 
--- a/source/entry/answer.c
+++ b/source/entry/answer.c
@@ -57,45 +57,47 @@
   mg_write (exchange->connection, json, strlen (json));
 }
 
-/* Whether an earlier copy of this request may have run: it has a key, must not
-   run twice, and no host was asked about it yet.  */
+/* Whether an earlier attempt of this request may have run: the request has an
+   idempotency key and must not run twice, and its key is not claimed yet.  */
 static bool
-may_be_repeat (const csp_exchange_t *exchange)
+may_have_run_before (const csp_exchange_t *exchange)
 {
   const char *method;
   const char *path;
 
-  if (exchange->marks.idempotency_key[0] == '\0' || exchange->claim != 0)
+  if (exchange->options.idempotency_key[0] == '\0' || exchange->claim != 0)
     return false;
   method = exchange->info->request_method;
   path = exchange->info->local_uri;
-  return exchange->marks.non_idempotent
+  return exchange->options.non_idempotent
          || (strcmp (path, "/v1/completions") != 0
              && strcmp (path, "/v1/chat/completions") != 0
              && strcmp (method, "GET") != 0 && strcmp (method, "HEAD") != 0
              && strcmp (method, "PUT") != 0 && strcmp (method, "DELETE") != 0);
 }
 
-/* A host that turns a keyed call away before asking anybody knows nothing of
-   its earlier copies; "not run" from it would be believed by a caller whose
-   first attempt did run.  */
+/* Replaces "not run" by "may have run" where an earlier attempt may have run.
+   A host that rejects a keyed call before claiming its key doesn't know
+   about earlier attempts; a caller whose first attempt did run would take
+   "not run" as final.  */
 static csp_error_t
-qualify_error (const csp_exchange_t *exchange, const csp_error_t *error)
+adjust_verdict (const csp_exchange_t *exchange, const csp_error_t *error)
 {
-  csp_error_t qualified = *error;
+  csp_error_t adjusted = *error;
 
   if (error->verdict != CSP_VERDICT_NOT_RUN
       || error->reason == CSP_REASON_BAD_REQUEST
-      || error->reason == CSP_REASON_UNKNOWN_KEY || !may_be_repeat (exchange))
-    return qualified;
-  qualified.verdict = CSP_VERDICT_MAY_HAVE_RUN;
-  if (qualified.retry_after_ms == 0)
-    qualified.retry_after_ms = MS_PER_S;
-  return qualified;
+      || error->reason == CSP_REASON_UNKNOWN_KEY
+      || !may_have_run_before (exchange))
+    return adjusted;
+  adjusted.verdict = CSP_VERDICT_MAY_HAVE_RUN;
+  if (adjusted.retry_after_ms == 0)
+    adjusted.retry_after_ms = MS_PER_S;
+  return adjusted;
 }
 
 void
-csp_name_exchange (csp_exchange_t *exchange)
+csp_assign_request_id (csp_exchange_t *exchange)
 {
   csp_entry_t *entry = exchange->entry;
   uint64_t number = atomic_fetch_add (&entry->next_request, 1);
@@ -108,34 +110,34 @@
 void
 csp_answer_error (csp_exchange_t *exchange, const csp_error_t *error)
 {
-  csp_error_t told = qualify_error (exchange, error);
-  uint16_t status = csp_reason_status (told.reason);
-  char *json = csp_render_error (exchange->id, &told);
+  csp_error_t adjusted_error = adjust_verdict (exchange, error);
+  uint16_t status = csp_reason_status (adjusted_error.reason);
+  char *json = csp_render_error (exchange->id, &adjusted_error);
   char retry[64] = "";
 
-  if (told.retry_after_ms != 0)
+  if (adjusted_error.retry_after_ms != 0)
     snprintf (retry, sizeof retry, "Retry-After: %u\r\n",
-              (told.retry_after_ms + MS_PER_S - 1) / MS_PER_S);
+              (adjusted_error.retry_after_ms + MS_PER_S - 1) / MS_PER_S);
   mg_printf (exchange->connection,
              "HTTP/1.1 %u %s\r\nContent-Type: application/json\r\n"
              "Content-Length: %zu\r\nX-Request-Id: %s\r\nX-Verdict: %s\r\n%s"
              "Cache-Control: no-store\r\nConnection: close\r\n\r\n",
              status, mg_get_response_code_text (exchange->connection, status),
              json == NULL ? 0 : strlen (json), exchange->id,
-             csp_verdict_name (told.verdict), retry);
+             csp_verdict_name (adjusted_error.verdict), retry);
   if (json != NULL)
     mg_write (exchange->connection, json, strlen (json));
   free (json);
   csp_count_end (exchange->entry->context->metrics, exchange->labels,
-                 told.reason, told.verdict);
+                 adjusted_error.reason, adjusted_error.verdict);
   CSP_LOG (exchange->entry->context->log, CSP_EVENT_REQUEST_REFUSED,
            exchange->id,
            csp_text ("organisation", exchange->organisation == NULL
                                          ? NULL
                                          : exchange->organisation->name),
-           csp_text ("reason", csp_reason_code (told.reason)),
-           csp_text ("verdict", csp_verdict_name (told.verdict)),
-           csp_text ("detail", told.detail));
+           csp_text ("reason", csp_reason_code (adjusted_error.reason)),
+           csp_text ("verdict", csp_verdict_name (adjusted_error.verdict)),
+           csp_text ("detail", adjusted_error.detail));
 }
 
 int
@@ -153,7 +155,7 @@
                  too_large ? CSP_REASON_TOO_LARGE : CSP_REASON_BAD_REQUEST, 0,
                  too_large ? "the head of the request is too large"
                            : "the request can't be read as HTTP/1.1");
-  csp_name_exchange (&exchange);
+  csp_assign_request_id (&exchange);
   exchange.labels = csp_get_labels (entry->context->metrics, NULL, NULL);
   csp_answer_error (&exchange, &error);
   return 0;
@@ -172,25 +174,28 @@
   return sent > 0 ? 0 : -1;
 }
 
-/* A whole HTTP chunk in one write: with Nagle's algorithm off each write is a
-   packet, and three packets a token cost more than the token.  */
+/* Sends a whole HTTP chunk in one write.  With Nagle's algorithm off each
+   write is a packet, and three packets for each token cost more than the
+   token itself.  */
 static int
 send_chunk (csp_exchange_t *exchange, const char *before, const char *data,
             const char *after)
 {
-  size_t body_bytes = strlen (before) + strlen (data) + strlen (after);
-  size_t room_bytes = body_bytes + HEADER_BYTES;
-  char stack[HEADER_BYTES * 2];
-  char *frame = room_bytes <= sizeof stack ? stack : malloc (room_bytes);
+  size_t chunk_bytes = strlen (before) + strlen (data) + strlen (after);
+  size_t frame_capacity_bytes = chunk_bytes + HEADER_BYTES;
+  char stack_buffer[HEADER_BYTES * 2];
+  char *frame = frame_capacity_bytes <= sizeof stack_buffer
+                    ? stack_buffer
+                    : malloc (frame_capacity_bytes);
   int frame_bytes;
   int sent;
 
   if (frame == NULL)
     return -1;
-  frame_bytes = snprintf (frame, room_bytes, "%zx\r\n%s%s%s\r\n", body_bytes,
-                          before, data, after);
+  frame_bytes = snprintf (frame, frame_capacity_bytes, "%zx\r\n%s%s%s\r\n",
+                          chunk_bytes, before, data, after);
   sent = mg_write (exchange->connection, frame, (size_t)frame_bytes);
-  if (frame != stack)
+  if (frame != stack_buffer)
     free (frame);
   return sent == frame_bytes ? 0 : -1;
 }
--- a/source/entry/call.c
+++ b/source/entry/call.c
@@ -12,7 +12,7 @@
   PATH_BYTES = 900
 };
 
-/* A call of a plain service on its way.  */
+/* The state of one call of a plain service while it is served.  */
 typedef struct
 {
   csp_exchange_t *exchange;
@@ -22,16 +22,16 @@
   csp_attempt_t attempt;
   csp_service_answer_t answer;
   char path[PATH_BYTES];
-  bool lost_place; /* the grant had run out before a byte left */
-} call_t;
+  bool grant_lost; /* no longer valid when the request was to be sent */
+} service_call_t;
 
 static csp_link_end_t
-check_call (void *state)
+check_waiting_call (void *state)
 {
-  const call_t *call = state;
+  const service_call_t *call = state;
   csp_entry_t *entry = call->exchange->entry;
 
-  if (atomic_load (&entry->stopping))
+  if (atomic_load (&entry->aborting_open))
     return CSP_LINK_STOPPED;
   if (csp_now_ms (&entry->context->clock) >= call->exchange->deadline_ms)
     return CSP_LINK_DEADLINE;
@@ -41,20 +41,20 @@
 }
 
 static bool
-confirm_call (void *state)
+confirm_send (void *state)
 {
-  call_t *call = state;
+  service_call_t *call = state;
   csp_exchange_t *exchange = call->exchange;
 
-  call->lost_place = !csp_confirm_grant (exchange->entry->control,
+  call->grant_lost = !csp_confirm_grant (exchange->entry->control,
                                          &call->grant, exchange->claim);
-  return !call->lost_place
+  return !call->grant_lost
          && csp_now_ms (&exchange->entry->context->clock)
                 < exchange->deadline_ms;
 }
 
 static int
-prepare_call (call_t *call, const char *rest, csp_error_t *error)
+prepare_call (service_call_t *call, const char *rest, csp_error_t *error)
 {
   csp_exchange_t *exchange = call->exchange;
   const struct mg_request_info *info = exchange->info;
@@ -76,7 +76,7 @@
   if (csp_read_body (exchange, error) != 0
       || csp_apply_rules (exchange, &facts, &call->ask, error) != 0)
     return -1;
-  if (exchange->marks.deadline_ms == 0 && call->service->deadline_ms != 0)
+  if (exchange->options.deadline_ms == 0 && call->service->deadline_ms != 0)
     exchange->deadline_ms = exchange->arrived_ms + call->service->deadline_ms;
   csp_count (exchange->labels, CSP_COUNT_REQUESTS, 1);
   call->ask.request_id = exchange->id;
@@ -88,15 +88,15 @@
   call->ask.deadline_ms = exchange->deadline_ms;
   call->ask.is_gone = csp_caller_is_gone;
   call->ask.gone_state = exchange;
-  call->ask.repeatable = !exchange->marks.non_idempotent;
+  call->ask.repeatable = !exchange->options.non_idempotent;
   call->attempt.idempotent
-      = !exchange->marks.non_idempotent
+      = !exchange->options.non_idempotent
         && csp_may_repeat_call (call->service, info->request_method, rest);
   return 0;
 }
 
 static csp_recovery_t
-call_target (call_t *call, csp_link_end_t *end)
+call_target (service_call_t *call, csp_link_end_t *end)
 {
   const csp_exchange_t *exchange = call->exchange;
   csp_recovery_policy_t policy = csp_default_recovery_policy ();
@@ -112,8 +112,8 @@
           .connect_timeout_ms
           = exchange->entry->context->settings.connect_timeout_ms,
           .answer_limit_bytes = ANSWER_LIMIT_BYTES,
-          .may_send = confirm_call,
-          .check = check_call,
+          .may_send = confirm_send,
+          .check = check_waiting_call,
           .state = call };
 
   *end = csp_run_service_link (&link, &call->answer);
@@ -122,7 +122,7 @@
 }
 
 static void
-release_place (call_t *call, csp_link_end_t end)
+release_grant (service_call_t *call, csp_link_end_t end)
 {
   csp_place_outcome_t outcome = { .end = end, .tokens = 1 };
 
@@ -130,14 +130,14 @@
 }
 
 static void
-drop_answer (call_t *call)
+free_answer (service_call_t *call)
 {
   free (call->answer.body);
   call->answer.body = NULL;
 }
 
 static int
-run_call (call_t *call, csp_error_t *error)
+run_with_retries (service_call_t *call, csp_error_t *error)
 {
   csp_control_t *control = call->exchange->entry->control;
   csp_admission_ask_t *ask = &call->ask;
@@ -150,11 +150,11 @@
   for (;;)
     {
       recovery = call_target (call, &end);
-      release_place (call, call->lost_place ? CSP_LINK_NOT_STARTED : end);
+      release_grant (call, call->grant_lost ? CSP_LINK_NOT_STARTED : end);
       *error = recovery.error;
       if (recovery.kind == CSP_RECOVER_DONE)
         return 0;
-      drop_answer (call);
+      free_answer (call);
       if (recovery.kind != CSP_RECOVER_ELSEWHERE
           || ask->tried.count == CSP_TRIED_MAX)
         return -1;
@@ -169,7 +169,7 @@
 }
 
 static void
-pass_answer (call_t *call)
+forward_answer (service_call_t *call)
 {
   struct mg_connection *connection = call->exchange->connection;
   const csp_service_answer_t *answer = &call->answer;
@@ -185,10 +185,10 @@
 }
 
 void
-csp_serve_call (csp_exchange_t *exchange, const csp_service_t *service,
-                const char *rest)
+csp_serve_service_call (csp_exchange_t *exchange, const csp_service_t *service,
+                        const char *rest)
 {
-  call_t call = { .exchange = exchange, .service = service };
+  service_call_t call = { .exchange = exchange, .service = service };
   csp_error_t error;
   int result;
 
@@ -197,7 +197,7 @@
     result = csp_begin_claim (exchange, &error);
   if (result == 0)
     {
-      result = run_call (&call, &error);
+      result = run_with_retries (&call, &error);
       csp_finish_claim (exchange, result, &error);
     }
   if (result != 0)
@@ -205,7 +205,7 @@
       csp_answer_error (exchange, &error);
       return;
     }
-  pass_answer (&call);
+  forward_answer (&call);
   csp_count_end (exchange->entry->context->metrics, exchange->labels,
                  CSP_REASON_NONE, CSP_VERDICT_RAN);
   CSP_LOG (exchange->entry->context->log, CSP_EVENT_REQUEST_ENDED,
@@ -215,5 +215,5 @@
            csp_text ("target", call.grant.target),
            csp_number ("status", call.answer.status),
            csp_number ("wait_ms", call.grant.wait_ms));
-  drop_answer (&call);
+  free_answer (&call);
 }
--- a/source/entry/caller.c
+++ b/source/entry/caller.c
@@ -8,38 +8,39 @@
 
 enum
 {
-  FIRST_BODY_BYTES = 16384,
+  INITIAL_BODY_BYTES = 16384,
   RETRY_WITHOUT_CONFIGURATION_MS = 2000
 };
 
 static const char bearer[] = "Bearer ";
 
 static int
-grow_body (csp_exchange_t *exchange, size_t *room_bytes)
+grow_body (csp_exchange_t *exchange, size_t *capacity_bytes)
 {
-  size_t room = *room_bytes == 0 ? FIRST_BODY_BYTES : *room_bytes * 2;
-  char *body = realloc (exchange->body, room + 1);
+  size_t new_capacity
+      = *capacity_bytes == 0 ? INITIAL_BODY_BYTES : *capacity_bytes * 2;
+  char *body = realloc (exchange->body, new_capacity + 1);
 
   if (body == NULL)
     return -1;
   exchange->body = body;
-  *room_bytes = room;
+  *capacity_bytes = new_capacity;
   return 0;
 }
 
 static int
-read_pieces (csp_exchange_t *exchange, csp_error_t *error)
+read_whole_body (csp_exchange_t *exchange, csp_error_t *error)
 {
   uint32_t limit_bytes = exchange->entry->context->settings.max_body_bytes;
-  size_t room_bytes = 0;
+  size_t capacity_bytes = 0;
   int got = 1;
 
   if (exchange->info->content_length > (long long)limit_bytes)
     goto too_large;
   while (got > 0)
     {
-      if (exchange->body_bytes == room_bytes
-          && grow_body (exchange, &room_bytes) != 0)
+      if (exchange->body_bytes == capacity_bytes
+          && grow_body (exchange, &capacity_bytes) != 0)
         {
           csp_set_error (error, CSP_VERDICT_NOT_RUN, CSP_REASON_INTERNAL, 0,
                          "out of memory");
@@ -47,14 +48,15 @@
         }
       got = mg_read (exchange->connection,
                      exchange->body + exchange->body_bytes,
-                     room_bytes - exchange->body_bytes);
+                     capacity_bytes - exchange->body_bytes);
       if (got > 0)
         exchange->body_bytes += (size_t)got;
       if (exchange->body_bytes > limit_bytes)
         goto too_large;
     }
   exchange->body[exchange->body_bytes] = '\0';
-  /* A chunked body states no length: one that was cut shows only by this.  */
+  /* A chunked body has no Content-Length: only a failed read shows that it
+     was cut off.  */
   if (got < 0
       || exchange->info->content_length > (long long)exchange->body_bytes)
     {
@@ -76,11 +78,11 @@
   uint32_t limit_ms = exchange->entry->context->settings.caller_timeout_ms;
   int result;
 
-  csp_begin_reading (exchange, limit_ms);
-  result = read_pieces (exchange, error);
-  /* A body over the limit is still to be dropped.  */
+  csp_begin_timed_read (exchange, limit_ms);
+  result = read_whole_body (exchange, error);
+  /* The rest of a body over the limit must still be discarded.  */
   exchange->body_read = result == 0 || error->reason != CSP_REASON_TOO_LARGE;
-  if (csp_end_reading (exchange) || result == 0)
+  if (csp_end_timed_read (exchange) || result == 0)
     return result;
   csp_set_error (error, CSP_VERDICT_NOT_RUN, CSP_REASON_BAD_REQUEST, 0,
                  "the body was not there within %u ms", limit_ms);
--- a/source/entry/claim.c
+++ b/source/entry/claim.c
@@ -2,19 +2,19 @@
 
 #include <string.h>
 
-/* Calls that must not run twice.  A call with no key is sent once and never
-   repeated; one with a key is claimed first, so that repeats of it through
-   any host run once at most.  */
+/* At-most-once calls.  A call without a key is sent once and never retried.
+   For a call with a key the key is claimed first, so that the call and its
+   retries through any host run at most once.  */
 
 int
 csp_begin_claim (csp_exchange_t *exchange, csp_error_t *error)
 {
   csp_once_ask_t ask = { .deadline_ms = exchange->deadline_ms };
 
-  if (exchange->marks.idempotency_key[0] == '\0')
+  if (exchange->options.idempotency_key[0] == '\0')
     return 0;
   if (!csp_read_once_key (
-          exchange->organisation->name, exchange->marks.idempotency_key,
+          exchange->organisation->name, exchange->options.idempotency_key,
           csp_wall_ms (&exchange->entry->context->clock), &ask.key, error))
     return -1;
   return csp_claim_run (exchange->entry->control, &ask, &exchange->claim,
--- a/source/entry/entry-imp.h
+++ b/source/entry/entry-imp.h
@@ -18,17 +18,17 @@
   uint16_t port;
   atomic_uint_fast64_t next_request;
   atomic_int open_requests;
-  atomic_bool announced; /* readiness fails */
-  atomic_bool draining;  /* new requests are refused */
-  atomic_bool stopping;  /* open ones are ended */
-  pthread_t watch;
-  pthread_mutex_t reading_lock;
-  pthread_cond_t reading_began;
-  bool watch_stops;                     /* under reading_lock */
-  LIST_HEAD (, csp_exchange_s) reading; /* under reading_lock */
+  atomic_bool readiness_failing;
+  atomic_bool refusing_new;
+  atomic_bool aborting_open;
+  pthread_t watchdog;
+  pthread_mutex_t timed_reads_lock;
+  pthread_cond_t timed_read_began;
+  bool watchdog_stops;                      /* under timed_reads_lock */
+  LIST_HEAD (, csp_exchange_s) timed_reads; /* under timed_reads_lock */
 };
 
-/* One request of a caller on its way through a traffic thread.  */
+/* One request of a caller while a traffic thread serves it.  */
 typedef struct csp_exchange_s
 {
   csp_entry_t *entry;
@@ -37,99 +37,109 @@
   char id[CSP_REQUEST_ID_BYTES];
   int64_t arrived_ms;
   int64_t deadline_ms;
-  csp_marks_t marks;
+  csp_marks_t options;
   csp_view_t *view;
   csp_labels_t labels;
   const csp_organisation_t *organisation;
   char *body;
   size_t body_bytes;
-  uint64_t claim; /* of a call that must not run twice; 0 without one */
-  int socket;     /* of the caller; -1 when it was not found */
-  LIST_ENTRY (csp_exchange_s) reading;
-  int64_t read_until_ms;
-  bool late;      /* the body was; under reading_lock */
-  bool body_read; /* to its end or to its fault */
+  uint64_t claim; /* on the key of an at-most-once call; 0 for none */
+  int socket;     /* the caller's; -1 when it was not found */
+  LIST_ENTRY (csp_exchange_s) timed_reads_link;
+  int64_t read_deadline_ms;
+  bool read_timed_out; /* under timed_reads_lock */
+  bool body_read;      /* completely, or up to a failure */
 } csp_exchange_t;
 
-/* Give the exchange the id that its log lines and its answer carry.  */
-void csp_name_exchange (csp_exchange_t *exchange);
+/* Assigns the request id that appears in log lines and in the answer.  */
+void csp_assign_request_id (csp_exchange_t *exchange);
 
-/* Answer with an error before any byte of an answer was sent, and log it.  */
+/* Answers with an error and logs it.  No byte of an answer may have been sent
+   before.  */
 void csp_answer_error (csp_exchange_t *exchange, const csp_error_t *error);
 
-/* Answer a request that the HTTP library refused before any handler saw it;
-   its http_error callback.  Returns 0: answered.  */
+/* The http_error callback of the HTTP library: answers a request that the
+   library refused before any handler was called.  Returns 0, which tells the
+   library that the request is answered.  */
 int csp_answer_malformed (struct mg_connection *connection, int status,
                           const char *message);
 
-/* Answer with a JSON text.  */
+/* Answers with a JSON text.  */
 void csp_answer_json (csp_exchange_t *exchange, uint16_t status,
                       const char *json);
 
-/* The JSON of an error as callers read it; to be freed.  */
+/* Renders an error as the JSON that callers get; the caller of the function
+   frees it.  */
 char *csp_render_error (const char *request_id, const csp_error_t *error);
 
-/* Begin a stream of events.  0, or -1 when the caller is gone.  */
+/* Begins an event stream.  Returns 0, or -1 when the caller is gone.  */
 int csp_begin_events (csp_exchange_t *exchange);
 
-/* Send one event; name may be NULL.  0, or -1 when the caller is gone.  */
+/* Sends one event; name may be NULL.  Returns 0, or -1 when the caller is
+   gone.  */
 int csp_send_event (csp_exchange_t *exchange, const char *name,
                     const char *data);
 
-/* Send a comment, which callers pass over; tells whether they are there.  */
+/* Sends an event stream comment, which callers ignore.  Returns 0, or -1 when
+   the caller is gone.  */
 int csp_send_keep_alive (csp_exchange_t *exchange);
 
-/* End a stream of events.  */
+/* Ends an event stream.  */
 void csp_end_events (csp_exchange_t *exchange);
 
-/* Read the body, bounded by the settings.  0, or -1 with an error.  */
+/* Reads the body within the size and time limits of the settings.  Returns 0,
+   or -1 with an error.  */
 int csp_read_body (csp_exchange_t *exchange, csp_error_t *error);
 
-/* A thread that bounds the time of each reading.  0, or -1.  */
-int csp_start_watch (csp_entry_t *entry);
-void csp_stop_watch (csp_entry_t *entry);
+/* Starts or stops the watchdog thread, which limits the time for reading a
+   body.  Starting returns 0, or -1 when there is no thread.  */
+int csp_start_read_watchdog (csp_entry_t *entry);
+void csp_stop_read_watchdog (csp_entry_t *entry);
 
-/* From begin on the caller has limit_ms to send what is read; then its reading
-   ends as if it had sent no more.  csp_end_reading is false where that
-   happened.  */
-void csp_begin_reading (csp_exchange_t *exchange, uint32_t limit_ms);
-bool csp_end_reading (csp_exchange_t *exchange);
+/* Between these two calls the caller has limit_ms to send its data.  After
+   that the receiving side of the socket is shut down, so that reads end as if
+   the caller had sent no more; csp_end_timed_read then returns false.  */
+void csp_begin_timed_read (csp_exchange_t *exchange, uint32_t limit_ms);
+bool csp_end_timed_read (csp_exchange_t *exchange);
 
-/* Read no more from the caller; what is still to come is dropped.  */
-void csp_drop_rest (csp_exchange_t *exchange);
+/* Discards what the caller still sends and shuts down the receiving side of
+   its socket.  */
+void csp_discard_unread_input (csp_exchange_t *exchange);
 
-/* Find the organisation by the bearer key.  0, or -1 with an error.  */
+/* Finds the organisation by the bearer key.  Returns 0, or -1 with an
+   error.  */
 int csp_identify_caller (csp_exchange_t *exchange, csp_error_t *error);
 
-/* The descriptor of a caller's socket at our port; -1 when there is none.  */
+/* Finds the descriptor of a caller's socket at the listener's port; -1 when
+   there is none.  */
 int csp_find_caller_socket (const struct mg_request_info *info, uint16_t port);
 
-/* Let the kernel keep connections at our port until their first byte came, and
-   bound what it keeps for callers that don't read.  */
-void csp_bound_callers (uint16_t port);
+/* Sets the socket options of the listener: a connection is accepted only once
+   it has sent data, and the send buffer of each caller is limited.  */
+void csp_limit_caller_sockets (uint16_t port);
 
-/* Whether the caller of an exchange hung up, or shut its side down, which is
-   taken for the same.  */
+/* Whether the caller of an exchange has closed its connection.  A half-closed
+   connection counts as closed.  */
 bool csp_caller_is_gone (void *state);
 
-/* Claim the key of a call that must not run twice.  0 when it may run, with a
-   claim if it has a key; -1 with an error.  */
+/* Claims the idempotency key of an at-most-once call.  Returns 0 when the call
+   may run, with a claim if it has a key; -1 with an error.  */
 int csp_begin_claim (csp_exchange_t *exchange, csp_error_t *error);
 
-/* Say what became of a claimed call; to be called before the caller is
-   answered, so that a repeat never overtakes the outcome.  */
+/* Records the outcome of a claimed call.  Must be called before the caller is
+   answered, so that no retry arrives before the outcome is recorded.  */
 void csp_finish_claim (csp_exchange_t *exchange, int result,
                        const csp_error_t *error);
 
-/* Serve a generation.  */
+/* Serves a generation request.  */
 void csp_serve_generation (csp_exchange_t *exchange, csp_api_t api);
 
-/* Serve a call of a plain service; rest is the path behind its prefix.  */
-void csp_serve_call (csp_exchange_t *exchange, const csp_service_t *service,
-                     const char *rest);
+/* Serves a call of a plain service; rest is the path after its prefix.  */
+void csp_serve_service_call (csp_exchange_t *exchange,
+                             const csp_service_t *service, const char *rest);
 
-/* Apply the rules to a request.  0 with the terms of the request, or -1 with
-   the error of a rule that turns it away.  */
+/* Applies the declared rules to a request.  Returns 0 with the request's terms
+   in ask, or -1 with the error of a rule that rejects it.  */
 int csp_apply_rules (csp_exchange_t *exchange, csp_request_facts_t *facts,
                      csp_admission_ask_t *ask, csp_error_t *error);
 
--- a/source/entry/generate-answer.c
+++ b/source/entry/generate-answer.c
@@ -6,35 +6,35 @@
 
 #include "cowslipspoke/text.h"
 
-/* What a caller gets of a generation: its tokens, and the end.  */
+/* Sends the tokens of a generation and the end of the answer to the caller. */
 
 enum
 {
-  PROGRESS_TOKENS = 16,
+  PROGRESS_INTERVAL_TOKENS = 16,
   ANSWER_LIMIT_BYTES = 16 << 20,
   US_PER_MS = 1000
 };
 
-/* Keep a whole answer.  It is bounded, as its length is unknown and many of
-   them are kept at once.  */
+/* Collects the text of an answer without streaming.  Its size is limited, as
+   the length is unknown in advance and many answers are held at once.  */
 static int
-append_text (csp_run_t *run, const char *text)
+append_text (csp_generation_run_t *run, const char *text)
 {
   size_t bytes = strlen (text);
-  char *grown;
+  char *new_text;
 
   if (run->text_bytes + bytes > ANSWER_LIMIT_BYTES)
     return -1;
-  grown = realloc (run->text, run->text_bytes + bytes + 1);
-  if (grown == NULL)
+  new_text = realloc (run->text, run->text_bytes + bytes + 1);
+  if (new_text == NULL)
     return -1;
-  memcpy (grown + run->text_bytes, text, bytes + 1);
-  run->text = grown;
+  memcpy (new_text + run->text_bytes, text, bytes + 1);
+  run->text = new_text;
   run->text_bytes += bytes;
   return 0;
 }
 static void
-note_token (csp_run_t *run)
+record_token (csp_generation_run_t *run)
 {
   csp_labels_t labels = run->exchange->labels;
   int64_t now_us = csp_now_us (&run->exchange->entry->context->clock);
@@ -57,9 +57,9 @@
     }
   run->last_token_ms = now_ms;
   run->last_token_us = now_us;
-  /* The first token tells placement that the prompt is done.  */
+  /* The first token shows placement that the prefill is complete.  */
   if (run->generation.next_index == 1
-      || run->generation.next_index % PROGRESS_TOKENS == 0)
+      || run->generation.next_index % PROGRESS_INTERVAL_TOKENS == 0)
     {
       csp_note_progress (run->exchange->entry->control, &run->grant,
                          run->generation.next_index,
@@ -72,26 +72,26 @@
 csp_deliver_token (void *state, const csp_token_t *token,
                    const char *chunk_json)
 {
-  csp_run_t *run = state;
+  csp_generation_run_t *run = state;
   int sent;
 
-  note_token (run);
+  record_token (run);
   if (token->finish_reason != NULL)
     csp_copy_text (run->finish_reason, sizeof run->finish_reason,
                    token->finish_reason);
   if (!csp_request_streams (run->request))
     return append_text (run, token->text);
-  if (!run->began && csp_begin_events (run->exchange) != 0)
+  if (!run->stream_began && csp_begin_events (run->exchange) != 0)
     return -1;
-  run->began = true;
+  run->stream_began = true;
   sent = csp_send_event (run->exchange, NULL, chunk_json);
-  run->last_sign_ms = csp_now_ms (&run->exchange->entry->context->clock);
+  run->last_write_ms = csp_now_ms (&run->exchange->entry->context->clock);
   run->blocked_us += csp_now_us (&run->exchange->entry->context->clock)
                      - run->last_token_us;
   return sent;
 }
 static json_object *
-render_choice (const csp_run_t *run)
+render_choice (const csp_generation_run_t *run)
 {
   json_object *choice = json_object_new_object ();
   json_object *text
@@ -115,7 +115,7 @@
 }
 
 static void
-answer_whole (csp_run_t *run)
+send_whole_answer (csp_generation_run_t *run)
 {
   bool chat = csp_request_api (run->request) == CSP_API_CHAT;
   json_object *document = json_object_new_object ();
@@ -141,10 +141,10 @@
   json_object_put (document);
 }
 
-/* A stream that was begun ends with an error event and without an end mark,
-   so that no reader takes a cut answer for a whole one.  */
+/* Ends a stream that has begun with an error event and without "[DONE]", so
+   that no client takes a truncated answer for a complete one.  */
 static void
-break_stream (csp_run_t *run, const csp_error_t *error)
+end_stream_with_error (csp_generation_run_t *run, const csp_error_t *error)
 {
   char *json = csp_render_error (run->exchange->id, error);
 
@@ -159,8 +159,8 @@
 }
 
 static void
-count_run (const csp_run_t *run, int result, csp_link_end_t end,
-           const csp_error_t *error)
+record_run_metrics (const csp_generation_run_t *run, int result,
+                    csp_link_end_t end, const csp_error_t *error)
 {
   const csp_exchange_t *exchange = run->exchange;
 
@@ -174,13 +174,13 @@
   if (result == 0)
     csp_count_end (exchange->entry->context->metrics, exchange->labels,
                    CSP_REASON_NONE, CSP_VERDICT_RAN);
-  else if (run->began)
+  else if (run->stream_began)
     csp_count_end (exchange->entry->context->metrics, exchange->labels,
                    error->reason, error->verdict);
 }
 
 static void
-log_run (const csp_run_t *run, csp_link_end_t end)
+log_run (const csp_generation_run_t *run, csp_link_end_t end)
 {
   const csp_exchange_t *exchange = run->exchange;
 
@@ -200,15 +200,15 @@
 }
 
 static void
-send_end (csp_run_t *run, int result, csp_link_end_t end,
+send_end (csp_generation_run_t *run, int result, csp_link_end_t end,
           const csp_error_t *error)
 {
   if (end == CSP_LINK_CALLER_GONE)
     CSP_LOG (run->exchange->entry->context->log, CSP_EVENT_CALLER_GONE,
              run->exchange->id,
              csp_number ("tokens", (int64_t)run->generation.next_index));
-  else if (result != 0 && run->began)
-    break_stream (run, error);
+  else if (result != 0 && run->stream_began)
+    end_stream_with_error (run, error);
   else if (result != 0)
     csp_answer_error (run->exchange, error);
   else if (csp_request_streams (run->request))
@@ -217,16 +217,16 @@
       csp_end_events (run->exchange);
     }
   else
-    answer_whole (run);
+    send_whole_answer (run);
 }
 
 void
-csp_finish_run (csp_run_t *run, int result, csp_link_end_t end,
-                const csp_error_t *error)
+csp_finish_generation (csp_generation_run_t *run, int result,
+                       csp_link_end_t end, const csp_error_t *error)
 {
   send_end (run, result, end, error);
   if (end == CSP_LINK_END_COUNT)
     return;
-  count_run (run, result, end, error);
+  record_run_metrics (run, result, end, error);
   log_run (run, end);
 }
--- a/source/entry/generate-imp.h
+++ b/source/entry/generate-imp.h
@@ -3,7 +3,7 @@
 
 #include "entry/entry-imp.h"
 
-/* A generation on its way to its caller.  */
+/* The state of one generation request while it is served.  */
 typedef struct
 {
   csp_exchange_t *exchange;
@@ -15,30 +15,32 @@
   csp_generation_t generation;
   uint32_t generations;
   int64_t last_token_ms;
-  int64_t last_sign_ms; /* when the caller was last written to */
+  int64_t last_write_ms; /* last write to the caller */
   int64_t first_token_ms;
   uint32_t worst_gap_ms;
   int64_t last_token_us;
   int64_t stall_us;
-  int64_t blocked_us; /* waiting for the caller, since the last progress */
-  bool began;
-  bool lost_place; /* the grant had run out before a byte left */
-  char *text;      /* of a whole answer */
+  int64_t blocked_us; /* writing to the caller, since the last progress
+                         report */
+  bool stream_began;
+  bool grant_lost; /* no longer valid when the request was to be sent */
+  char *text;      /* collected for an answer without streaming */
   size_t text_bytes;
   char finish_reason[32];
-} csp_run_t;
+} csp_generation_run_t;
 
-/* Take a token for the caller: stream it, or keep it for a whole answer.
-   Non-zero when the caller is gone.  A csp_take_delivery_t.  */
+/* Delivers a token: sends it as an event, or collects it for an answer without
+   streaming.  Returns non-zero when the caller is gone or the token can't be
+   stored.  A csp_take_delivery_t.  */
 int csp_deliver_token (void *state, const csp_token_t *token,
                        const char *chunk_json);
 
-/* Read route, class and rules: what the request is and on which terms.  0, or
+/* Determines the route, the class and the terms of the request.  Returns 0, or
    -1 with an error.  */
-int csp_prepare_run (csp_run_t *run, csp_error_t *error);
+int csp_prepare_generation (csp_generation_run_t *run, csp_error_t *error);
 
-/* Send what ends an answer, count it and log it.  */
-void csp_finish_run (csp_run_t *run, int result, csp_link_end_t end,
-                     const csp_error_t *error);
+/* Sends the end of the answer, updates the metrics and logs the request.  */
+void csp_finish_generation (csp_generation_run_t *run, int result,
+                            csp_link_end_t end, const csp_error_t *error);
 
 #endif
--- a/source/entry/generate-prepare.c
+++ b/source/entry/generate-prepare.c
@@ -2,11 +2,12 @@
 
 #include <string.h>
 
-/* What a request is, and on which terms it is let in.  */
+/* Determines the route, class and terms of a generation request.  */
 
-/* The bound on the answer: the smaller of what caller and operators say.  */
+/* Returns the smaller of the caller's and the operators' max_tokens; 0 where
+   there is no limit.  */
 static uint32_t
-bound_tokens (const csp_run_t *run)
+choose_max_tokens (const csp_generation_run_t *run)
 {
   uint32_t asked = csp_request_max_tokens (run->request);
   uint32_t allowed = run->ask.terms.limits.max_output_tokens;
@@ -17,7 +18,7 @@
 }
 
 static int
-check_prompt (const csp_run_t *run, csp_error_t *error)
+check_prompt (const csp_generation_run_t *run, csp_error_t *error)
 {
   uint32_t allowed = run->ask.terms.limits.max_prompt_tokens;
 
@@ -30,10 +31,10 @@
 }
 
 static int
-find_class (const csp_run_t *run, const csp_class_t **class_out,
+find_class (const csp_generation_run_t *run, const csp_class_t **class_out,
             csp_error_t *error)
 {
-  const char *name = run->exchange->marks.class_name;
+  const char *name = run->exchange->options.class_name;
 
   *class_out = csp_find_class (run->route, *name == '\0' ? NULL : name);
   if (*class_out == NULL && *name != '\0')
@@ -45,16 +46,17 @@
   return 0;
 }
 
-/* The route to use while the pool of the one that was asked for has no live
-   target.  A class that the fallback doesn't have is passed over: the caller
-   named it for another route.  Routes that fall back on each other end it
-   after as many steps as there are routes.  */
+/* Replaces the requested route by its fallback while the route's pool has no
+   live target.  A class that the fallback route lacks is ignored, as the
+   caller named it for another route.  The number of steps is limited to the
+   number of routes, since fallbacks may form a cycle.  */
 static void
-fall_back (csp_run_t *run, const csp_declaration_t *declaration,
-           const csp_class_t **class_row)
+apply_route_fallback (csp_generation_run_t *run,
+                      const csp_declaration_t *declaration,
+                      const csp_class_t **class_row)
 {
   csp_control_t *control = run->exchange->entry->control;
-  const char *name = run->exchange->marks.class_name;
+  const char *name = run->exchange->options.class_name;
   const csp_route_t *asked = run->route;
   size_t steps = csp_count_routes (declaration);
 
@@ -65,9 +67,8 @@
     *class_row = csp_find_class (run->route, *name == '\0' ? NULL : name);
 }
 
-/* Route, class, rules: what the request is and on which terms.  */
 int
-csp_prepare_run (csp_run_t *run, csp_error_t *error)
+csp_prepare_generation (csp_generation_run_t *run, csp_error_t *error)
 {
   csp_exchange_t *exchange = run->exchange;
   const csp_declaration_t *declaration = csp_view_declaration (exchange->view);
@@ -84,7 +85,7 @@
     }
   if (find_class (run, &class_row, error) != 0)
     return -1;
-  fall_back (run, declaration, &class_row);
+  apply_route_fallback (run, declaration, &class_row);
   facts.route = run->route->name;
   facts.class_name = class_row == NULL ? NULL : class_row->name;
   facts.priority
@@ -93,7 +94,7 @@
   facts.load = csp_find_pool_load (exchange->entry->control, run->route->pool);
   if (csp_apply_rules (exchange, &facts, &run->ask, error) != 0)
     return -1;
-  if (exchange->marks.deadline_ms == 0 && class_row != NULL
+  if (exchange->options.deadline_ms == 0 && class_row != NULL
       && class_row->deadline_ms != 0)
     exchange->deadline_ms = exchange->arrived_ms + class_row->deadline_ms;
   run->ask.request_id = exchange->id;
@@ -106,13 +107,13 @@
   csp_count (exchange->labels, CSP_COUNT_REQUESTS, 1);
   run->ask.kind = CSP_POOL_ENGINES;
   run->ask.prompt_tokens = facts.prompt_tokens;
-  run->ask.max_tokens = bound_tokens (run);
+  run->ask.max_tokens = choose_max_tokens (run);
   run->ask.deadline_ms = exchange->deadline_ms;
   csp_request_prefix (run->request, &run->ask.prefix, &run->ask.prefix_tokens);
-  run->ask.repeatable = !exchange->marks.non_idempotent;
+  run->ask.repeatable = !exchange->options.non_idempotent;
   run->ask.is_gone = csp_caller_is_gone;
   run->ask.gone_state = exchange;
-  run->attempt.idempotent = !exchange->marks.non_idempotent;
+  run->attempt.idempotent = !exchange->options.non_idempotent;
   run->attempt.resumable = true;
   return check_prompt (run, error);
 }
--- a/source/entry/generate.c
+++ b/source/entry/generate.c
@@ -8,26 +8,27 @@
 
 enum
 {
-  KEEP_ALIVE_MS = 1000,
+  KEEP_ALIVE_INTERVAL_MS = 1000,
   CANCEL_TIMEOUT_MS = 1000,
-  FIRST_TOKEN_FACTOR = 4,
+  FIRST_TOKEN_TIMEOUT_FACTOR = 4,
   US_PER_MS = 1000
 };
 
 static int64_t
-now_of (const csp_run_t *run)
+get_now_ms (const csp_generation_run_t *run)
 {
   return csp_now_ms (&run->exchange->entry->context->clock);
 }
-/* Called while a link is open and silent.  A comment once a second keeps
-   whatever lies between from taking a slow answer for a dead link.  */
+/* Called while a link is open and idle; returns CSP_LINK_COMPLETE while the
+   run may go on.  A comment every second keeps proxies between host and caller
+   from closing a slow stream as dead.  */
 static csp_link_end_t
-check_run (void *state)
+check_waiting_run (void *state)
 {
-  csp_run_t *run = state;
-  int64_t now_ms = now_of (run);
+  csp_generation_run_t *run = state;
+  int64_t now_ms = get_now_ms (run);
 
-  if (atomic_load (&run->exchange->entry->stopping))
+  if (atomic_load (&run->exchange->entry->aborting_open))
     return CSP_LINK_STOPPED;
   if (now_ms >= run->exchange->deadline_ms)
     return CSP_LINK_DEADLINE;
@@ -35,9 +36,10 @@
     return CSP_LINK_CALLER_GONE;
   if (run->generation.next_index == 0 && csp_is_recalled (run->grant.recall))
     return CSP_LINK_RECALLED;
-  if (run->began && now_ms - run->last_sign_ms >= KEEP_ALIVE_MS)
+  if (run->stream_began
+      && now_ms - run->last_write_ms >= KEEP_ALIVE_INTERVAL_MS)
     {
-      run->last_sign_ms = now_ms;
+      run->last_write_ms = now_ms;
       if (csp_send_keep_alive (run->exchange) != 0)
         return CSP_LINK_CALLER_GONE;
     }
@@ -45,17 +47,17 @@
 }
 
 static bool
-confirm_run (void *state)
+confirm_send (void *state)
 {
-  csp_run_t *run = state;
+  csp_generation_run_t *run = state;
 
-  run->lost_place = !csp_confirm_grant (run->exchange->entry->control,
+  run->grant_lost = !csp_confirm_grant (run->exchange->entry->control,
                                         &run->grant, run->exchange->claim);
-  return !run->lost_place && now_of (run) < run->exchange->deadline_ms;
+  return !run->grant_lost && get_now_ms (run) < run->exchange->deadline_ms;
 }
 
 static csp_link_t
-describe_link (csp_run_t *run, const char *body, bool resume)
+build_link (csp_generation_run_t *run, const char *body, bool resume)
 {
   const csp_settings_t *settings = &run->exchange->entry->context->settings;
   bool chat = csp_request_api (run->request) == CSP_API_CHAT;
@@ -68,19 +70,19 @@
           .request_id = run->exchange->id,
           .connect_timeout_ms = settings->connect_timeout_ms,
           .first_token_timeout_ms
-          = settings->stall_timeout_ms * FIRST_TOKEN_FACTOR,
+          = settings->stall_timeout_ms * FIRST_TOKEN_TIMEOUT_FACTOR,
           .stall_timeout_ms = settings->stall_timeout_ms,
           .clock = &run->exchange->entry->context->clock,
-          .may_send = resume ? NULL : confirm_run,
+          .may_send = resume ? NULL : confirm_send,
           .deliver = csp_deliver_token,
-          .check = check_run,
+          .check = check_waiting_run,
           .state = run };
 
   return link;
 }
 
 static void
-begin_generation (csp_run_t *run)
+begin_generation (csp_generation_run_t *run)
 {
   char id[CSP_GENERATION_ID_BYTES];
 
@@ -89,13 +91,13 @@
   csp_start_generation (&run->generation, id);
   run->attempt.may_have_started = false;
   run->attempt.idle_resumes = 0;
-  run->last_token_ms = now_of (run);
+  run->last_token_ms = get_now_ms (run);
 }
 
-/* Run links to one target until the answer is whole or has to be sought
-   elsewhere or given up.  */
+/* Runs links to one target until the answer is complete, or the request has to
+   be retried on another target or given up.  */
 static csp_recovery_t
-run_at_target (csp_run_t *run, csp_link_end_t *end)
+run_at_target (csp_generation_run_t *run, csp_link_end_t *end)
 {
   csp_recovery_policy_t policy = csp_default_recovery_policy ();
   csp_recovery_t recovery;
@@ -108,11 +110,11 @@
   begin_generation (run);
   do
     {
-      link = describe_link (run, body, resume);
+      link = build_link (run, body, resume);
       *end = csp_run_link (&link, &run->generation, &report);
       csp_note_link_end (&run->attempt, *end, report.byte_left,
                          report.delivered);
-      run->attempt.idle_ms = now_of (run) - run->last_token_ms;
+      run->attempt.idle_ms = get_now_ms (run) - run->last_token_ms;
       recovery = csp_decide_recovery (&policy, &run->attempt, *end);
       if (*end == CSP_LINK_REJECTED && report.message[0] != '\0')
         csp_copy_text (recovery.error.detail, sizeof recovery.error.detail,
@@ -134,7 +136,7 @@
 }
 
 static void
-release_place (csp_run_t *run, csp_link_end_t end, bool stopped)
+release_grant (csp_generation_run_t *run, csp_link_end_t end, bool stopped)
 {
   csp_place_outcome_t outcome = { .end = end,
                                   .stopped = stopped,
@@ -145,7 +147,7 @@
 }
 
 static void
-remember_target (csp_run_t *run)
+add_tried_target (csp_generation_run_t *run)
 {
   csp_admission_ask_t *ask = &run->ask;
   uint32_t slot = ask->tried.count % CSP_TRIED_MAX;
@@ -157,10 +159,11 @@
   ask->retry = true;
 }
 
-/* Admission, a target, and other targets while that may help.  0 when the
-   answer is whole.  */
+/* Requests admission, runs the generation, and retries it on other targets
+   where that may help.  Returns 0 when the answer is complete.  */
 static int
-run_generation (csp_run_t *run, csp_link_end_t *end, csp_error_t *error)
+run_generation (csp_generation_run_t *run, csp_link_end_t *end,
+                csp_error_t *error)
 {
   csp_entry_t *entry = run->exchange->entry;
   csp_recovery_t recovery;
@@ -177,7 +180,7 @@
             && csp_cancel_generation (&run->grant.endpoint, run->generation.id,
                                       CANCEL_TIMEOUT_MS)
                    == 0;
-      release_place (run, run->lost_place ? CSP_LINK_NOT_STARTED : *end,
+      release_grant (run, run->grant_lost ? CSP_LINK_NOT_STARTED : *end,
                      stopped);
       *error = recovery.error;
       if (recovery.kind == CSP_RECOVER_DONE)
@@ -185,12 +188,13 @@
       if (recovery.kind == CSP_RECOVER_GIVE_UP
           || run->ask.tried.count == CSP_TRIED_MAX)
         return -1;
-      if (!run->lost_place && *end != CSP_LINK_RECALLED)
-        remember_target (run);
+      if (!run->grant_lost && *end != CSP_LINK_RECALLED)
+        add_tried_target (run);
       run->ask.last_verdict = recovery.error.verdict;
-      run->lost_place = false;
-      /* When nobody else takes it, the caller gets the first target's error:
-         its verdict covers the attempt that may have started.  */
+      run->grant_lost = false;
+      /* When no other target accepts the request, the caller gets the error
+         of the last attempt: its verdict covers an attempt that may have
+         started.  */
       if (csp_ask_admission (entry->control, &run->ask, &run->grant, &refusal)
           != 0)
         return -1;
@@ -203,7 +207,7 @@
 void
 csp_serve_generation (csp_exchange_t *exchange, csp_api_t api)
 {
-  csp_run_t run = { .exchange = exchange };
+  csp_generation_run_t run = { .exchange = exchange };
   csp_link_end_t end = CSP_LINK_END_COUNT;
   csp_error_t error;
   int result;
@@ -212,14 +216,14 @@
     goto refuse;
   run.request
       = csp_parse_request (api, exchange->body, exchange->body_bytes, &error);
-  if (run.request == NULL || csp_prepare_run (&run, &error) != 0)
+  if (run.request == NULL || csp_prepare_generation (&run, &error) != 0)
     goto refuse;
-  if (exchange->marks.non_idempotent
+  if (exchange->options.non_idempotent
       && csp_begin_claim (exchange, &error) != 0)
     goto refuse;
   result = run_generation (&run, &end, &error);
   csp_finish_claim (exchange, result, &error);
-  csp_finish_run (&run, result, end, &error);
+  csp_finish_generation (&run, result, end, &error);
   goto done;
 
 refuse:
--- a/source/entry/hang-up.c
+++ b/source/entry/hang-up.c
@@ -8,45 +8,47 @@
 #include <sys/resource.h>
 #include <sys/socket.h>
 
-/* A caller that hangs up while nothing is written to it shows only on its
-   socket, which the HTTP library keeps to itself.  It is the one descriptor
-   of this process whose peer has the caller's address and port.  */
+/* While nothing is written to a caller, only its socket shows that the caller
+   has closed the connection.  The HTTP library doesn't expose the socket, so
+   it is looked up: it is the only descriptor of this process that is bound to
+   the listener's port and whose peer has the caller's address and port.  */
 
 enum
 {
   FIRST_DESCRIPTOR = 3,
-  MOST_DESCRIPTORS = 65536,
-  /* After about this long the kernel hands a silent connection over, and the
-     timeout of callers ends it.  */
-  DEFER_S = 30,
-  /* Some hundred tokens; a whole answer waits for its reader.  */
-  UNREAD_BYTES = 128 << 10
+  MAX_DESCRIPTORS = 65536,
+  /* After about this time the kernel passes on a connection that has sent no
+     data, and caller_timeout_ms ends it.  */
+  DEFER_ACCEPT_S = 30,
+  /* Some hundred tokens.  The write of a larger answer blocks until the
+     caller has read enough of it.  */
+  SEND_BUFFER_BYTES = 128 << 10
 };
 
-/* How many descriptors there may be.  */
+/* Returns the upper bound of the descriptor numbers to search.  */
 static int
-count_descriptors (void)
+get_descriptor_limit (void)
 {
   struct rlimit limit;
 
   if (getrlimit (RLIMIT_NOFILE, &limit) == 0
-      && limit.rlim_cur < MOST_DESCRIPTORS)
+      && limit.rlim_cur < MAX_DESCRIPTORS)
     return (int)limit.rlim_cur;
-  return MOST_DESCRIPTORS;
+  return MAX_DESCRIPTORS;
 }
 
 static bool
-is_at_port (int descriptor, uint16_t port)
+is_bound_to_port (int descriptor, uint16_t port)
 {
-  struct sockaddr_in own = { 0 };
-  socklen_t size_bytes = sizeof own;
+  struct sockaddr_in local = { 0 };
+  socklen_t size_bytes = sizeof local;
 
-  return getsockname (descriptor, (struct sockaddr *)&own, &size_bytes) == 0
-         && own.sin_family == AF_INET && ntohs (own.sin_port) == port;
+  return getsockname (descriptor, (struct sockaddr *)&local, &size_bytes) == 0
+         && local.sin_family == AF_INET && ntohs (local.sin_port) == port;
 }
 
 static bool
-is_caller (int descriptor, const struct mg_request_info *info)
+is_connected_to_caller (int descriptor, const struct mg_request_info *info)
 {
   struct sockaddr_in peer = { 0 };
   socklen_t size_bytes = sizeof peer;
@@ -63,47 +65,49 @@
 int
 csp_find_caller_socket (const struct mg_request_info *info, uint16_t port)
 {
-  int most = count_descriptors ();
+  int descriptor_limit = get_descriptor_limit ();
   int descriptor;
 
-  for (descriptor = FIRST_DESCRIPTOR; descriptor < most; descriptor++)
-    if (is_caller (descriptor, info) && is_at_port (descriptor, port))
+  for (descriptor = FIRST_DESCRIPTOR; descriptor < descriptor_limit;
+       descriptor++)
+    if (is_connected_to_caller (descriptor, info)
+        && is_bound_to_port (descriptor, port))
       return descriptor;
   return -1;
 }
 
-/* A connection holds a thread from its first moment.  Callers that connect
-   and say nothing would hold them all, and the others would wait until those
-   are timed out; the kernel keeps such connections instead.
+/* An accepted connection occupies a thread.  Callers that connect and send
+   nothing would occupy all threads until they time out, so the kernel holds
+   such connections back.
 
-   The kernel also keeps what a caller has not read, 2.8 MB of it where nobody
-   says less: a thousand that read nothing would take gigabytes, and their
-   engines would work ahead for minutes.  Accepted sockets take the bound of
-   the listener.  */
+   The send buffer of a caller grows to 2.8 MB by default: a thousand callers
+   that don't read would take gigabytes, and their engines would generate
+   minutes ahead.  Accepted sockets inherit the limit of the listener.  */
 void
-csp_bound_callers (uint16_t port)
+csp_limit_caller_sockets (uint16_t port)
 {
-  int most = count_descriptors ();
+  int descriptor_limit = get_descriptor_limit ();
   int descriptor;
-  int listens;
-  int defer_s = DEFER_S;
-  int unread_bytes = UNREAD_BYTES;
+  int is_listening;
+  int defer_accept_s = DEFER_ACCEPT_S;
+  int send_buffer_bytes = SEND_BUFFER_BYTES;
   socklen_t size_bytes;
 
-  for (descriptor = FIRST_DESCRIPTOR; descriptor < most; descriptor++)
+  for (descriptor = FIRST_DESCRIPTOR; descriptor < descriptor_limit;
+       descriptor++)
     {
-      listens = 0;
-      size_bytes = sizeof listens;
-      if (is_at_port (descriptor, port)
-          && getsockopt (descriptor, SOL_SOCKET, SO_ACCEPTCONN, &listens,
+      is_listening = 0;
+      size_bytes = sizeof is_listening;
+      if (is_bound_to_port (descriptor, port)
+          && getsockopt (descriptor, SOL_SOCKET, SO_ACCEPTCONN, &is_listening,
                          &size_bytes)
                  == 0
-          && listens != 0)
+          && is_listening != 0)
         {
-          setsockopt (descriptor, IPPROTO_TCP, TCP_DEFER_ACCEPT, &defer_s,
-                      sizeof defer_s);
-          setsockopt (descriptor, SOL_SOCKET, SO_SNDBUF, &unread_bytes,
-                      sizeof unread_bytes);
+          setsockopt (descriptor, IPPROTO_TCP, TCP_DEFER_ACCEPT,
+                      &defer_accept_s, sizeof defer_accept_s);
+          setsockopt (descriptor, SOL_SOCKET, SO_SNDBUF, &send_buffer_bytes,
+                      sizeof send_buffer_bytes);
         }
     }
 }
--- a/source/entry/request.c
+++ b/source/entry/request.c
@@ -12,11 +12,11 @@
 
 enum
 {
-  /* Engines' tokenizers differ; four bytes a token is the usual rule for
-     text.  Admission corrects it by the engine's own report.  */
+  /* Tokenizers differ between engines; four bytes per token is the usual
+     estimate for text.  Admission corrects it by the engine's reports.  */
   BYTES_PER_TOKEN = 4,
-  /* Shared beginnings are long papers or standing instructions; 2 KB tell
-     them apart.  */
+  /* Shared prefixes are long documents or system prompts; 2 KB are enough to
+     distinguish them.  */
   PREFIX_BYTES = 2048,
   MAX_DEADLINE_MS = 24 * 3600 * 1000,
   MAX_ATTEMPT = 1000,
@@ -34,7 +34,7 @@
 };
 
 static int
-read_number (const char *text, uint32_t most, uint32_t *number)
+read_number (const char *text, uint32_t max, uint32_t *number)
 {
   char *end;
   unsigned long value;
@@ -45,7 +45,7 @@
     return -1;
   errno = 0;
   value = strtoul (text, &end, 10);
-  if (errno != 0 || *end != '\0' || value == 0 || value > most)
+  if (errno != 0 || *end != '\0' || value == 0 || value > max)
     return -1;
   *number = (uint32_t)value;
   return 0;
@@ -61,19 +61,20 @@
 }
 
 static int
-read_name (const char *text, char *name, size_t room_bytes)
+read_name (const char *text, char *name, size_t capacity_bytes)
 {
   if (text == NULL)
     return 0;
-  if (*text == '\0' || strlen (text) >= room_bytes)
+  if (*text == '\0' || strlen (text) >= capacity_bytes)
     return -1;
   memcpy (name, text, strlen (text) + 1);
   return 0;
 }
 
-/* A class is repeated in errors, which are JSON and so UTF-8.  */
+/* The class name is quoted in error messages, which are JSON and so must be
+   valid UTF-8.  */
 static bool
-is_plain (const char *text)
+is_visible_ascii (const char *text)
 {
   for (; *text != '\0'; text++)
     if (*text <= ' ' || *text > '~')
@@ -82,34 +83,35 @@
 }
 
 static int
-refuse (csp_error_t *error, const char *what, const char *allowed)
+refuse_field (csp_error_t *error, const char *field, const char *allowed)
 {
   csp_set_error (error, CSP_VERDICT_NOT_RUN, CSP_REASON_BAD_REQUEST, 0,
-                 "%s: allowed is %s", what, allowed);
+                 "%s: allowed is %s", field, allowed);
   return -1;
 }
 
 int
-csp_read_marks (const csp_request_marks_t *fields, csp_marks_t *marks,
+csp_read_marks (const csp_request_marks_t *fields, csp_marks_t *options,
                 csp_error_t *error)
 {
-  memset (marks, 0, sizeof *marks);
-  if (read_name (fields->idempotency_key, marks->idempotency_key,
-                 sizeof marks->idempotency_key)
+  memset (options, 0, sizeof *options);
+  if (read_name (fields->idempotency_key, options->idempotency_key,
+                 sizeof options->idempotency_key)
       != 0)
-    return refuse (error, "Idempotency-Key", "a text of 1 to 255 bytes");
-  if (read_name (fields->class_name, marks->class_name,
-                 sizeof marks->class_name)
+    return refuse_field (error, "Idempotency-Key", "a text of 1 to 255 bytes");
+  if (read_name (fields->class_name, options->class_name,
+                 sizeof options->class_name)
           != 0
-      || !is_plain (marks->class_name))
-    return refuse (error, "X-Class", "a name of 1 to 63 ASCII letters");
-  if (read_flag (fields->non_idempotent, &marks->non_idempotent) != 0)
-    return refuse (error, "X-Non-Idempotent", "true or false");
-  if (read_number (fields->attempt, MAX_ATTEMPT, &marks->attempt) != 0)
-    return refuse (error, "X-Attempt", "a number from 1 to 1000");
-  if (read_number (fields->deadline_ms, MAX_DEADLINE_MS, &marks->deadline_ms)
+      || !is_visible_ascii (options->class_name))
+    return refuse_field (error, "X-Class", "a name of 1 to 63 ASCII letters");
+  if (read_flag (fields->non_idempotent, &options->non_idempotent) != 0)
+    return refuse_field (error, "X-Non-Idempotent", "true or false");
+  if (read_number (fields->attempt, MAX_ATTEMPT, &options->attempt) != 0)
+    return refuse_field (error, "X-Attempt", "a number from 1 to 1000");
+  if (read_number (fields->deadline_ms, MAX_DEADLINE_MS, &options->deadline_ms)
       != 0)
-    return refuse (error, "X-Deadline-Ms", "milliseconds, at most a day");
+    return refuse_field (error, "X-Deadline-Ms",
+                         "milliseconds, at most a day");
   return 0;
 }
 
@@ -119,8 +121,8 @@
   json_tokener *tokener;
   json_object *document = NULL;
 
-  /* json-c lets overlong forms pass, which an engine may read as other
-     characters than we do.  */
+  /* json-c accepts overlong UTF-8 sequences, which an engine may decode to
+     other characters than this host.  */
   if (!csp_is_utf8 (body, size_bytes))
     return NULL;
   tokener = json_tokener_new ();
@@ -176,8 +178,8 @@
   json_object_object_get_ex (request->body, chat ? "messages" : "prompt",
                              &prompt);
   if (!json_object_is_type (prompt, type))
-    return chat ? refuse (error, "messages", "an array of messages")
-                : refuse (error, "prompt", "a text");
+    return chat ? refuse_field (error, "messages", "an array of messages")
+                : refuse_field (error, "prompt", "a text");
   request->prompt_tokens
       = (uint32_t)(count_text_bytes (prompt) / BYTES_PER_TOKEN) + 1;
   return 0;
@@ -191,12 +193,12 @@
 
   if (!json_object_object_get_ex (request->body, "model", &member)
       || !json_object_is_type (member, json_type_string))
-    return refuse (error, "model", "the name of a model route");
+    return refuse_field (error, "model", "the name of a model route");
   request->model = json_object_get_string (member);
   if (json_object_object_get_ex (request->body, "stream", &member))
     {
       if (!json_object_is_type (member, json_type_boolean))
-        return refuse (error, "stream", "true or false");
+        return refuse_field (error, "stream", "true or false");
       request->streams = json_object_get_boolean (member);
     }
   if (json_object_object_get_ex (request->body, "max_tokens", &member))
@@ -204,13 +206,13 @@
       bound = json_object_get_int64 (member);
       if (!json_object_is_type (member, json_type_int) || bound < 1
           || bound > MAX_ANSWER_TOKENS)
-        return refuse (error, "max_tokens", "a whole number from 1");
+        return refuse_field (error, "max_tokens", "a whole number from 1");
       request->max_tokens = (uint32_t)bound;
     }
   if (json_object_object_get_ex (request->body, "n", &member)
       && (!json_object_is_type (member, json_type_int)
           || json_object_get_int64 (member) != 1))
-    return refuse (error, "n", "1: one answer to a request");
+    return refuse_field (error, "n", "1: one answer to a request");
   return read_prompt (request, error);
 }
 
@@ -230,7 +232,7 @@
   request->body = parse_body (body, size_bytes);
   if (!json_object_is_type (request->body, json_type_object))
     {
-      refuse (error, "body", "one JSON object in UTF-8");
+      refuse_field (error, "body", "one JSON object in UTF-8");
       goto fail;
     }
   if (read_members (request, error) != 0)
@@ -280,7 +282,7 @@
                     uint32_t *tokens)
 {
   json_object *prompt = NULL;
-  char beginning[PREFIX_BYTES];
+  char prefix_text[PREFIX_BYTES];
   size_t size_bytes;
 
   *hash = 0;
@@ -288,11 +290,11 @@
   json_object_object_get_ex (
       request->body, request->api == CSP_API_CHAT ? "messages" : "prompt",
       &prompt);
-  size_bytes = (size_t)snprintf (beginning, sizeof beginning, "%s",
+  size_bytes = (size_t)snprintf (prefix_text, sizeof prefix_text, "%s",
                                  json_object_get_string (prompt));
-  if (size_bytes < sizeof beginning)
+  if (size_bytes < sizeof prefix_text)
     return;
-  *hash = csp_hash_pair ("prefix", beginning) | 1;
+  *hash = csp_hash_pair ("prefix", prefix_text) | 1;
   *tokens = PREFIX_BYTES / BYTES_PER_TOKEN;
 }
 
@@ -307,13 +309,14 @@
                          uint32_t max_tokens)
 {
   json_object *body = request->body;
-  char *kept = strdup (model);
+  char *model_copy = strdup (model);
 
-  /* The name is copied first: it may be the one that is replaced.  */
-  if (kept == NULL)
+  /* model may be the string in body that the call below replaces and frees,
+     so it is copied first.  */
+  if (model_copy == NULL)
     return NULL;
-  json_object_object_add (body, "model", json_object_new_string (kept));
-  free (kept);
+  json_object_object_add (body, "model", json_object_new_string (model_copy));
+  free (model_copy);
   json_object_object_get_ex (body, "model", &body);
   request->model = json_object_get_string (body);
   json_object_object_add (request->body, "stream",
--- a/source/entry/server.c
+++ b/source/entry/server.c
@@ -11,15 +11,15 @@
 enum
 {
   LISTEN_BACKLOG = 1024,
-  RETRY_ELSEWHERE_MS = 1000,
-  SERVER_OPTIONS = 20,
+  SHUTDOWN_RETRY_AFTER_MS = 1000,
+  SERVER_OPTION_SLOTS = 20,
   OPTION_BYTES = 64,
   PATH_BYTES = 4096
 };
 
 static bool
-begin_exchange (csp_exchange_t *exchange, csp_entry_t *entry,
-                struct mg_connection *connection, csp_error_t *error)
+init_exchange (csp_exchange_t *exchange, csp_entry_t *entry,
+               struct mg_connection *connection, csp_error_t *error)
 {
   csp_request_marks_t fields;
 
@@ -29,53 +29,54 @@
   exchange->info = mg_get_request_info (connection);
   exchange->socket = csp_find_caller_socket (exchange->info, entry->port);
   exchange->arrived_ms = csp_now_ms (&entry->context->clock);
-  csp_name_exchange (exchange);
+  csp_assign_request_id (exchange);
   exchange->labels = csp_get_labels (entry->context->metrics, NULL, NULL);
   fields.idempotency_key = mg_get_header (connection, "Idempotency-Key");
   fields.non_idempotent = mg_get_header (connection, "X-Non-Idempotent");
   fields.attempt = mg_get_header (connection, "X-Attempt");
   fields.deadline_ms = mg_get_header (connection, "X-Deadline-Ms");
   fields.class_name = mg_get_header (connection, "X-Class");
-  if (csp_read_marks (&fields, &exchange->marks, error) != 0)
+  if (csp_read_marks (&fields, &exchange->options, error) != 0)
     return false;
   exchange->deadline_ms
       = exchange->arrived_ms
-        + (exchange->marks.deadline_ms != 0
-               ? exchange->marks.deadline_ms
+        + (exchange->options.deadline_ms != 0
+               ? exchange->options.deadline_ms
                : entry->context->settings.default_deadline_ms);
   return true;
 }
 
 static bool
-is_open (csp_entry_t *entry, csp_error_t *error)
+check_accepting_requests (csp_entry_t *entry, csp_error_t *error)
 {
-  if (!atomic_load (&entry->draining))
+  if (!atomic_load (&entry->refusing_new))
     return true;
   csp_set_error (error, CSP_VERDICT_NOT_RUN, CSP_REASON_SHUTTING_DOWN,
-                 RETRY_ELSEWHERE_MS, "this host is shutting down");
+                 SHUTDOWN_RETRY_AFTER_MS, "this host is shutting down");
   return false;
 }
 
 static void
 end_exchange (csp_exchange_t *exchange)
 {
-  csp_drop_rest (exchange);
+  csp_discard_unread_input (exchange);
   csp_put_view (exchange->view);
   free (exchange->body);
   atomic_fetch_sub (&exchange->entry->open_requests, 1);
 }
 
-/* Count a request in before it is looked at, so that a drain never sees zero
-   while one is between the listener and its handler.  */
+/* Counts the request as open before anything is checked, so that a drain never
+   sees zero while a request is between the listener and its handler.  Returns
+   false after answering a request that is refused.  */
 static bool
-open_exchange (csp_exchange_t *exchange, csp_entry_t *entry,
-               struct mg_connection *connection)
+accept_exchange (csp_exchange_t *exchange, csp_entry_t *entry,
+                 struct mg_connection *connection)
 {
   csp_error_t error;
 
   atomic_fetch_add (&entry->open_requests, 1);
-  if (begin_exchange (exchange, entry, connection, &error)
-      && is_open (entry, &error)
+  if (init_exchange (exchange, entry, connection, &error)
+      && check_accepting_requests (entry, &error)
       && csp_identify_caller (exchange, &error) == 0)
     return true;
   csp_answer_error (exchange, &error);
@@ -83,16 +84,16 @@
 }
 
 static bool
-is_method (const csp_exchange_t *exchange, const char *method)
+require_method (const csp_exchange_t *exchange, const char *method)
 {
-  csp_exchange_t *answerable = (csp_exchange_t *)exchange;
+  csp_exchange_t *mutable_exchange = (csp_exchange_t *)exchange;
   csp_error_t error;
 
   if (strcmp (exchange->info->request_method, method) == 0)
     return true;
   csp_set_error (&error, CSP_VERDICT_NOT_RUN, CSP_REASON_BAD_REQUEST, 0,
                  "the method here is %s", method);
-  csp_answer_error (answerable, &error);
+  csp_answer_error (mutable_exchange, &error);
   return false;
 }
 
@@ -101,8 +102,8 @@
 {
   csp_exchange_t exchange;
 
-  if (open_exchange (&exchange, state, connection)
-      && is_method (&exchange, "POST"))
+  if (accept_exchange (&exchange, state, connection)
+      && require_method (&exchange, "POST"))
     csp_serve_generation (&exchange, CSP_API_COMPLETIONS);
   end_exchange (&exchange);
   return 200;
@@ -113,8 +114,8 @@
 {
   csp_exchange_t exchange;
 
-  if (open_exchange (&exchange, state, connection)
-      && is_method (&exchange, "POST"))
+  if (accept_exchange (&exchange, state, connection)
+      && require_method (&exchange, "POST"))
     csp_serve_generation (&exchange, CSP_API_CHAT);
   end_exchange (&exchange);
   return 200;
@@ -151,15 +152,15 @@
 {
   csp_exchange_t exchange;
 
-  if (open_exchange (&exchange, state, connection)
-      && is_method (&exchange, "GET"))
+  if (accept_exchange (&exchange, state, connection)
+      && require_method (&exchange, "GET"))
     answer_models (&exchange);
   end_exchange (&exchange);
   return 200;
 }
 
 static void
-answer_home (csp_exchange_t *exchange)
+answer_idempotency_home (csp_exchange_t *exchange)
 {
   const csp_context_t *context = exchange->entry->context;
   csp_once_settings_t settings = csp_default_once_settings ();
@@ -185,46 +186,47 @@
 }
 
 static int
-handle_home (struct mg_connection *connection, void *state)
+handle_idempotency_home (struct mg_connection *connection, void *state)
 {
   csp_exchange_t exchange;
 
-  if (open_exchange (&exchange, state, connection)
-      && is_method (&exchange, "GET"))
-    answer_home (&exchange);
+  if (accept_exchange (&exchange, state, connection)
+      && require_method (&exchange, "GET"))
+    answer_idempotency_home (&exchange);
   end_exchange (&exchange);
   return 200;
 }
 
-/* The path goes to the target as the caller wrote it.  One with a control
-   byte or a dot segment, plain or encoded, would be another path there than
-   the one that was matched here.  */
+/* The path is forwarded to the target as the caller wrote it.  A target may
+   resolve a path with a control byte or a dot segment, plain or encoded, to
+   another path than the one that was matched here.  */
 static bool
-is_plain_path (const char *path)
+is_safe_path (const char *path)
 {
   char text[PATH_BYTES];
   int size_bytes
       = mg_url_decode (path, (int)strlen (path), text, sizeof text, 0);
-  const char *at = text;
+  const char *position = text;
   size_t segment_bytes;
   int i;
 
   for (i = 0; i < size_bytes; i++)
     if ((unsigned char)text[i] < ' ' || text[i] == '\x7f')
       return false;
-  while (size_bytes >= 0 && *at == '/')
+  while (size_bytes >= 0 && *position == '/')
     {
-      at++;
-      segment_bytes = strcspn (at, "/");
-      if ((segment_bytes == 1 && at[0] == '.')
-          || (segment_bytes == 2 && at[0] == '.' && at[1] == '.'))
+      position++;
+      segment_bytes = strcspn (position, "/");
+      if ((segment_bytes == 1 && position[0] == '.')
+          || (segment_bytes == 2 && position[0] == '.' && position[1] == '.'))
         return false;
-      at += segment_bytes;
+      position += segment_bytes;
     }
   return size_bytes >= 0;
 }
 
-/* "/v1/services/NAME/REST", or a path below a service's own prefix.  */
+/* Finds the service of a path "/v1/services/NAME/REST" or of a path below the
+   service's own prefix.  */
 static const csp_service_t *
 find_called_service (const csp_exchange_t *exchange, const char **rest)
 {
@@ -254,10 +256,10 @@
   csp_exchange_t exchange;
   csp_error_t error;
 
-  if (open_exchange (&exchange, state, connection))
+  if (accept_exchange (&exchange, state, connection))
     {
       service = find_called_service (&exchange, &rest);
-      if (!is_plain_path (exchange.info->local_uri_raw))
+      if (!is_safe_path (exchange.info->local_uri_raw))
         {
           csp_set_error (&error, CSP_VERDICT_NOT_RUN, CSP_REASON_BAD_REQUEST,
                          0,
@@ -266,7 +268,7 @@
           csp_answer_error (&exchange, &error);
         }
       else if (service != NULL)
-        csp_serve_call (&exchange, service, rest);
+        csp_serve_service_call (&exchange, service, rest);
       else
         {
           csp_set_error (&error, CSP_VERDICT_NOT_RUN,
@@ -280,8 +282,8 @@
 }
 
 static void
-answer_operator (struct mg_connection *connection, int status,
-                 const char *type, const char *text)
+send_operator_answer (struct mg_connection *connection, int status,
+                      const char *type, const char *text)
 {
   mg_printf (connection,
              "HTTP/1.1 %d %s\r\nContent-Type: %s\r\nContent-Length: %zu\r\n"
@@ -295,7 +297,7 @@
 handle_live (struct mg_connection *connection, void *state)
 {
   (void)state;
-  answer_operator (connection, 200, "text/plain", "live\n");
+  send_operator_answer (connection, 200, "text/plain", "live\n");
   return 200;
 }
 
@@ -303,11 +305,11 @@
 handle_ready (struct mg_connection *connection, void *state)
 {
   csp_entry_t *entry = state;
-  bool ready
-      = csp_control_ready (entry->control) && !atomic_load (&entry->announced);
+  bool ready = csp_control_ready (entry->control)
+               && !atomic_load (&entry->readiness_failing);
 
-  answer_operator (connection, ready ? 200 : 503, "text/plain",
-                   ready ? "ready\n" : "not ready\n");
+  send_operator_answer (connection, ready ? 200 : 503, "text/plain",
+                        ready ? "ready\n" : "not ready\n");
   return 200;
 }
 
@@ -317,8 +319,8 @@
   csp_entry_t *entry = state;
   char *status = csp_describe_control (entry->control);
 
-  answer_operator (connection, status == NULL ? 500 : 200, "application/json",
-                   status == NULL ? "{}" : status);
+  send_operator_answer (connection, status == NULL ? 500 : 200,
+                        "application/json", status == NULL ? "{}" : status);
   free (status);
   return 200;
 }
@@ -335,15 +337,16 @@
   csp_set_gauge (entry->context->metrics, CSP_GAUGE_OPEN_STREAMS,
                  csp_open_requests (entry));
   text = csp_render_metrics (entry->context->metrics, &size_bytes);
-  answer_operator (connection, text == NULL ? 500 : 200,
-                   "text/plain; version=0.0.4", text == NULL ? "" : text);
+  send_operator_answer (connection, text == NULL ? 500 : 200,
+                        "text/plain; version=0.0.4", text == NULL ? "" : text);
   free (text);
   return 200;
 }
 
-/* CivetWeb's threads read the view under RCU and have to be known to it.  */
+/* CivetWeb's threads read the view under RCU and must be registered with
+   it.  */
 static void *
-register_thread (const struct mg_context *context, int type)
+register_rcu_thread (const struct mg_context *context, int type)
 {
   (void)context;
   (void)type;
@@ -352,7 +355,7 @@
 }
 
 static void
-unregister_thread (const struct mg_context *context, int type, void *state)
+unregister_rcu_thread (const struct mg_context *context, int type, void *state)
 {
   (void)context;
   (void)type;
@@ -368,7 +371,7 @@
   { "/v1/completions$", handle_completions },
   { "/v1/chat/completions$", handle_chat },
   { "/v1/models$", handle_models },
-  { "/v1/idempotency-home$", handle_home },
+  { "/v1/idempotency-home$", handle_idempotency_home },
   { "/live$", handle_live },
   { "/ready$", handle_ready },
   { "/status$", handle_status },
@@ -376,12 +379,12 @@
   { "/", handle_other },
 };
 
-/* Fill the library's list of options: name, value, name, value, NULL.  */
+/* Fills the HTTP library's option list: name, value, name, value, NULL.  */
 static void
 fill_options (const csp_settings_t *settings, char texts[][OPTION_BYTES],
               const char **options)
 {
-  int n = 0;
+  int count = 0;
 
   snprintf (texts[0], OPTION_BYTES, "%.40s:%u", settings->listen_address,
             settings->http_port);
@@ -389,25 +392,25 @@
   snprintf (texts[2], OPTION_BYTES, "%u", settings->max_header_bytes);
   snprintf (texts[3], OPTION_BYTES, "%d", LISTEN_BACKLOG);
   snprintf (texts[4], OPTION_BYTES, "%u", settings->caller_timeout_ms);
-  options[n++] = "listening_ports";
-  options[n++] = texts[0];
-  options[n++] = "num_threads";
-  options[n++] = texts[1];
-  options[n++] = "max_request_size";
-  options[n++] = texts[2];
-  options[n++] = "listen_backlog";
-  options[n++] = texts[3];
-  options[n++] = "request_timeout_ms";
-  options[n++] = texts[4];
-  /* Decoded, an encoded NUL cuts a path and an encoded line end splits the
-     request that a service gets.  */
-  options[n++] = "decode_url";
-  options[n++] = "no";
-  options[n++] = "tcp_nodelay";
-  options[n++] = "1";
-  options[n++] = "enable_keep_alive";
-  options[n++] = "no";
-  options[n] = NULL;
+  options[count++] = "listening_ports";
+  options[count++] = texts[0];
+  options[count++] = "num_threads";
+  options[count++] = texts[1];
+  options[count++] = "max_request_size";
+  options[count++] = texts[2];
+  options[count++] = "listen_backlog";
+  options[count++] = texts[3];
+  options[count++] = "request_timeout_ms";
+  options[count++] = texts[4];
+  /* With decoding, an encoded NUL would truncate the path and an encoded line
+     end would split the request that is sent to a service.  */
+  options[count++] = "decode_url";
+  options[count++] = "no";
+  options[count++] = "tcp_nodelay";
+  options[count++] = "1";
+  options[count++] = "enable_keep_alive";
+  options[count++] = "no";
+  options[count] = NULL;
 }
 
 csp_entry_t *
@@ -416,11 +419,11 @@
 {
   const csp_settings_t *settings = &context->settings;
   csp_entry_t *entry = calloc (1, sizeof *entry);
-  struct mg_callbacks callbacks = { .init_thread = register_thread,
-                                    .exit_thread = unregister_thread,
+  struct mg_callbacks callbacks = { .init_thread = register_rcu_thread,
+                                    .exit_thread = unregister_rcu_thread,
                                     .http_error = csp_answer_malformed };
   char texts[5][OPTION_BYTES];
-  const char *options[SERVER_OPTIONS];
+  const char *options[SERVER_OPTION_SLOTS];
   struct mg_server_port port;
   size_t i;
 
@@ -441,7 +444,7 @@
   mg_init_library (
       settings->caller_tls.certificate_file[0] != '\0' ? MG_FEATURES_TLS : 0);
   fill_options (settings, texts, options);
-  if (csp_start_watch (entry) != 0)
+  if (csp_start_read_watchdog (entry) != 0)
     {
       free (entry);
       return NULL;
@@ -449,13 +452,13 @@
   entry->server = mg_start (&callbacks, entry, options);
   if (entry->server == NULL)
     {
-      csp_stop_watch (entry);
+      csp_stop_read_watchdog (entry);
       free (entry);
       return NULL;
     }
   if (mg_get_server_ports (entry->server, 1, &port) == 1)
     entry->port = (uint16_t)port.port;
-  csp_bound_callers (entry->port);
+  csp_limit_caller_sockets (entry->port);
   for (i = 0; i < sizeof handlers / sizeof handlers[0]; i++)
     mg_set_request_handler (entry->server, handlers[i].path,
                             handlers[i].handler, entry);
@@ -471,13 +474,13 @@
 void
 csp_announce_drain (csp_entry_t *entry)
 {
-  atomic_store (&entry->announced, true);
+  atomic_store (&entry->readiness_failing, true);
 }
 
 void
 csp_refuse_new (csp_entry_t *entry)
 {
-  atomic_store (&entry->draining, true);
+  atomic_store (&entry->refusing_new, true);
 }
 
 uint32_t
@@ -489,7 +492,7 @@
 void
 csp_stop_open (csp_entry_t *entry)
 {
-  atomic_store (&entry->stopping, true);
+  atomic_store (&entry->aborting_open, true);
 }
 
 void
@@ -499,6 +502,6 @@
     return;
   mg_stop (entry->server);
   mg_exit_library ();
-  csp_stop_watch (entry);
+  csp_stop_read_watchdog (entry);
   free (entry);
 }
