--- a/source/fields/fields-arena.c
+++ b/source/fields/fields-arena.c
@@ -59,18 +59,18 @@
 csp_format_text (csp_arena_t *arena, const char *format, ...)
 {
   va_list args;
-  va_list again;
+  va_list args_copy;
   char *text;
   int length;
 
   va_start (args, format);
-  va_copy (again, args);
+  va_copy (args_copy, args);
   length = vsnprintf (NULL, 0, format, args);
   va_end (args);
   if (length < 0)
     abort ();
   text = csp_allocate (arena, (size_t)length + 1);
-  vsnprintf (text, (size_t)length + 1, format, again);
-  va_end (again);
+  vsnprintf (text, (size_t)length + 1, format, args_copy);
+  va_end (args_copy);
   return text;
 }
--- a/source/fields/fields-imp.h
+++ b/source/fields/fields-imp.h
@@ -8,9 +8,9 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* Reads JSON objects into structs by tables, one row a key, so that type,
-   bounds, default and help of a key stand in one place and every fault names
-   where it is, its path, the value and what is allowed.  */
+/* Reads JSON objects into structs by tables with one row per key.  The row
+   holds the type, bounds, default and help of its key, and each fault names
+   its file, path and line, the value and what is allowed.  */
 
 typedef enum
 {
@@ -21,23 +21,23 @@
   CSP_FIELD_DOUBLE,  /* double */
   CSP_FIELD_CHOICE,  /* int, index into choices */
   CSP_FIELD_CHARS,   /* char[size_bytes], copied */
-  CSP_FIELD_TEXT,    /* const char *, borrowed from the JSON value */
+  CSP_FIELD_TEXT,    /* const char *, owned by the JSON value */
   CSP_FIELD_STRINGS, /* const char *const *, count at count_offset */
-  CSP_FIELD_OBJECT,  /* struct in place, read by fields */
-  CSP_FIELD_MAP,     /* array of structs; the key goes to the first member,
-                        a const char * */
+  CSP_FIELD_OBJECT,  /* embedded struct, read by fields */
+  CSP_FIELD_MAP,     /* array of structs; the key is stored in the first
+                        member, a const char * */
   CSP_FIELD_LIST     /* array of structs */
 } csp_field_type_t;
 
-/* What a string has to look like.  */
+/* The syntax of a string.  */
 typedef enum
 {
   CSP_FORM_TEXT,    /* printable, without control characters */
   CSP_FORM_NAME,    /* letters, digits, ".", "_", "-" */
-  CSP_FORM_ADDRESS, /* IPv4 or IPv6 number */
+  CSP_FORM_ADDRESS, /* IPv4 or IPv6 address */
   CSP_FORM_SHA256,  /* 64 lower-case hex digits */
-  CSP_FORM_PATH,    /* "/" and what follows, without a closing "/" */
-  CSP_FORM_METHOD   /* capital letters */
+  CSP_FORM_PATH,    /* starts with "/", has more and doesn't end with "/" */
+  CSP_FORM_METHOD   /* HTTP method, upper-case letters */
 } csp_form_t;
 
 typedef struct csp_field csp_field_t;
@@ -48,31 +48,35 @@
   csp_field_type_t type;
   csp_form_t form;
   size_t offset;
-  /* CHARS: room with the closing nul.  MAP and LIST: bytes of one struct.  */
+  /* CHARS: size of the array with the terminating NUL.  MAP and LIST: size of
+     one struct.  */
   size_t size_bytes;
-  /* MAP, LIST and STRINGS: where the size_t count is.  */
+  /* MAP, LIST and STRINGS: offset of the size_t that gets the count.  */
   size_t count_offset;
-  /* Where a bool says that the key is there; 0 for nowhere.  */
+  /* Offset of a bool that is set when the key is present; 0 for none.  */
   size_t present_offset;
-  /* Numbers: bounds.  STRINGS, MAP and LIST: bounds of the count.  */
+  /* Numbers: bounds of the value.  STRINGS, MAP and LIST: bounds of the
+     count.  */
   double min;
   double max;
-  /* As on a command line; NULL for zero.  */
+  /* The default, written as on a command line; NULL for zero.  */
   const char *standard;
   bool required;
-  /* CHOICE and strings that are one of a few, ended by NULL.  */
+  /* CHOICE, and strings with a fixed set of values: the values, terminated by
+     NULL.  */
   const char *const *choices;
-  /* OBJECT, MAP and LIST; ended by a row without a name.  */
+  /* OBJECT, MAP and LIST: the rows of the struct, terminated by a row without
+     a name.  */
   const csp_field_t *fields;
   const char *help;
 };
 
-/* Memory of what was read, released at once.  */
+/* An allocator for the data that was read; all of it is freed at once.  */
 typedef struct csp_arena csp_arena_t;
 
 csp_arena_t *csp_create_arena (void);
 void csp_destroy_arena (csp_arena_t *arena);
-/* Zeroed; never NULL.  */
+/* Returns zeroed memory; never NULL, as the process aborts without memory.  */
 void *csp_allocate (csp_arena_t *arena, size_t size_bytes);
 char *csp_format_text (csp_arena_t *arena, const char *format, ...)
     __attribute__ ((format (printf, 2, 3)));
@@ -83,7 +87,8 @@
   CSP_FIELD_ALLOWED_BYTES = 512
 };
 
-/* A place in a file or value that is being read.  */
+/* The position in the JSON value that is being read: the file or key (where)
+   and the path inside it.  */
 typedef struct
 {
   const char *where;
@@ -92,36 +97,39 @@
   csp_faults_t *faults;
 } csp_place_t;
 
-/* Add ".name", or "[index]" where name is NULL, to the path; returns the
-   length before, for csp_leave_place.  */
+/* Appends ".name", or "[index]" where name is NULL, to the path.  Returns the
+   previous length, to which csp_leave_place truncates the path again.  */
 size_t csp_enter_place (csp_place_t *place, const char *name, size_t index);
 void csp_leave_place (csp_place_t *place, size_t length);
 
-/* Add a fault at the place.  value may be NULL.  */
+/* Adds a fault at the position, with the line of value, which may be NULL.  */
 void csp_add_place_fault (csp_place_t *place, struct json_object *value,
                           const char *text, ...)
     __attribute__ ((format (printf, 3, 4)));
 
-/* Set all fields of a struct to their defaults.  */
-void csp_default_fields (const csp_field_t *fields, void *out);
+/* Sets all fields of a struct to their defaults.  */
+void csp_set_default_fields (const csp_field_t *fields, void *out);
 
-/* Read an object over the defaults; unknown keys are faults.  */
+/* Sets the defaults, then reads an object over them; unknown keys are
+   faults.  */
 void csp_read_fields (csp_place_t *place, const csp_field_t *fields,
                       struct json_object *object, void *out);
 
-/* Set one plain field from text as on a command line; false with a fault where
-   the text is not allowed.  */
+/* Sets one field, no list or struct, from a command line's text.  Returns
+   false with a fault where the text is not allowed.  */
 bool csp_set_field_text (const csp_field_t *field, const char *text, void *out,
                          csp_place_t *place);
 
-/* Write what a field allows, such as "a whole number from 0 to 65535".  */
+/* Describes the values that a field allows, such as "a whole number from 0 to
+   65535".  */
 void csp_describe_field (const csp_field_t *field,
                          char allowed[CSP_FIELD_ALLOWED_BYTES]);
 
-/* Whether a text has a form.  */
+/* Whether a text has the syntax of a form.  */
 bool csp_text_has_form (csp_form_t form, const char *text);
 
-/* Store checked values; used by the readers of JSON and of text.  */
+/* Checks a value and stores it in the field of out.  Returns false where the
+   value is not allowed.  */
 bool csp_store_number (const csp_field_t *field, double value, void *out);
 bool csp_store_text (const csp_field_t *field, const char *text, void *out);
 
--- a/source/fields/fields-read.c
+++ b/source/fields/fields-read.c
@@ -8,22 +8,22 @@
 
 enum
 {
-  VALUE_SHOWN_BYTES = 80
+  MAX_SHOWN_VALUE_BYTES = 80
 };
 
-static void read_object_rows (csp_place_t *place, const csp_field_t *fields,
-                              struct json_object *object, void *out);
+static void read_members (csp_place_t *place, const csp_field_t *fields,
+                          struct json_object *object, void *out);
 
 size_t
 csp_enter_place (csp_place_t *place, const char *name, size_t index)
 {
   size_t length = strlen (place->path);
-  size_t left = sizeof place->path - length;
+  size_t free_bytes = sizeof place->path - length;
 
   if (name == NULL)
-    snprintf (place->path + length, left, "[%zu]", index);
+    snprintf (place->path + length, free_bytes, "[%zu]", index);
   else
-    snprintf (place->path + length, left, "%s%s", length == 0 ? "" : ".",
+    snprintf (place->path + length, free_bytes, "%s%s", length == 0 ? "" : ".",
               name);
   return length;
 }
@@ -49,17 +49,18 @@
 }
 
 static void
-refuse_value (csp_place_t *place, const csp_field_t *field,
-              struct json_object *value)
+add_value_fault (csp_place_t *place, const csp_field_t *field,
+                 struct json_object *value)
 {
   char allowed[CSP_FIELD_ALLOWED_BYTES];
-  const char *shown
+  const char *value_json
       = json_object_to_json_string_ext (value, JSON_C_TO_STRING_PLAIN);
 
   csp_describe_field (field, allowed);
   csp_add_place_fault (
-      place, value, "%.*s%s is not allowed; allowed is %s", VALUE_SHOWN_BYTES,
-      shown, strlen (shown) > VALUE_SHOWN_BYTES ? "..." : "", allowed);
+      place, value, "%.*s%s is not allowed; allowed is %s",
+      MAX_SHOWN_VALUE_BYTES, value_json,
+      strlen (value_json) > MAX_SHOWN_VALUE_BYTES ? "..." : "", allowed);
 }
 
 static bool
@@ -88,18 +89,18 @@
   return csp_store_text (field, json_object_get_string (value), out);
 }
 
-/* Reads one string of a list; false where it isn't allowed or stands there
-   already.  */
+/* Reads one string of a list.  Returns false where it isn't allowed or is
+   already in the list.  */
 static bool
-read_one_string (const csp_field_t *field, struct json_object *value,
-                 const char **strings, size_t count)
+read_unique_string (const csp_field_t *field, struct json_object *value,
+                    const char **strings, size_t count)
 {
-  csp_field_t one = *field;
+  csp_field_t single = *field;
   size_t i;
 
-  one.type = CSP_FIELD_TEXT;
-  one.offset = 0;
-  if (!read_text (&one, value, &strings[count]))
+  single.type = CSP_FIELD_TEXT;
+  single.offset = 0;
+  if (!read_text (&single, value, &strings[count]))
     return false;
   for (i = 0; i < count; i++)
     if (strcmp (strings[i], strings[count]) == 0)
@@ -120,16 +121,16 @@
   if ((double)count < field->min || (double)count > field->max)
     return false;
   strings = csp_allocate (place->arena, count * sizeof *strings);
-  if (!is_list && !read_one_string (field, value, strings, 0))
+  if (!is_list && !read_unique_string (field, value, strings, 0))
     return false;
   for (i = 0; is_list && i < count; i++)
     {
       struct json_object *item = json_object_array_get_idx (value, i);
 
       length = csp_enter_place (place, NULL, i);
-      if (!read_one_string (field, item, strings, i))
+      if (!read_unique_string (field, item, strings, i))
         {
-          refuse_value (place, field, item);
+          add_value_fault (place, field, item);
           strings[i] = "";
         }
       csp_leave_place (place, length);
@@ -143,13 +144,13 @@
 read_struct (csp_place_t *place, const csp_field_t *field,
              struct json_object *value, void *out)
 {
-  csp_default_fields (field->fields, out);
+  csp_set_default_fields (field->fields, out);
   if (!json_object_is_type (value, json_type_object))
     {
       csp_add_place_fault (place, value, "must be an object");
       return;
     }
-  read_object_rows (place, field->fields, value, out);
+  read_members (place, field->fields, value, out);
 }
 
 static bool
@@ -215,7 +216,7 @@
 {
   if (!json_object_is_type (value, json_type_object))
     return false;
-  read_object_rows (place, field->fields, value, (char *)out + field->offset);
+  read_members (place, field->fields, value, (char *)out + field->offset);
   return true;
 }
 
@@ -255,7 +256,7 @@
       break;
     }
   if (!allowed)
-    refuse_value (place, field, value);
+    add_value_fault (place, field, value);
   else if (field->present_offset != 0)
     *(bool *)((char *)out + field->present_offset) = true;
 }
@@ -272,8 +273,8 @@
 }
 
 static void
-refuse_key (csp_place_t *place, const csp_field_t *fields,
-            struct json_object *value)
+add_unknown_key_fault (csp_place_t *place, const csp_field_t *fields,
+                       struct json_object *value)
 {
   char keys[CSP_FIELD_ALLOWED_BYTES * 2] = "";
   const csp_field_t *field;
@@ -287,8 +288,8 @@
 }
 
 static void
-read_object_rows (csp_place_t *place, const csp_field_t *fields,
-                  struct json_object *object, void *out)
+read_members (csp_place_t *place, const csp_field_t *fields,
+              struct json_object *object, void *out)
 {
   const csp_field_t *field;
   size_t length;
@@ -298,7 +299,7 @@
     length = csp_enter_place (place, name, 0);
     field = find_field (fields, name);
     if (field == NULL)
-      refuse_key (place, fields, value);
+      add_unknown_key_fault (place, fields, value);
     else
       read_field (place, field, value, out);
     csp_leave_place (place, length);
@@ -317,11 +318,11 @@
 csp_read_fields (csp_place_t *place, const csp_field_t *fields,
                  struct json_object *object, void *out)
 {
-  csp_default_fields (fields, out);
+  csp_set_default_fields (fields, out);
   if (!json_object_is_type (object, json_type_object))
     {
       csp_add_place_fault (place, object, "must be an object");
       return;
     }
-  read_object_rows (place, fields, object, out);
+  read_members (place, fields, object, out);
 }
--- a/source/fields/fields-value.c
+++ b/source/fields/fields-value.c
@@ -15,9 +15,9 @@
   SHA256_LENGTH = 64
 };
 
-static const char lower_hex[] = "0123456789abcdef";
-static const char capitals[] = "ABCDEFGHIJKLMNOPQRSTUVWXYZ";
-static const char name_marks[] = "._-";
+static const char lower_case_hex[] = "0123456789abcdef";
+static const char upper_case_letters[] = "ABCDEFGHIJKLMNOPQRSTUVWXYZ";
+static const char name_punctuation[] = "._-";
 
 static bool
 is_name (const char *text)
@@ -28,7 +28,7 @@
     return false;
   for (i = 0; text[i] != '\0'; i++)
     if (!isalnum ((unsigned char)text[i])
-        && strchr (name_marks, text[i]) == NULL)
+        && strchr (name_punctuation, text[i]) == NULL)
       return false;
   return i <= NAME_LENGTH_MAX;
 }
@@ -76,11 +76,13 @@
     case CSP_FORM_ADDRESS:
       return is_address (text);
     case CSP_FORM_SHA256:
-      return length == SHA256_LENGTH && strspn (text, lower_hex) == length;
+      return length == SHA256_LENGTH
+             && strspn (text, lower_case_hex) == length;
     case CSP_FORM_PATH:
       return is_path (text);
     case CSP_FORM_METHOD:
-      return length > 0 && length < 16 && strspn (text, capitals) == length;
+      return length > 0 && length < 16
+             && strspn (text, upper_case_letters) == length;
     }
   return false;
 }
@@ -119,7 +121,7 @@
 }
 
 static void
-describe_text (const csp_field_t *field, char *text, size_t size_bytes)
+describe_string (const csp_field_t *field, char *text, size_t size_bytes)
 {
   if (field->choices != NULL)
     describe_choices (field->choices, text, size_bytes);
@@ -134,7 +136,7 @@
 csp_describe_field (const csp_field_t *field,
                     char allowed[CSP_FIELD_ALLOWED_BYTES])
 {
-  char one[CSP_FIELD_ALLOWED_BYTES / 2];
+  char described_text[CSP_FIELD_ALLOWED_BYTES / 2];
   size_t size_bytes = CSP_FIELD_ALLOWED_BYTES;
 
   switch (field->type)
@@ -155,14 +157,14 @@
     case CSP_FIELD_CHOICE:
     case CSP_FIELD_CHARS:
     case CSP_FIELD_TEXT:
-      describe_text (field, one, sizeof one);
-      snprintf (allowed, size_bytes, "a string: %s", one);
+      describe_string (field, described_text, sizeof described_text);
+      snprintf (allowed, size_bytes, "a string: %s", described_text);
       break;
     case CSP_FIELD_STRINGS:
-      describe_text (field, one, sizeof one);
+      describe_string (field, described_text, sizeof described_text);
       snprintf (allowed, size_bytes,
                 "a string or a list of %.0f to %.0f different strings: %s",
-                field->min, field->max, one);
+                field->min, field->max, described_text);
       break;
     case CSP_FIELD_OBJECT:
       snprintf (allowed, size_bytes, "an object");
@@ -265,7 +267,7 @@
 }
 
 static bool
-store_any_text (const csp_field_t *field, const char *text, void *out)
+store_text_as_type (const csp_field_t *field, const char *text, void *out)
 {
   switch (field->type)
     {
@@ -288,7 +290,7 @@
 {
   char allowed[CSP_FIELD_ALLOWED_BYTES];
 
-  if (store_any_text (field, text, out))
+  if (store_text_as_type (field, text, out))
     return true;
   csp_describe_field (field, allowed);
   csp_add_place_fault (place, NULL, "\"%s\" is not allowed; allowed is %s",
@@ -296,10 +298,10 @@
   return false;
 }
 
-/* A default may lie outside the bounds to tell "not set" from every value
-   that can be declared, so bounds do not hold for it.  */
+/* A default may be out of bounds, so that "not set" differs from every value
+   that can be declared; bounds are therefore not checked for defaults.  */
 void
-csp_default_fields (const csp_field_t *fields, void *out)
+csp_set_default_fields (const csp_field_t *fields, void *out)
 {
   const csp_field_t *field;
   csp_field_t unbounded;
@@ -307,13 +309,13 @@
   for (field = fields; field->name != NULL; field++)
     {
       if (field->type == CSP_FIELD_OBJECT)
-        csp_default_fields (field->fields, (char *)out + field->offset);
+        csp_set_default_fields (field->fields, (char *)out + field->offset);
       if (field->standard == NULL)
         continue;
       unbounded = *field;
       unbounded.min = -HUGE_VAL;
       unbounded.max = HUGE_VAL;
-      if (!store_any_text (&unbounded, field->standard, out))
+      if (!store_text_as_type (&unbounded, field->standard, out))
         abort ();
     }
 }
--- a/source/settings/settings.c
+++ b/source/settings/settings.c
@@ -17,7 +17,7 @@
 csp_default_settings (csp_settings_t *settings)
 {
   memset (settings, 0, sizeof *settings);
-  csp_default_fields (csp_settings_table, settings);
+  csp_set_default_fields (csp_settings_table, settings);
 }
 
 /* Which of the required keys are there is checked after the command line, in
