--- a/include/cowslipspoke/settings.h
+++ b/include/cowslipspoke/settings.h
@@ -13,7 +13,7 @@
   CSP_SETTING_FILE_BYTES = 256
 };
 
-/* Files of one TLS endpoint; a file that is not set is "".  */
+/* The files of one TLS endpoint; "" for a file that is not set.  */
 typedef struct
 {
   char certificate_file[CSP_SETTING_FILE_BYTES];
@@ -21,9 +21,9 @@
   char ca_file[CSP_SETTING_FILE_BYTES];
 } csp_tls_settings_t;
 
-/* The settings of a daemon.  Every key, its bounds, default and meaning stand
-   in one table, source/settings/settings-table.c, and in docs/SETTINGS.md.
-   Plain data: it owns nothing and may be copied.  */
+/* The settings of a daemon.  source/settings/settings-table.c and
+   docs/SETTINGS.md list every key with its bounds, default and meaning.  The
+   struct owns no memory and may be copied.  */
 typedef struct
 {
   char deployment[CSP_SETTING_NAME_BYTES];
@@ -58,7 +58,7 @@
   csp_tls_settings_t peer_tls;
 } csp_settings_t;
 
-/* What a command line asks for.  */
+/* The action that a command line requests.  */
 typedef enum
 {
   CSP_COMMAND_RUN,
@@ -69,40 +69,44 @@
 
 enum
 {
-  /* Exit code of a program whose settings or command line are at fault.  */
+  /* Exit code of a program whose settings or command line are invalid.  */
   CSP_EXIT_BAD_SETTINGS = 2
 };
 
-/* All defaults; the names and addresses that have none are "".  */
+/* Sets all defaults; names and addresses without a default become "".  */
 void csp_default_settings (csp_settings_t *settings);
 
-/* Read JSON text with comments over the settings.  where names the text in
-   faults.  Returns true where no fault was found.  */
+/* Parses JSON with comments; each key in the text overrides the value in
+   settings.  where names the text in faults.  Returns true where no fault was
+   found.  */
 bool csp_parse_settings (const char *where, const char *text,
                          size_t size_bytes, csp_settings_t *settings,
                          csp_faults_t *faults);
 
-/* The same from a file, over the defaults, with all checks of
-   csp_check_settings. Returns true where no fault was found.  */
+/* Sets the defaults, parses a file as csp_parse_settings does, and runs the
+   checks of csp_check_settings.  Returns true where no fault was found.  */
 bool csp_load_settings (const char *path, csp_settings_t *settings,
                         csp_faults_t *faults);
 
-/* Checks that span keys: required keys, files that belong together, and
-   suspect_after_ms against heartbeat_interval_ms.  */
+/* Runs the checks across keys: that required keys are set, that TLS files are
+   readable and given in pairs, suspect_after_ms against heartbeat_interval_ms,
+   and drain_notice_ms against drain_limit_ms.  Returns true where no fault was
+   found.  */
 bool csp_check_settings (const char *where, const csp_settings_t *settings,
                          csp_faults_t *faults);
 
-/* Read a daemon's command line: --settings FILE first, then every other
-   option over it, whatever their order, then csp_check_settings.  Faults of
-   file and options are all added.  Returns true where there was none; with
-   CSP_COMMAND_HELP and CSP_COMMAND_VERSION the settings are the defaults.  */
+/* Reads a daemon's command line: first the file of --settings, then all other
+   options, which override it regardless of their order, then
+   csp_check_settings.  Adds the faults of both file and options.  Returns true
+   where no fault was found.  With CSP_COMMAND_HELP and CSP_COMMAND_VERSION the
+   file is not read and nothing is checked.  */
 bool csp_read_command_line (int argc, char **argv, csp_command_t *command,
                             csp_settings_t *settings, csp_faults_t *faults);
 
-/* Print the options of a daemon with their bounds and defaults.  */
+/* Prints the options of a daemon with their bounds and defaults.  */
 void csp_print_settings_help (FILE *stream);
 
-/* The version of library and programs, such as "0.1.0".  */
+/* Returns the version of the library and the programs, such as "0.1.0".  */
 const char *csp_version (void);
 
 #endif
--- a/source/settings/settings-imp.h
+++ b/source/settings/settings-imp.h
@@ -4,7 +4,7 @@
 #include "cowslipspoke/settings.h"
 #include "fields/fields-imp.h"
 
-/* One row a key of csp_settings_t; ended by a row without a name.  */
+/* One row per key of csp_settings_t, terminated by a row without a name.  */
 extern const csp_field_t csp_settings_table[];
 
 enum
@@ -13,22 +13,24 @@
   CSP_SETTINGS_MAX = 64
 };
 
-/* A plain key, also one inside an object, with its whole path.  */
+/* A key that is no object, at the top level or inside an object.  */
 typedef struct
 {
-  /* As in the file: "caller_tls.key_file".  */
+  /* The path in the file, such as "caller_tls.key_file".  */
   char path[CSP_SETTING_PATH_BYTES];
-  /* As on the command line: "caller-tls-key-file".  */
+  /* The option on the command line, such as "caller-tls-key-file".  */
   char option[CSP_SETTING_PATH_BYTES];
   const csp_field_t *field;
-  /* Offset of the struct that the field's own offset counts from.  */
-  size_t base;
+  /* Offset in csp_settings_t of the struct that contains the field; the
+     field's own offset is relative to it.  */
+  size_t base_offset;
 } csp_setting_t;
 
-/* Write all plain keys in the table's order; returns how many.  */
+/* Lists all keys that are no objects, in the order of the table.  Returns
+   their number.  */
 size_t csp_list_settings (csp_setting_t settings[CSP_SETTINGS_MAX]);
 
-/* Read a file over the settings, without csp_check_settings.  */
+/* Parses a file as csp_parse_settings does, without csp_check_settings.  */
 bool csp_load_settings_file (const char *path, csp_settings_t *settings,
                              csp_faults_t *faults);
 
--- a/source/settings/settings-options.c
+++ b/source/settings/settings-options.c
@@ -23,34 +23,34 @@
 static const char *const command_line = "command line";
 
 static void
-add_setting (csp_setting_t *setting, const csp_field_t *outer,
+add_setting (csp_setting_t *setting, const csp_field_t *parent,
              const csp_field_t *field)
 {
-  char *mark;
+  char *separator;
 
   snprintf (setting->path, sizeof setting->path, "%s%s%s",
-            outer == NULL ? "" : outer->name, outer == NULL ? "" : ".",
+            parent == NULL ? "" : parent->name, parent == NULL ? "" : ".",
             field->name);
   memcpy (setting->option, setting->path, sizeof setting->option);
-  while ((mark = strpbrk (setting->option, "._")) != NULL)
-    *mark = '-';
+  while ((separator = strpbrk (setting->option, "._")) != NULL)
+    *separator = '-';
   setting->field = field;
-  setting->base = outer == NULL ? 0 : outer->offset;
+  setting->base_offset = parent == NULL ? 0 : parent->offset;
 }
 
 size_t
 csp_list_settings (csp_setting_t settings[CSP_SETTINGS_MAX])
 {
   const csp_field_t *row;
-  const csp_field_t *inner;
+  const csp_field_t *member;
   size_t count = 0;
 
   for (row = csp_settings_table; row->name != NULL; row++)
     if (row->type != CSP_FIELD_OBJECT)
       add_setting (&settings[count++], NULL, row);
     else
-      for (inner = row->fields; inner->name != NULL; inner++)
-        add_setting (&settings[count++], row, inner);
+      for (member = row->fields; member->name != NULL; member++)
+        add_setting (&settings[count++], row, member);
   return count;
 }
 
@@ -78,14 +78,15 @@
   csp_place_t place = { .where = command_line, .faults = faults };
 
   snprintf (place.path, sizeof place.path, "--%s", setting->option);
-  csp_set_field_text (setting->field, text, (char *)settings + setting->base,
-                      &place);
+  csp_set_field_text (setting->field, text,
+                      (char *)settings + setting->base_offset, &place);
 }
 
-/* The file is found and read before any other option, so that options go over
-   it wherever they stand on the line.  */
+/* Returns the argument of --settings; NULL where there is none.  The file is
+   read before all other options, so that options override it regardless of
+   their order.  */
 static const char *
-find_file (int argc, char **argv, const struct option *options)
+find_settings_file (int argc, char **argv, const struct option *options)
 {
   const char *file = NULL;
   int option;
@@ -148,17 +149,17 @@
 {
   csp_setting_t rows[CSP_SETTINGS_MAX];
   struct option options[OPTION_COUNT];
-  size_t before = csp_count_faults (faults);
+  size_t fault_count_before = csp_count_faults (faults);
   size_t count = csp_list_settings (rows);
   const char *file;
 
   *command = CSP_COMMAND_RUN;
   csp_default_settings (settings);
   fill_options (rows, count, options);
-  file = find_file (argc, argv, options);
+  file = find_settings_file (argc, argv, options);
   read_options (argc, argv, options, rows, command, settings, faults);
   if (*command == CSP_COMMAND_HELP || *command == CSP_COMMAND_VERSION)
-    return csp_count_faults (faults) == before;
+    return csp_count_faults (faults) == fault_count_before;
   if (file != NULL)
     {
       csp_default_settings (settings);
@@ -166,18 +167,18 @@
       read_options (argc, argv, options, rows, command, settings, NULL);
     }
   csp_check_settings (file == NULL ? command_line : file, settings, faults);
-  return csp_count_faults (faults) == before;
+  return csp_count_faults (faults) == fault_count_before;
 }
 
 static void
 print_option (FILE *stream, const char *option, const char *help,
-              const char *allowed, const char *standard)
+              const char *allowed, const char *default_text)
 {
   fprintf (stream, "  --%-*s %s\n", HELP_COLUMN, option, help);
   if (allowed[0] != '\0')
     fprintf (stream, "    %-*s %s%s%s\n", HELP_COLUMN, "", allowed,
-             standard == NULL ? "" : "; default ",
-             standard == NULL ? "" : standard);
+             default_text == NULL ? "" : "; default ",
+             default_text == NULL ? "" : default_text);
 }
 
 void
--- a/source/settings/settings-table.c
+++ b/source/settings/settings-table.c
@@ -1,12 +1,13 @@
 #include "settings/settings-imp.h"
 
-#define AT(member) .offset = offsetof (csp_settings_t, member)
-#define CHARS(member, text_form)                                              \
-  .type = CSP_FIELD_CHARS, .form = (text_form), AT (member),                  \
+#define OFFSET(member) .offset = offsetof (csp_settings_t, member)
+#define STRING(member, string_form)                                           \
+  .type = CSP_FIELD_CHARS, .form = (string_form), OFFSET (member),            \
   .size_bytes = sizeof (((csp_settings_t *)0)->member)
-#define PORT(member) .type = CSP_FIELD_U16, AT (member), .min = 0, .max = 65535
+#define PORT(member)                                                          \
+  .type = CSP_FIELD_U16, OFFSET (member), .min = 0, .max = 65535
 #define NUMBER(member, lowest, highest)                                       \
-  .type = CSP_FIELD_U32, AT (member), .min = (lowest), .max = (highest)
+  .type = CSP_FIELD_U32, OFFSET (member), .min = (lowest), .max = (highest)
 #define TLS_FILE(member)                                                      \
   .type = CSP_FIELD_CHARS, .form = CSP_FORM_TEXT,                             \
   .offset = offsetof (csp_tls_settings_t, member),                            \
@@ -47,23 +48,23 @@
 
 const csp_field_t csp_settings_table[] = {
   { .name = "deployment",
-    CHARS (deployment, CSP_FORM_NAME),
+    STRING (deployment, CSP_FORM_NAME),
     .required = true,
     .help = "name of the deployment; peers of another one are refused" },
   { .name = "host",
-    CHARS (host, CSP_FORM_NAME),
+    STRING (host, CSP_FORM_NAME),
     .required = true,
     .help = "name of this host, as in the platform's host list" },
   { .name = "region",
-    CHARS (region, CSP_FORM_NAME),
+    STRING (region, CSP_FORM_NAME),
     .required = true,
     .help = "region of this host" },
   { .name = "data_centre",
-    CHARS (data_centre, CSP_FORM_NAME),
+    STRING (data_centre, CSP_FORM_NAME),
     .required = true,
     .help = "data centre of this host" },
   { .name = "listen_address",
-    CHARS (listen_address, CSP_FORM_ADDRESS),
+    STRING (listen_address, CSP_FORM_ADDRESS),
     .standard = "127.0.0.1",
     .help = "IP number on which callers and peers are heard" },
   { .name = "http_port",
@@ -75,12 +76,12 @@
     .standard = "8081",
     .help = "TCP port for other hosts; 0 lets the kernel pick" },
   { .name = "platform_address",
-    CHARS (platform_address, CSP_FORM_ADDRESS),
+    STRING (platform_address, CSP_FORM_ADDRESS),
     .required = true,
     .help = "IP number of the platform's configuration service" },
   { .name = "platform_port",
     .type = CSP_FIELD_U16,
-    AT (platform_port),
+    OFFSET (platform_port),
     .min = 1,
     .max = 65535,
     .required = true,
@@ -129,7 +130,7 @@
     .help = "longest time from SIGTERM to the exit; streams that are still "
             "open then are ended with an error" },
   { .name = "log_level",
-    CHARS (log_level, CSP_FORM_TEXT),
+    STRING (log_level, CSP_FORM_TEXT),
     .standard = "info",
     .choices = log_levels,
     .help = "least severe events that are logged" },
@@ -144,17 +145,17 @@
             "heartbeat intervals" },
   { .name = "caller_tls",
     .type = CSP_FIELD_OBJECT,
-    AT (caller_tls),
+    OFFSET (caller_tls),
     .fields = caller_tls_table,
     .help = "TLS towards callers" },
   { .name = "target_tls",
     .type = CSP_FIELD_OBJECT,
-    AT (target_tls),
+    OFFSET (target_tls),
     .fields = target_tls_table,
     .help = "TLS towards targets" },
   { .name = "peer_tls",
     .type = CSP_FIELD_OBJECT,
-    AT (peer_tls),
+    OFFSET (peer_tls),
     .fields = peer_tls_table,
     .help = "TLS between hosts, with certificates on both sides" },
   { 0 }
--- a/source/settings/settings.c
+++ b/source/settings/settings.c
@@ -8,8 +8,8 @@
 enum
 {
   SETTINGS_FILE_BYTES_MAX = 1048576,
-  /* A host is suspected after three lost heartbeats at the earliest; with
-     fewer, one lost packet would move the ownership of targets.  */
+  /* A host is suspected after three lost heartbeats at the earliest: with
+     fewer, a single lost packet could move the ownership of targets.  */
   HEARTBEATS_BEFORE_SUSPICION = 3
 };
 
@@ -20,11 +20,12 @@
   csp_set_default_fields (csp_settings_table, settings);
 }
 
-/* Which of the required keys are there is checked after the command line, in
-   csp_check_settings, so the table's own check is left out here.  */
+/* Reads the table's keys as optional and without defaults: csp_check_settings
+   checks the required keys after the command line is read, and keys that are
+   missing in the file keep their present values.  */
 static void
-read_rows (csp_place_t *place, struct json_object *root,
-           csp_settings_t *settings)
+read_optional_rows (csp_place_t *place, struct json_object *root,
+                    csp_settings_t *settings)
 {
   csp_field_t rows[CSP_SETTINGS_MAX];
   size_t i;
@@ -44,15 +45,15 @@
                     csp_settings_t *settings, csp_faults_t *faults)
 {
   csp_place_t place = { .where = where, .faults = faults };
-  size_t before = csp_count_faults (faults);
+  size_t fault_count_before = csp_count_faults (faults);
   struct json_object *root;
 
   root = csp_read_json_tree (where, text, size_bytes, faults);
   if (root == NULL)
     return false;
-  read_rows (&place, root, settings);
+  read_optional_rows (&place, root, settings);
   json_object_put (root);
-  return csp_count_faults (faults) == before;
+  return csp_count_faults (faults) == fault_count_before;
 }
 
 bool
@@ -62,13 +63,13 @@
   size_t size_bytes = 0;
   char *text = csp_read_text_file (path, SETTINGS_FILE_BYTES_MAX, &size_bytes,
                                    faults);
-  bool good;
+  bool valid;
 
   if (text == NULL)
     return false;
-  good = csp_parse_settings (path, text, size_bytes, settings, faults);
+  valid = csp_parse_settings (path, text, size_bytes, settings, faults);
   free (text);
-  return good;
+  return valid;
 }
 
 bool
@@ -85,7 +86,7 @@
 }
 
 static bool
-is_empty (const csp_field_t *field, const csp_settings_t *settings)
+is_unset (const csp_field_t *field, const csp_settings_t *settings)
 {
   const char *member = (const char *)settings + field->offset;
 
@@ -102,7 +103,7 @@
   const csp_field_t *field;
 
   for (field = csp_settings_table; field->name != NULL; field++)
-    if (field->required && is_empty (field, settings))
+    if (field->required && is_unset (field, settings))
       {
         csp_describe_field (field, allowed);
         csp_add_fault (faults, where, field->name, 0,
@@ -110,11 +111,11 @@
       }
 }
 
-/* A certificate without its key, or the other way round, would leave the
-   endpoint in plain text while the operator believes that it is encrypted.  */
+/* With only one of certificate and key the endpoint would stay unencrypted
+   while the operator believes that it uses TLS.  */
 static void
-check_pair (const char *where, const char *name, const csp_tls_settings_t *tls,
-            csp_faults_t *faults)
+check_certificate_pair (const char *where, const char *name,
+                        const csp_tls_settings_t *tls, csp_faults_t *faults)
 {
   if ((tls->certificate_file[0] == '\0') != (tls->key_file[0] == '\0'))
     csp_add_fault (faults, where, name, 0,
@@ -137,23 +138,23 @@
 }
 
 static void
-check_files (const char *where, const csp_settings_t *settings,
-             csp_faults_t *faults)
+check_tls_files (const char *where, const csp_settings_t *settings,
+                 csp_faults_t *faults)
 {
   csp_setting_t rows[CSP_SETTINGS_MAX];
   size_t count = csp_list_settings (rows);
   size_t i;
 
-  check_pair (where, "caller_tls", &settings->caller_tls, faults);
-  check_pair (where, "peer_tls", &settings->peer_tls, faults);
+  check_certificate_pair (where, "caller_tls", &settings->caller_tls, faults);
+  check_certificate_pair (where, "peer_tls", &settings->peer_tls, faults);
   if ((settings->peer_tls.ca_file[0] == '\0')
       != (settings->peer_tls.key_file[0] == '\0'))
     csp_add_fault (faults, where, "peer_tls", 0,
                    "ca_file must be given together with key_file");
   for (i = 0; i < count; i++)
-    if (rows[i].base != 0)
+    if (rows[i].base_offset != 0)
       check_readable (where, rows[i].path,
-                      (const char *)settings + rows[i].base
+                      (const char *)settings + rows[i].base_offset
                           + rows[i].field->offset,
                       faults);
 }
@@ -162,10 +163,10 @@
 csp_check_settings (const char *where, const csp_settings_t *settings,
                     csp_faults_t *faults)
 {
-  size_t before = csp_count_faults (faults);
+  size_t fault_count_before = csp_count_faults (faults);
 
   check_required (where, settings, faults);
-  check_files (where, settings, faults);
+  check_tls_files (where, settings, faults);
   if (settings->suspect_after_ms
       < HEARTBEATS_BEFORE_SUSPICION * settings->heartbeat_interval_ms)
     csp_add_fault (faults, where, "suspect_after_ms", 0,
@@ -176,5 +177,5 @@
     csp_add_fault (faults, where, "drain_notice_ms", 0,
                    "%u is not less than drain_limit_ms (%u)",
                    settings->drain_notice_ms, settings->drain_limit_ms);
-  return csp_count_faults (faults) == before;
+  return csp_count_faults (faults) == fault_count_before;
 }
