--- a/include/cowslipspoke/declaration.h
+++ b/include/cowslipspoke/declaration.h
@@ -7,12 +7,14 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* What operators declare: organisations, model routes, service routes, pools
-   and the ordered rules.  docs/DECLARATIONS.md has the format.
+/* The configuration that operators declare: organisations, model routes,
+   service routes, pools and the ordered rules.  docs/DECLARATIONS.md has the
+   format.
 
    A declaration is immutable, so that traffic threads read it without locks
-   while the control thread builds the next one.  Whatever a find function
-   returns belongs to the declaration and lives as long as it does.  */
+   while the control thread builds the next one.  What the find and get
+   functions return belongs to the declaration and lives as long as it does.
+ */
 typedef struct csp_declaration csp_declaration_t;
 
 enum
@@ -22,7 +24,8 @@
 };
 
 /* One keyed value as the platform publishes it; see docs/PLATFORM.md.  where
-   names it in faults, such as its file; NULL stands for the key.  */
+   is the source that faults name, such as the value's file; NULL means that
+   they name the key.  */
 typedef struct
 {
   const char *key;
@@ -31,9 +34,9 @@
   const char *where;
 } csp_declared_value_t;
 
-/* Limits; 0 means that there is none.  The first three are counted over all
-   requests of what declares them (an organisation, a route, a service or a
-   rule); the last two hold for each request.  */
+/* Limits; 0 means unlimited.  The first three apply to all requests of the
+   organisation, route, service or rule together; the last two apply to each
+   request.  */
 typedef struct
 {
   uint32_t tokens_per_s;
@@ -58,7 +61,7 @@
 {
   const char *name;
   uint8_t priority;
-  /* 0 where the class sets none.  */
+  /* 0 if the class sets none.  */
   uint32_t deadline_ms;
   uint32_t longest_wait_ms;
 } csp_class_t;
@@ -67,20 +70,21 @@
 typedef struct
 {
   const char *name;
-  /* The model's name at the engines; the route's where none is declared.  */
+  /* The model's name at the engines; defaults to the route's name.  */
   const char *model;
   const char *pool;
   const csp_class_t *classes;
   size_t class_count;
-  /* The class of a request that names none; NULL without one.  */
+  /* The class of a request that names none; NULL if none is declared.  */
   const char *default_class;
-  /* Route to use while the pool has no live target; NULL without one.  */
+  /* Route to use while the pool has no live target; NULL if none is declared.
+   */
   const char *fallback;
   csp_limits_t limits;
 } csp_route_t;
 
-/* A call of a service whose mark differs from its method's.  path is a prefix
-   behind the service's prefix.  */
+/* Declares whether a call may be repeated, in place of the default for its
+   method.  path is a prefix of the path that follows the service's prefix.  */
 typedef struct
 {
   const char *method;
@@ -93,8 +97,8 @@
 {
   const char *name;
   const char *pool;
-  /* Callers' paths below it belong to the service; starts with "/" and does
-     not end with one.  "/services/NAME" where none is declared.  */
+  /* Requests for paths under this prefix go to the service.  It starts with
+     "/" and does not end with one; defaults to "/services/NAME".  */
   const char *path_prefix;
   const csp_service_call_t *calls;
   size_t call_count;
@@ -123,7 +127,8 @@
   const char *version;
 } csp_versioned_t;
 
-/* What an engine should have loaded and do.  */
+/* Wanted state of an engine: the models and adapters that it should have
+   loaded, and its role.  */
 typedef struct
 {
   const csp_versioned_t *models;
@@ -134,38 +139,39 @@
   bool has_role;
 } csp_wanted_t;
 
-/* The wanted state of one engine that differs from its pool's.  */
+/* Wanted state of one engine, in place of its pool's.  */
 typedef struct
 {
   const char *target;
   csp_wanted_t wanted;
-} csp_engine_wanted_t;
+} csp_engine_wanted_state_t;
 
 typedef struct
 {
   const char *name;
   csp_pool_kind_t kind;
-  /* Memory of one engine until it reports its own.  */
+  /* Memory assumed for an engine until it reports its own.  */
   uint32_t memory_tokens;
-  /* Most requests open on one target, and waiting on one host.  */
+  /* Limits on the requests open on one target and waiting on one host.  */
   uint32_t max_open_streams;
   uint32_t max_waiting;
   uint32_t resume_window_ms;
-  /* How long an order may take at most.  */
+  /* Time limit of an order to an engine.  */
   uint32_t longest_order_ms;
-  /* Loads that all hosts together may start on the pool's engines; what the
-     weight store can give it.  */
+  /* Loads that all hosts together may start on the pool's engines in a minute,
+     so that the weight store is not overloaded.  */
   uint32_t loads_per_minute;
-  /* Whether the pool declares any wanted state; without it no orders go out.
+  /* Whether the pool declares a wanted state; without one no orders are sent.
    */
   bool has_wanted;
   csp_wanted_t wanted;
-  const csp_engine_wanted_t *engines;
+  const csp_engine_wanted_state_t *engines;
   size_t engine_count;
 } csp_pool_t;
 
-/* What a rule may look at.  Strings that do not apply are NULL.  load is that
-   of the pool that the route or service names, 1.0 when full.  */
+/* Attributes of a request that rules can match.  Strings that do not apply are
+   NULL.  load is the load of the pool that the route or service names; 1.0 is
+   full.  */
 typedef struct
 {
   const char *organisation;
@@ -183,20 +189,20 @@
 {
   /* Send to the pool.  */
   CSP_ACTION_SEND,
-  /* Use the pool's unused share only, while its load is below max_load, and
-     be the first to give way when the pool needs it back.  */
+  /* Send to the pool only while its load is below max_load; the request is
+     among the first to be preempted when the pool needs the capacity.  */
   CSP_ACTION_LEND,
-  /* Hand over to another data centre.  */
+  /* Forward to another data centre.  */
   CSP_ACTION_SPILL,
   CSP_ACTION_TURN_AWAY
 } csp_action_t;
 
-/* Terms of a request that is let in.  What the rule does not set comes from
-   the facts (priority), from class or service (longest wait) and from the
+/* Terms of an admitted request.  Values that the rule does not set come from
+   the facts (priority), the class or service (longest wait) and the
    organisation (weight).  limits.tokens_per_s, max_waiting and
-   max_open_streams are the rule's own and counted over what it decides, beside
-   those of organisation and route; the limits of one request are the smallest
-   of rule, route and organisation.  */
+   max_open_streams are the rule's own: they count the requests that the rule
+   decides and apply besides those of organisation and route.  The limits per
+   request are the smallest of rule, route and organisation.  */
 typedef struct
 {
   const char *pool;
@@ -206,12 +212,13 @@
   csp_limits_t limits;
 } csp_terms_t;
 
-/* The decision.  rule is NULL where no rule held: then the action is to send
+/* The decision.  rule is NULL if no rule matched; the action is then to send
    to the route's or service's pool.  */
 typedef struct
 {
   const char *rule;
-  /* The rule asks for a time in the queue.  */
+  /* The rule matches only requests that have waited in the queue for some
+     time.  */
   bool waited;
   csp_action_t action;
   union
@@ -235,16 +242,17 @@
   } is;
 } csp_rule_outcome_t;
 
-/* Why a rule did not hold; for csp_explain_rule.  */
+/* Size of the text with which csp_explain_rule says why a rule does not match.
+ */
 enum
 {
-  CSP_WHY_BYTES = 200
+  CSP_MISMATCH_BYTES = 200
 };
 
-/* Build a declaration from all values in force.  previous may be NULL; what
-   it has of the same key and text is shared with it instead of parsed again,
-   so that a change costs its own size.  Returns NULL where anything is wrong,
-   with every fault added.  */
+/* Build a declaration from all current values.  previous may be NULL; its
+   values with the same key and text are shared instead of parsed again, so
+   that only changed values cost parsing time.  Returns NULL and adds every
+   fault if any value is invalid.  */
 csp_declaration_t *csp_create_declaration (const csp_declaration_t *previous,
                                            const csp_declared_value_t *values,
                                            size_t count, csp_faults_t *faults);
@@ -266,25 +274,28 @@
 const csp_pool_t *csp_find_pool (const csp_declaration_t *declaration,
                                  const char *name);
 
-/* The service whose prefix is the longest that the path has; rest is the path
-   behind it, "/" if empty.  NULL if there is none.  */
+/* The service whose prefix is the longest match for the path; rest is the path
+   after the prefix, "/" if empty.  NULL if there is none.  */
 const csp_service_t *
 csp_find_service_by_path (const csp_declaration_t *declaration,
                           const char *path, const char **rest);
 
-/* A class of a route by name, its default class for NULL; NULL if unknown.  */
+/* Find a class of a route by name, or its default class if name is NULL; NULL
+   if there is none.  */
 const csp_class_t *csp_find_class (const csp_route_t *route, const char *name);
 
-/* Whether a call may be repeated: by the service's mark for it, else by its
-   method (GET, HEAD, PUT, DELETE).  rest is the path behind the prefix.  */
+/* Whether a call may be repeated: as the service declares for the longest path
+   that matches, otherwise by its method (GET, HEAD, PUT and DELETE may be).
+   rest is the path after the service's prefix.  */
 bool csp_may_repeat_call (const csp_service_t *service, const char *method,
                           const char *rest);
 
-/* What an engine of a pool should have; NULL where nothing is declared.  */
+/* The wanted state of an engine: its own or else its pool's; NULL if neither
+   is declared.  */
 const csp_wanted_t *csp_find_wanted (const csp_pool_t *pool,
                                      const char *target);
 
-/* Counts and walks, for status pages and model lists.  */
+/* Number and access by index, for status pages and model lists.  */
 size_t csp_count_organisations (const csp_declaration_t *declaration);
 size_t csp_count_routes (const csp_declaration_t *declaration);
 size_t csp_count_services (const csp_declaration_t *declaration);
@@ -298,28 +309,31 @@
                                       size_t index);
 const csp_pool_t *csp_get_pool (const csp_declaration_t *declaration,
                                 size_t index);
-/* Name of the rule at a place in the order.  */
+/* Name of the rule at a position in the rule order.  */
 const char *csp_get_rule_name (const csp_declaration_t *declaration,
                                size_t index);
 
-/* Decide by the first rule that holds.  Answers requests of every pattern of
-   load alike: it is the operators' word on who goes where.  Without it the
-   same burst is handled by whatever code sees it first, and an operator sees
-   an outcome that no rule explains.  Deterministic; no clock, no state.  */
+/* Decide by the first rule that matches.  The result depends on the arguments
+   alone: no clock, no state.
+
+   Load pattern: any.  The operators' rules decide where requests go;
+   without them the code that sees a burst first would decide, and an operator
+   would see outcomes that no rule explains.  */
 void csp_decide_rule (const csp_declaration_t *declaration,
                       const csp_request_facts_t *facts,
                       csp_rule_outcome_t *outcome);
 
-/* Add a fault for every rule that no request can reach, because the rules
-   before it take all that it could hold for.  Such a
-   declaration is in order for a host, but not what its writer meant.  */
+/* Add a fault for every rule that no request can reach, because earlier rules
+   match all requests that it could match.  A host accepts such a declaration,
+   but it does not do what its author intended.  */
 void csp_find_unreachable_rules (const csp_declaration_t *declaration,
                                  csp_faults_t *faults);
 
-/* Whether the rule at a place in the order holds; if not, why names the first
-   condition that fails, the value found and what the rule asks for.  */
+/* Whether the rule at a position in the rule order matches; if not, mismatch
+   says the first condition that fails, the request's value and the values that
+   the rule accepts.  */
 bool csp_explain_rule (const csp_declaration_t *declaration, size_t index,
                        const csp_request_facts_t *facts,
-                       char why[CSP_WHY_BYTES]);
+                       char mismatch[CSP_MISMATCH_BYTES]);
 
 #endif
--- a/source/cowslipctl/ctl-declarations.c
+++ b/source/cowslipctl/ctl-declarations.c
@@ -14,14 +14,15 @@
 load (const char *path, csp_faults_t *faults)
 {
   size_t before = csp_count_faults (faults);
-  csp_directory_t *directory = csp_read_directory (path, faults);
+  csp_declaration_directory_t *directory
+      = csp_read_declaration_directory (path, faults);
   const csp_declared_value_t *values;
   csp_declaration_t *declaration;
   size_t count;
 
   values = csp_get_directory_values (directory, &count);
   declaration = csp_create_declaration (NULL, values, count, faults);
-  csp_destroy_directory (directory);
+  csp_destroy_declaration_directory (directory);
   if (csp_count_faults (faults) == before)
     return declaration;
   csp_destroy_declaration (declaration);
--- a/source/declaration/declaration-cover.c
+++ b/source/declaration/declaration-cover.c
@@ -4,38 +4,38 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Finds rules that no request reaches.  A rule that stands behind a wider one
-   looks as if it were in force; its writer notices only when the traffic that
-   it was made for goes elsewhere.
+/* Finds rules that no request can reach.  A rule after a wider one has no
+   effect, and its author notices only when the traffic is sent elsewhere.
 
-   What a rule holds for is a box: a set of names or a range of numbers in
-   each dimension.  The earlier rules' boxes are cut out of it one by one; the
-   rule is reached if anything is left.  Names are an open world: rules for
-   each organisation of today do not hide a rule for all of them, since it is
-   there for the next one.  */
+   The requests that a rule matches form a box: a set of names or a range of
+   numbers in each dimension.  The boxes of earlier rules are subtracted from
+   it one by one; the rule can be reached if anything remains.  Names are an
+   open set: rules for each existing organisation do not cover a rule for all
+   organisations, which also matches those added later.  */
 
 enum
 {
-  /* A search that takes more pieces is given up and the rule counts as
-     reached: a rule that is missed is better than a check that hangs.  */
+  /* A search that splits the box into more pieces stops, and the rule counts
+     as reachable: missing an unreachable rule is better than a check that
+     hangs.  */
   PIECES_MAX = 20000,
-  COVERING_SHOWN = 4,
+  COVERING_SHOWN_MAX = 4,
   COVERING_BYTES = 400
 };
 
-/* Some names, or all names but some.  */
+/* The listed names or, if is_complement, all names except those.  */
 typedef struct
 {
-  bool except;
+  bool is_complement;
   const char **names;
   size_t count;
-} names_t;
+} name_selection_t;
 
 typedef struct
 {
-  names_t sets[CSP_WHEN_SETS];
-  csp_range_t ranges[CSP_WHEN_RANGES];
-} box_t;
+  name_selection_t sets[CSP_WHEN_SET_COUNT];
+  csp_range_t ranges[CSP_WHEN_RANGE_COUNT];
+} match_box_t;
 
 typedef struct
 {
@@ -44,7 +44,7 @@
   size_t end;
   size_t pieces;
   bool *covering;
-} search_t;
+} cover_search_t;
 
 static bool
 has_name (const char *const *names, size_t count, const char *name)
@@ -57,29 +57,30 @@
   return false;
 }
 
-/* Names of a that are, or are not, among those of b.  */
+/* The names of a that are also in b if keep_common, otherwise those that are
+   not.  */
 static void
-pick_names (search_t *search, const names_t *a, const csp_name_set_t *b,
-            bool among, names_t *out)
+filter_names (cover_search_t *search, const name_selection_t *a,
+              const csp_name_set_t *b, bool keep_common, name_selection_t *out)
 {
   size_t i;
 
-  out->except = false;
+  out->is_complement = false;
   out->count = 0;
   out->names = csp_allocate (search->arena, (a->count + 1) * sizeof (void *));
   for (i = 0; i < a->count; i++)
-    if (has_name (b->declared, b->count, a->names[i]) == among)
+    if (has_name (b->declared, b->count, a->names[i]) == keep_common)
       out->names[out->count++] = a->names[i];
 }
 
-/* Names of b that are not among those of a.  */
+/* The names of b that are not in a.  */
 static void
-pick_new_names (search_t *search, const names_t *a, const csp_name_set_t *b,
-                names_t *out)
+subtract_names (cover_search_t *search, const name_selection_t *a,
+                const csp_name_set_t *b, name_selection_t *out)
 {
   size_t i;
 
-  out->except = false;
+  out->is_complement = false;
   out->count = 0;
   out->names = csp_allocate (search->arena, (b->count + 1) * sizeof (void *));
   for (i = 0; i < b->count; i++)
@@ -87,14 +88,14 @@
       out->names[out->count++] = b->declared[i];
 }
 
-/* All names but those of a and b.  */
+/* All names except those of a and b.  */
 static void
-except_both (search_t *search, const names_t *a, const csp_name_set_t *b,
-             names_t *out)
+exclude_both (cover_search_t *search, const name_selection_t *a,
+              const csp_name_set_t *b, name_selection_t *out)
 {
   size_t count = a->count + b->count;
 
-  out->except = true;
+  out->is_complement = true;
   out->count = count;
   out->names = csp_allocate (search->arena, (count + 1) * sizeof (void *));
   if (a->count > 0)
@@ -103,37 +104,38 @@
 }
 
 static bool
-is_empty_set (const names_t *names)
+is_empty_set (const name_selection_t *names)
 {
-  return !names->except && names->count == 0;
+  return !names->is_complement && names->count == 0;
 }
 
-/* Split a set at a rule's: what lies inside and what outside.  */
+/* Split a set into the names that a rule accepts and the others.  */
 static void
-split_set (search_t *search, const names_t *set, const csp_name_set_t *rule,
-           names_t *inside, names_t *outside)
+split_set (cover_search_t *search, const name_selection_t *set,
+           const csp_name_set_t *rule, name_selection_t *inside,
+           name_selection_t *outside)
 {
-  static const names_t nothing = { false, NULL, 0 };
+  static const name_selection_t nothing = { false, NULL, 0 };
 
   if (rule->count == 0)
     {
       *inside = *set;
       *outside = nothing;
     }
-  else if (set->except)
+  else if (set->is_complement)
     {
-      pick_new_names (search, set, rule, inside);
-      except_both (search, set, rule, outside);
+      subtract_names (search, set, rule, inside);
+      exclude_both (search, set, rule, outside);
     }
   else
     {
-      pick_names (search, set, rule, true, inside);
-      pick_names (search, set, rule, false, outside);
+      filter_names (search, set, rule, true, inside);
+      filter_names (search, set, rule, false, outside);
     }
 }
 
-/* The next number above or below in a dimension: load is a real number, the
-   others are whole.  */
+/* The next number above or below in a dimension: loads are real numbers, the
+   others are integers.  */
 static double
 next_number (int dimension, double number, double towards)
 {
@@ -143,7 +145,7 @@
 }
 
 static void
-make_whole (int dimension, csp_range_t *range)
+round_to_integers (int dimension, csp_range_t *range)
 {
   if (dimension == CSP_WHEN_LOAD)
     return;
@@ -158,42 +160,45 @@
 }
 
 static bool
-sets_meet (const names_t *set, const csp_name_set_t *rule)
+sets_intersect (const name_selection_t *set, const csp_name_set_t *rule)
 {
   size_t i;
 
   if (rule->count == 0)
     return true;
   for (i = 0; i < rule->count; i++)
-    if (has_name (set->names, set->count, rule->declared[i]) != set->except)
+    if (has_name (set->names, set->count, rule->declared[i])
+        != set->is_complement)
       return true;
   return false;
 }
 
 static bool
-boxes_meet (const box_t *box, const csp_when_t *when)
+box_intersects_rule (const match_box_t *box, const csp_when_t *when)
 {
   int i;
 
-  for (i = 0; i < CSP_WHEN_SETS; i++)
-    if (!sets_meet (&box->sets[i], &when->sets[i]))
+  for (i = 0; i < CSP_WHEN_SET_COUNT; i++)
+    if (!sets_intersect (&box->sets[i], &when->sets[i]))
       return false;
-  for (i = 0; i < CSP_WHEN_RANGES; i++)
+  for (i = 0; i < CSP_WHEN_RANGE_COUNT; i++)
     if (fmax (box->ranges[i].min, when->ranges[i].min)
         > fmin (box->ranges[i].max, when->ranges[i].max))
       return false;
   return true;
 }
 
-static bool is_covered (search_t *search, const box_t *box, size_t first);
+static bool is_covered (cover_search_t *search, const match_box_t *box,
+                        size_t first);
 
-/* Both sides of a rule's range in one dimension; box is narrowed to it.  */
+/* Whether the parts of the box below and above a rule's range in one dimension
+   are covered by later rules.  Narrows the box to the rule's range.  */
 static bool
-range_is_covered (search_t *search, box_t *box, int dimension,
+range_is_covered (cover_search_t *search, match_box_t *box, int dimension,
                   const csp_range_t *rule, size_t next)
 {
   csp_range_t *range = &box->ranges[dimension];
-  box_t piece = *box;
+  match_box_t piece = *box;
 
   piece.ranges[dimension].max
       = fmin (range->max, next_number (dimension, rule->min, -HUGE_VAL));
@@ -211,34 +216,34 @@
   return true;
 }
 
-/* Whether what lies outside a rule that meets the box is covered by the rules
-   behind it.  */
+/* Whether the part of the box that an intersecting rule does not match is
+   covered by the rules after it.  */
 static bool
-rest_is_covered (search_t *search, const box_t *box, const csp_when_t *when,
-                 size_t next)
+remainder_is_covered (cover_search_t *search, const match_box_t *box,
+                      const csp_when_t *when, size_t next)
 {
-  box_t left = *box;
-  box_t piece;
-  names_t inside;
+  match_box_t remaining = *box;
+  match_box_t piece;
+  name_selection_t inside;
   int i;
 
-  for (i = 0; i < CSP_WHEN_SETS; i++)
+  for (i = 0; i < CSP_WHEN_SET_COUNT; i++)
     {
-      piece = left;
-      split_set (search, &left.sets[i], &when->sets[i], &inside,
+      piece = remaining;
+      split_set (search, &remaining.sets[i], &when->sets[i], &inside,
                  &piece.sets[i]);
-      left.sets[i] = inside;
+      remaining.sets[i] = inside;
       if (!is_empty_set (&piece.sets[i]) && !is_covered (search, &piece, next))
         return false;
     }
-  for (i = 0; i < CSP_WHEN_RANGES; i++)
-    if (!range_is_covered (search, &left, i, &when->ranges[i], next))
+  for (i = 0; i < CSP_WHEN_RANGE_COUNT; i++)
+    if (!range_is_covered (search, &remaining, i, &when->ranges[i], next))
       return false;
   return true;
 }
 
 static bool
-is_covered (search_t *search, const box_t *box, size_t first)
+is_covered (cover_search_t *search, const match_box_t *box, size_t first)
 {
   const csp_when_t *when;
   size_t i;
@@ -248,35 +253,35 @@
   for (i = first; i < search->end; i++)
     {
       when = &search->declaration->rules[i]->when;
-      if (!boxes_meet (box, when))
+      if (!box_intersects_rule (box, when))
         continue;
       search->covering[i] = true;
-      return rest_is_covered (search, box, when, i + 1);
+      return remainder_is_covered (search, box, when, i + 1);
     }
   return false;
 }
 
 static void
-fill_box (const csp_when_t *when, box_t *box)
+init_box (const csp_when_t *when, match_box_t *box)
 {
   int i;
 
-  for (i = 0; i < CSP_WHEN_SETS; i++)
+  for (i = 0; i < CSP_WHEN_SET_COUNT; i++)
     {
-      box->sets[i].except = when->sets[i].count == 0;
-      box->sets[i].names = when->sets[i].names;
+      box->sets[i].is_complement = when->sets[i].count == 0;
+      box->sets[i].names = when->sets[i].sorted_names;
       box->sets[i].count = when->sets[i].count;
     }
-  for (i = 0; i < CSP_WHEN_RANGES; i++)
+  for (i = 0; i < CSP_WHEN_RANGE_COUNT; i++)
     {
       box->ranges[i] = when->ranges[i];
-      make_whole (i, &box->ranges[i]);
+      round_to_integers (i, &box->ranges[i]);
     }
 }
 
 static void
-add_cover_fault (const search_t *search, const csp_rule_t *rule,
-                 csp_faults_t *faults)
+add_unreachable_fault (const cover_search_t *search, const csp_rule_t *rule,
+                       csp_faults_t *faults)
 {
   char text[COVERING_BYTES] = "";
   size_t used = 0;
@@ -284,14 +289,14 @@
   size_t i;
 
   for (i = 0; i < search->end && used < sizeof text; i++)
-    if (search->covering[i] && count++ < COVERING_SHOWN)
+    if (search->covering[i] && count++ < COVERING_SHOWN_MAX)
       used += (size_t)snprintf (text + used, sizeof text - used, "%s%s",
                                 used == 0 ? "" : ", ",
                                 search->declaration->rules[i]->name);
   csp_add_fault (faults, rule->where, "when", 0,
                  "can never be reached: what it asks for is decided before by "
                  "%s%s",
-                 text, count > COVERING_SHOWN ? " and others" : "");
+                 text, count > COVERING_SHOWN_MAX ? " and others" : "");
 }
 
 static void
@@ -299,20 +304,20 @@
                csp_faults_t *faults)
 {
   const csp_rule_t *rule = declaration->rules[index];
-  search_t search = { .declaration = declaration,
-                      .arena = csp_create_arena (),
-                      .end = index };
-  box_t box;
+  cover_search_t search = { .declaration = declaration,
+                            .arena = csp_create_arena (),
+                            .end = index };
+  match_box_t box;
 
   search.covering = csp_allocate (search.arena, index + 1);
-  fill_box (&rule->when, &box);
+  init_box (&rule->when, &box);
   if (is_covered (&search, &box, 0))
-    add_cover_fault (&search, rule, faults);
+    add_unreachable_fault (&search, rule, faults);
   csp_destroy_arena (search.arena);
 }
 
 static bool
-route_has_one_class (const csp_declaration_t *declaration, const char *route,
+route_has_any_class (const csp_declaration_t *declaration, const char *route,
                      const csp_name_set_t *classes)
 {
   const csp_route_t *found = csp_find_route (declaration, route);
@@ -324,21 +329,22 @@
   return false;
 }
 
-/* A range between two whole numbers, such as a priority from 0.2 to 0.8.  */
+/* Whether a range contains no integer, such as a priority from 0.2 to 0.8.  */
 static bool
-has_empty_range (const csp_rule_t *rule)
+has_range_without_integer (const csp_rule_t *rule)
 {
-  box_t box;
+  match_box_t box;
   int i;
 
-  fill_box (&rule->when, &box);
-  for (i = 0; i < CSP_WHEN_RANGES; i++)
+  init_box (&rule->when, &box);
+  for (i = 0; i < CSP_WHEN_RANGE_COUNT; i++)
     if (is_empty_range (&box.ranges[i]))
       return true;
   return false;
 }
 
-/* A rule may ask for a class that none of its routes has.  */
+/* Whether any route that the rule names has one of the classes that it names.
+ */
 static bool
 classes_fit_routes (const csp_declaration_t *declaration,
                     const csp_rule_t *rule)
@@ -350,7 +356,7 @@
   if (routes->count == 0 || classes->count == 0)
     return true;
   for (i = 0; i < routes->count; i++)
-    if (route_has_one_class (declaration, routes->declared[i], classes))
+    if (route_has_any_class (declaration, routes->declared[i], classes))
       return true;
   return false;
 }
@@ -373,7 +379,7 @@
                && rule->when.sets[CSP_WHEN_CLASS].count > 0)
         csp_add_fault (faults, rule->where, "when", 0,
                        "can never be reached: services have no classes");
-      else if (has_empty_range (rule))
+      else if (has_range_without_integer (rule))
         csp_add_fault (faults, rule->where, "when", 0,
                        "can never be reached: a range has no whole number");
       else
--- a/source/declaration/declaration-diff.c
+++ b/source/declaration/declaration-diff.c
@@ -9,18 +9,18 @@
 };
 
 static const char *
-show (struct json_object *value)
+to_json_text (struct json_object *value)
 {
   return json_object_to_json_string_ext (
       value, JSON_C_TO_STRING_PLAIN | JSON_C_TO_STRING_NOSLASHESCAPE);
 }
 
 static void
-print_line (FILE *stream, char mark, const char *key, const char *path,
+print_line (FILE *stream, char sign, const char *key, const char *path,
             struct json_object *value)
 {
-  fprintf (stream, "%c %s%s%s", mark, key, path[0] == '\0' ? "" : " ", path);
-  fprintf (stream, ": %s\n", show (value));
+  fprintf (stream, "%c %s%s%s", sign, key, path[0] == '\0' ? "" : " ", path);
+  fprintf (stream, ": %s\n", to_json_text (value));
 }
 
 static void print_members (FILE *stream, const char *key, const char *path,
@@ -44,45 +44,46 @@
 }
 
 static void
-join_path (char joined[PATH_BYTES], const char *path, const char *name)
+join_path (char member_path[PATH_BYTES], const char *path, const char *name)
 {
-  snprintf (joined, PATH_BYTES, "%s%s%s", path, path[0] == '\0' ? "" : ".",
-            name);
+  snprintf (member_path, PATH_BYTES, "%s%s%s", path,
+            path[0] == '\0' ? "" : ".", name);
 }
 
 static void
 print_members (FILE *stream, const char *key, const char *path,
                struct json_object *before, struct json_object *after)
 {
-  char joined[PATH_BYTES];
-  struct json_object *other;
+  char member_path[PATH_BYTES];
+  struct json_object *after_value;
 
   json_object_object_foreach (before, name, value)
   {
-    join_path (joined, path, name);
-    if (json_object_object_get_ex (after, name, &other))
-      print_change (stream, key, joined, value, other);
+    join_path (member_path, path, name);
+    if (json_object_object_get_ex (after, name, &after_value))
+      print_change (stream, key, member_path, value, after_value);
     else
-      print_line (stream, '-', key, joined, value);
+      print_line (stream, '-', key, member_path, value);
   }
   json_object_object_foreach (after, new_name, new_value)
   {
-    join_path (joined, path, new_name);
+    join_path (member_path, path, new_name);
     if (!json_object_object_get_ex (before, new_name, NULL))
-      print_line (stream, '+', key, joined, new_value);
+      print_line (stream, '+', key, member_path, new_value);
   }
 }
 
-/* The order of the keys at two places; items that have run out come last.  */
+/* Compare the keys at two positions; a position past the end sorts last.  */
 static int
-compare_at (const csp_declaration_t *before, size_t b,
-            const csp_declaration_t *after, size_t a)
+compare_keys_at (const csp_declaration_t *before, size_t before_index,
+                 const csp_declaration_t *after, size_t after_index)
 {
-  if (b == before->item_count)
+  if (before_index == before->item_count)
     return 1;
-  if (a == after->item_count)
+  if (after_index == after->item_count)
     return -1;
-  return strcmp (before->items[b]->key, after->items[a]->key);
+  return strcmp (before->items[before_index]->key,
+                 after->items[after_index]->key);
 }
 
 size_t
@@ -90,28 +91,29 @@
                       const csp_declaration_t *after, FILE *stream)
 {
   size_t count = 0;
-  size_t b = 0;
-  size_t a = 0;
+  size_t before_index = 0;
+  size_t after_index = 0;
   int order;
 
-  while (b < before->item_count || a < after->item_count)
+  while (before_index < before->item_count || after_index < after->item_count)
     {
-      order = compare_at (before, b, after, a);
+      order = compare_keys_at (before, before_index, after, after_index);
       if (order < 0)
-        print_line (stream, '-', before->items[b]->key, "",
-                    before->items[b]->root);
+        print_line (stream, '-', before->items[before_index]->key, "",
+                    before->items[before_index]->root);
       else if (order > 0)
-        print_line (stream, '+', after->items[a]->key, "",
-                    after->items[a]->root);
+        print_line (stream, '+', after->items[after_index]->key, "",
+                    after->items[after_index]->root);
       else
-        print_change (stream, after->items[a]->key, "", before->items[b]->root,
-                      after->items[a]->root);
+        print_change (stream, after->items[after_index]->key, "",
+                      before->items[before_index]->root,
+                      after->items[after_index]->root);
       if (order != 0
-          || !json_object_equal (before->items[b]->root,
-                                 after->items[a]->root))
+          || !json_object_equal (before->items[before_index]->root,
+                                 after->items[after_index]->root))
         count++;
-      b += order <= 0;
-      a += order >= 0;
+      before_index += order <= 0;
+      after_index += order >= 0;
     }
   return count;
 }
@@ -124,7 +126,7 @@
   fputs ("{\"values\": {\n", stream);
   for (i = 0; i < declaration->item_count; i++)
     fprintf (stream, "\"%s\": %s%s\n", declaration->items[i]->key,
-             show (declaration->items[i]->root),
+             to_json_text (declaration->items[i]->root),
              i + 1 < declaration->item_count ? "," : "");
   fputs ("}}\n", stream);
 }
--- a/source/declaration/declaration-directory.c
+++ b/source/declaration/declaration-directory.c
@@ -9,12 +9,12 @@
 
 enum
 {
-  /* The platform holds values up to a megabyte.  */
+  /* The platform stores values of up to one megabyte.  */
   VALUE_BYTES_MAX = 1048576,
   JSON_SUFFIX_BYTES = sizeof ".json" - 1
 };
 
-struct csp_directory
+struct csp_declaration_directory
 {
   csp_arena_t *arena;
   csp_declared_value_t *values;
@@ -39,13 +39,13 @@
 };
 
 static void
-add_value (csp_directory_t *directory, const char *key, const char *file,
-           csp_faults_t *faults)
+add_value (csp_declaration_directory_t *directory, const char *key,
+           const char *file, csp_faults_t *faults)
 {
   csp_declared_value_t *value;
   size_t size_bytes = 0;
   char *text = csp_read_text_file (file, VALUE_BYTES_MAX, &size_bytes, faults);
-  char *kept;
+  char *copy;
 
   if (text == NULL)
     return;
@@ -53,19 +53,19 @@
       = realloc (directory->values, (directory->count + 1) * sizeof *value);
   if (directory->values == NULL)
     abort ();
-  kept = csp_allocate (directory->arena, size_bytes + 1);
-  memcpy (kept, text, size_bytes);
+  copy = csp_allocate (directory->arena, size_bytes + 1);
+  memcpy (copy, text, size_bytes);
   free (text);
   value = &directory->values[directory->count++];
   value->key = key;
-  value->json = kept;
+  value->json = copy;
   value->size_bytes = size_bytes;
   value->where = file;
 }
 
-/* The name before ".json", NULL for other files.  */
+/* The file name without ".json"; NULL if it has another suffix.  */
 static char *
-cut_suffix (csp_arena_t *arena, const char *file)
+strip_json_suffix (csp_arena_t *arena, const char *file)
 {
   size_t length = strlen (file);
 
@@ -77,21 +77,22 @@
 }
 
 static void
-read_kind_file (csp_directory_t *directory, const kind_directory_t *kind,
-                const char *path, const char *file, csp_faults_t *faults)
+read_kind_file (csp_declaration_directory_t *directory,
+                const kind_directory_t *kind, const char *path,
+                const char *file, csp_faults_t *faults)
 {
-  char *name = cut_suffix (directory->arena, file);
-  char *whole = csp_format_text (directory->arena, "%s/%s", path, file);
+  char *name = strip_json_suffix (directory->arena, file);
+  char *full_path = csp_format_text (directory->arena, "%s/%s", path, file);
 
   if (name == NULL || !csp_text_has_form (CSP_FORM_NAME, name))
-    csp_add_fault (faults, whole, "", 0,
+    csp_add_fault (faults, full_path, "", 0,
                    "is no NAME.json; NAME is 1 to 63 letters, digits, \".\", "
                    "\"_\" or \"-\", the first a letter or digit");
   else
     add_value (
         directory,
         csp_format_text (directory->arena, "%s%s", kind->key_prefix, name),
-        whole, faults);
+        full_path, faults);
 }
 
 static int
@@ -111,8 +112,9 @@
 }
 
 static void
-read_kind (csp_directory_t *directory, const kind_directory_t *kind,
-           const char *path, csp_faults_t *faults)
+read_kind (csp_declaration_directory_t *directory,
+           const kind_directory_t *kind, const char *path,
+           csp_faults_t *faults)
 {
   struct dirent **entries;
   int count = scandir (path, &entries, is_visible, alphasort);
@@ -140,26 +142,26 @@
 }
 
 static void
-read_entry (csp_directory_t *directory, const char *path, const char *name,
-            csp_faults_t *faults)
+read_entry (csp_declaration_directory_t *directory, const char *path,
+            const char *name, csp_faults_t *faults)
 {
   const kind_directory_t *kind = find_kind (name);
-  char *whole = csp_format_text (directory->arena, "%s/%s", path, name);
+  char *full_path = csp_format_text (directory->arena, "%s/%s", path, name);
 
   if (kind != NULL)
-    read_kind (directory, kind, whole, faults);
+    read_kind (directory, kind, full_path, faults);
   else if (strcmp (name, "rule-order.json") == 0)
-    add_value (directory, "rule-order", whole, faults);
+    add_value (directory, "rule-order", full_path, faults);
   else if (strcmp (name, "README.md") != 0)
-    csp_add_fault (faults, whole, "", 0,
+    csp_add_fault (faults, full_path, "", 0,
                    "is unknown here; allowed are organisations, routes, "
                    "services, rules, pools, rule-order.json, README.md");
 }
 
-csp_directory_t *
-csp_read_directory (const char *path, csp_faults_t *faults)
+csp_declaration_directory_t *
+csp_read_declaration_directory (const char *path, csp_faults_t *faults)
 {
-  csp_directory_t *directory = calloc (1, sizeof *directory);
+  csp_declaration_directory_t *directory = calloc (1, sizeof *directory);
   struct dirent **entries;
   int count;
   int i;
@@ -180,7 +182,7 @@
 }
 
 void
-csp_destroy_directory (csp_directory_t *directory)
+csp_destroy_declaration_directory (csp_declaration_directory_t *directory)
 {
   if (directory == NULL)
     return;
@@ -190,7 +192,8 @@
 }
 
 const csp_declared_value_t *
-csp_get_directory_values (const csp_directory_t *directory, size_t *count)
+csp_get_directory_values (const csp_declaration_directory_t *directory,
+                          size_t *count)
 {
   *count = directory->count;
   return directory->values;
--- a/source/declaration/declaration-explain.c
+++ b/source/declaration/declaration-explain.c
@@ -19,12 +19,13 @@
   LOAD_MAX = 1000
 };
 
-/* time_in_queue_ms is read into its own place, as fields have 32 bits.  */
+/* time_in_queue_ms is read into a member of its own, because the field reader
+   has no 64-bit type.  */
 typedef struct
 {
   request_t request;
   uint32_t time_in_queue_ms;
-} request_text_t;
+} request_fields_t;
 
 static const csp_field_t request_table[]
     = { NAME ("organisation", organisation),
@@ -47,7 +48,7 @@
           .max = LOAD_MAX },
         { .name = "time_in_queue_ms",
           .type = CSP_FIELD_U32,
-          .offset = offsetof (request_text_t, time_in_queue_ms),
+          .offset = offsetof (request_fields_t, time_in_queue_ms),
           .max = PROMPT_TOKENS_MAX },
         { 0 } };
 
@@ -58,7 +59,7 @@
 }
 
 static void
-point_facts (request_t *request)
+set_fact_names (request_t *request)
 {
   request->facts.organisation = name_or_null (request->names.organisation);
   request->facts.route = name_or_null (request->names.route);
@@ -68,8 +69,8 @@
 }
 
 static void
-complete_route (const csp_route_t *route, request_t *request,
-                const char *where, csp_faults_t *faults)
+apply_route_defaults (const csp_route_t *route, request_t *request,
+                      const char *where, csp_faults_t *faults)
 {
   const csp_class_t *class = csp_find_class (route, request->facts.class_name);
 
@@ -85,8 +86,8 @@
 }
 
 static void
-complete_service (const csp_service_t *service, request_t *request,
-                  const char *where, csp_faults_t *faults)
+apply_service_defaults (const csp_service_t *service, request_t *request,
+                        const char *where, csp_faults_t *faults)
 {
   if (request->facts.class_name != NULL)
     csp_add_fault (faults, where, "class", 0, "services have no classes");
@@ -95,8 +96,9 @@
 }
 
 static void
-complete_target (const csp_declaration_t *declaration, request_t *request,
-                 const char *where, csp_faults_t *faults)
+apply_target_defaults (const csp_declaration_t *declaration,
+                       request_t *request, const char *where,
+                       csp_faults_t *faults)
 {
   const csp_request_facts_t *facts = &request->facts;
   const csp_route_t *route = NULL;
@@ -112,7 +114,7 @@
         csp_add_fault (faults, where, "route", 0, "there is no route \"%s\"",
                        facts->route);
       else
-        complete_route (route, request, where, faults);
+        apply_route_defaults (route, request, where, faults);
     }
   if (facts->service != NULL)
     {
@@ -121,17 +123,18 @@
         csp_add_fault (faults, where, "service", 0,
                        "there is no service \"%s\"", facts->service);
       else
-        complete_service (service, request, where, faults);
+        apply_service_defaults (service, request, where, faults);
     }
 }
 
 static void
-complete_request (const csp_declaration_t *declaration, request_t *request,
-                  const char *where, csp_faults_t *faults)
+check_and_complete_request (const csp_declaration_t *declaration,
+                            request_t *request, const char *where,
+                            csp_faults_t *faults)
 {
   const char *organisation = request->facts.organisation;
 
-  complete_target (declaration, request, where, faults);
+  apply_target_defaults (declaration, request, where, faults);
   if (organisation == NULL)
     csp_add_fault (faults, where, "organisation", 0,
                    "is missing and must be given");
@@ -151,19 +154,19 @@
 {
   csp_place_t place = { .where = where, .faults = faults };
   size_t before = csp_count_faults (faults);
-  request_text_t read;
+  request_fields_t fields;
   struct json_object *root;
 
   root = csp_read_json (where, text, size_bytes, faults);
   if (root == NULL)
     return false;
-  memset (&read, 0, sizeof read);
-  csp_read_fields (&place, request_table, root, &read);
+  memset (&fields, 0, sizeof fields);
+  csp_read_fields (&place, request_table, root, &fields);
   json_object_put (root);
-  *request = read.request;
-  request->facts.time_in_queue_ms = read.time_in_queue_ms;
-  point_facts (request);
-  complete_request (declaration, request, where, faults);
+  *request = fields.request;
+  request->facts.time_in_queue_ms = fields.time_in_queue_ms;
+  set_fact_names (request);
+  check_and_complete_request (declaration, request, where, faults);
   return csp_count_faults (faults) == before;
 }
 
@@ -222,15 +225,15 @@
                        const csp_request_facts_t *facts, FILE *stream)
 {
   csp_rule_outcome_t outcome;
-  char why[CSP_WHY_BYTES];
+  char mismatch[CSP_MISMATCH_BYTES];
   size_t i;
 
   for (i = 0; i < declaration->rule_count; i++)
     {
-      if (csp_explain_rule (declaration, i, facts, why))
+      if (csp_explain_rule (declaration, i, facts, mismatch))
         break;
       fprintf (stream, "%zu %s: does not hold: %s\n", i + 1,
-               declaration->rules[i]->name, why);
+               declaration->rules[i]->name, mismatch);
     }
   if (i < declaration->rule_count)
     fprintf (stream, "%zu %s: decides\n", i + 1, declaration->rules[i]->name);
--- a/source/declaration/declaration-imp.h
+++ b/source/declaration/declaration-imp.h
@@ -6,7 +6,7 @@
 
 #include <stdatomic.h>
 
-/* Kinds of values in the order of their keys.  */
+/* Kinds of values, in the sort order of their keys.  */
 typedef enum
 {
   CSP_KIND_ORGANISATION,
@@ -16,22 +16,24 @@
   CSP_KIND_SERVICE,
   CSP_KIND_POOL,
   CSP_KIND_COUNT
-} csp_kind_t;
+} csp_value_kind_t;
 
 enum
 {
-  /* More of one kind are refused, so that a faulty generator can't fill a
-     host's memory.  The planned size is 1,600 organisations.  */
+  /* More values of one kind are refused, so that a faulty generator of
+     declarations can't exhaust a host's memory.  The planned size is 1,600
+     organisations.  */
   CSP_ORGANISATIONS_MAX = 20000,
   CSP_ITEMS_MAX = 2000,
   CSP_PRIORITY_UNSET = 255
 };
 
-/* Names that a rule accepts, sorted by hash; none means that all are.  */
+/* Names that a rule accepts, as declared and sorted by hash; an empty set
+   accepts all names.  */
 typedef struct
 {
   const char *const *declared;
-  const char **names;
+  const char **sorted_names;
   uint64_t *hashes;
   size_t count;
 } csp_name_set_t;
@@ -43,7 +45,7 @@
   CSP_WHEN_SERVICE,
   CSP_WHEN_CLASS,
   CSP_WHEN_DATA_CENTRE,
-  CSP_WHEN_SETS
+  CSP_WHEN_SET_COUNT
 } csp_when_set_t;
 
 typedef enum
@@ -52,10 +54,10 @@
   CSP_WHEN_PROMPT_TOKENS,
   CSP_WHEN_LOAD,
   CSP_WHEN_TIME_IN_QUEUE,
-  CSP_WHEN_RANGES
+  CSP_WHEN_RANGE_COUNT
 } csp_when_range_t;
 
-/* Both ends belong to the range.  */
+/* An inclusive range.  */
 typedef struct
 {
   double min;
@@ -64,11 +66,11 @@
 
 typedef struct
 {
-  csp_name_set_t sets[CSP_WHEN_SETS];
-  csp_range_t ranges[CSP_WHEN_RANGES];
+  csp_name_set_t sets[CSP_WHEN_SET_COUNT];
+  csp_range_t ranges[CSP_WHEN_RANGE_COUNT];
 } csp_when_t;
 
-/* What a rule says to do; of the four exactly one is there.  */
+/* The action of a rule; exactly one of the four is declared.  */
 typedef struct
 {
   bool has_send;
@@ -82,16 +84,16 @@
   const char *spill_data_centre;
   const char *reason;
   uint32_t retry_after_ms;
-} csp_then_t;
+} csp_rule_action_t;
 
 typedef struct
 {
   const char *name;
-  /* Of the item, for faults.  */
+  /* Source of the value, for faults; belongs to the item.  */
   const char *where;
   const char *note;
   csp_when_t when;
-  csp_then_t then;
+  csp_rule_action_t then;
   csp_action_t action;
 } csp_rule_t;
 
@@ -101,14 +103,14 @@
   size_t count;
 } csp_rule_order_t;
 
-/* One value, parsed.  It is shared by all declarations that have it.  */
+/* A parsed value, shared by all declarations that contain it.  */
 typedef struct
 {
   atomic_int references;
-  csp_kind_t kind;
+  csp_value_kind_t kind;
   char *key;
   char *where;
-  /* Behind the slash of the key.  */
+  /* Part of the key after the slash.  */
   const char *name;
   char *text;
   size_t text_bytes;
@@ -125,7 +127,8 @@
   } is;
 } csp_item_t;
 
-/* Bearer keys to organisations, open addressing; size is a power of two.  */
+/* A slot of the hash table from bearer keys to organisations, which uses open
+   addressing.  Its size is a power of two.  */
 typedef struct
 {
   const char *key;
@@ -134,19 +137,19 @@
 
 struct csp_declaration
 {
-  /* Sorted by key, so that each kind is one run.  */
+  /* Sorted by key, so that items of one kind are contiguous.  */
   csp_item_t **items;
   size_t item_count;
-  size_t first[CSP_KIND_COUNT];
-  size_t count[CSP_KIND_COUNT];
+  size_t kind_start[CSP_KIND_COUNT];
+  size_t kind_count[CSP_KIND_COUNT];
   const csp_rule_t **rules;
   size_t rule_count;
-  csp_key_slot_t *keys;
-  size_t key_slots;
-  /* Keys of values that could not be parsed, while the declaration is built:
-     what refers to them is no fault of its own.  */
-  const char **broken;
-  size_t broken_count;
+  csp_key_slot_t *bearer_keys;
+  size_t bearer_key_slots;
+  /* Keys of values that could not be parsed; used only while the declaration
+     is built.  References to them are not reported as further faults.  */
+  const char **invalid_keys;
+  size_t invalid_key_count;
 };
 
 extern const csp_field_t csp_organisation_table[];
@@ -155,32 +158,35 @@
 extern const csp_field_t csp_pool_table[];
 extern const csp_field_t csp_rule_table[];
 
-/* The kind of a key and the name behind its slash; false if there is none.  */
-bool csp_split_key (const char *key, csp_kind_t *kind, const char **name);
+/* Split a key into its kind and the name after the slash; false if the key is
+   invalid.  */
+bool csp_split_key (const char *key, csp_value_kind_t *kind,
+                    const char **name);
 
-/* Parse one value; NULL with faults where it is wrong.  The caller holds the
-   only reference.  */
+/* Parse one value; returns NULL and adds faults if it is invalid.  The caller
+   gets the only reference.  */
 csp_item_t *csp_parse_item (const csp_declared_value_t *value,
                             csp_faults_t *faults);
-csp_item_t *csp_hold_item (csp_item_t *item);
+csp_item_t *csp_retain_item (csp_item_t *item);
 void csp_release_item (csp_item_t *item);
 
-/* The item of a kind and name; NULL if there is none.  */
+/* Find an item by kind and name; NULL if there is none.  */
 const csp_item_t *csp_find_item (const csp_declaration_t *declaration,
-                                 csp_kind_t kind, const char *name);
+                                 csp_value_kind_t kind, const char *name);
 
-/* Check what values say of each other and build the order and the keys.  */
-void csp_link_declaration (csp_declaration_t *declaration,
-                           csp_faults_t *faults);
+/* Check the references between values, and build the list of rules in order
+   and the table of bearer keys.  */
+void csp_resolve_references (csp_declaration_t *declaration,
+                             csp_faults_t *faults);
 
-/* Hash of a name; the same within one process only.  */
+/* Hash of a name, for use within one process.  */
 uint64_t csp_hash_name (const char *name);
 
-/* Sort a set by hash.  */
-void csp_seal_set (csp_name_set_t *set, csp_arena_t *arena);
+/* Fill sorted_names and hashes from the declared names.  */
+void csp_sort_name_set (csp_name_set_t *set, csp_arena_t *arena);
 
-/* Names of conditions as they stand in a rule.  */
-const char *csp_when_set_name (csp_when_set_t set);
-const char *csp_when_range_name (csp_when_range_t range);
+/* Keys of conditions in a rule's JSON.  */
+const char *csp_when_set_key (csp_when_set_t set);
+const char *csp_when_range_key (csp_when_range_t range);
 
 #endif
--- a/source/declaration/declaration-item.c
+++ b/source/declaration/declaration-item.c
@@ -8,9 +8,9 @@
 {
   const char *prefix;
   const csp_field_t *table;
-} kind_row_t;
+} kind_info_t;
 
-static const kind_row_t kind_table[CSP_KIND_COUNT] = {
+static const kind_info_t kind_table[CSP_KIND_COUNT] = {
   [CSP_KIND_ORGANISATION] = { "organisation/", csp_organisation_table },
   [CSP_KIND_ROUTE] = { "route/", csp_route_table },
   [CSP_KIND_RULE_ORDER] = { "rule-order", NULL },
@@ -20,7 +20,7 @@
 };
 
 bool
-csp_split_key (const char *key, csp_kind_t *kind, const char **name)
+csp_split_key (const char *key, csp_value_kind_t *kind, const char **name)
 {
   size_t length;
   int i;
@@ -37,7 +37,7 @@
       if (i == CSP_KIND_RULE_ORDER
           || strncmp (key, kind_table[i].prefix, length) != 0)
         continue;
-      *kind = (csp_kind_t)i;
+      *kind = (csp_value_kind_t)i;
       *name = key + length;
       return csp_text_has_form (CSP_FORM_NAME, *name);
     }
@@ -62,12 +62,13 @@
   if (service->path_prefix == NULL)
     service->path_prefix
         = csp_format_text (place->arena, "/services/%s", service->name);
-  /* The callers' API lies there; a service would hide it.  */
+  /* A service under /v1 would shadow the callers' generation API.  */
   if (strncmp (service->path_prefix, "/v1", 3) == 0
       && (service->path_prefix[3] == '/' || service->path_prefix[3] == '\0'))
-    csp_add_fault (place->faults, place->where, "path_prefix", 0,
-                   "\"%s\" lies in /v1, which is the API of generating",
-                   service->path_prefix);
+    csp_add_fault (
+        place->faults, place->where, "path_prefix", 0,
+        "\"%s\" is in /v1, which is reserved for the generation API",
+        service->path_prefix);
 }
 
 static void
@@ -75,12 +76,12 @@
 {
   int i;
 
-  for (i = 0; i < CSP_WHEN_RANGES; i++)
+  for (i = 0; i < CSP_WHEN_RANGE_COUNT; i++)
     if (when->ranges[i].min > when->ranges[i].max)
       {
         size_t length = csp_enter_place (place, "when", 0);
 
-        csp_enter_place (place, csp_when_range_name (i), 0);
+        csp_enter_place (place, csp_when_range_key (i), 0);
         csp_add_place_fault (place, NULL, "min %g is above max %g",
                              when->ranges[i].min, when->ranges[i].max);
         csp_leave_place (place, length);
@@ -90,7 +91,7 @@
 static void
 check_rule (csp_place_t *place, csp_rule_t *rule)
 {
-  const csp_then_t *then = &rule->then;
+  const csp_rule_action_t *then = &rule->then;
   int count = then->has_send + then->has_lend + then->has_spill
               + then->has_turn_away;
   int i;
@@ -109,13 +110,13 @@
                  : then->has_lend  ? CSP_ACTION_LEND
                  : then->has_spill ? CSP_ACTION_SPILL
                                    : CSP_ACTION_TURN_AWAY;
-  for (i = 0; i < CSP_WHEN_SETS; i++)
-    csp_seal_set (&rule->when.sets[i], place->arena);
+  for (i = 0; i < CSP_WHEN_SET_COUNT; i++)
+    csp_sort_name_set (&rule->when.sets[i], place->arena);
 }
 
 static void
-read_order (csp_place_t *place, struct json_object *root,
-            csp_rule_order_t *order)
+read_rule_order (csp_place_t *place, struct json_object *root,
+                 csp_rule_order_t *order)
 {
   static const csp_field_t table[]
       = { { .name = "rule-order",
@@ -139,13 +140,14 @@
   json_object_put (object);
 }
 
-/* The first member of each struct is its name.  */
+/* Read the fields of an item.  The name is the first member of each struct in
+   the union.  */
 static void
 read_item (csp_item_t *item, csp_place_t *place)
 {
   if (item->kind == CSP_KIND_RULE_ORDER)
     {
-      read_order (place, item->root, &item->is.order);
+      read_rule_order (place, item->root, &item->is.order);
       return;
     }
   csp_read_fields (place, kind_table[item->kind].table, item->root, &item->is);
@@ -220,11 +222,11 @@
   return NULL;
 }
 
-/* The last reader of an old declaration may be a traffic thread, which then
-   destroys it while the control thread builds the next one over the same
-   items.  */
+/* References are counted atomically: the last user of an old declaration may
+   be a traffic thread, which destroys it while the control thread builds the
+   next one from the same items.  */
 csp_item_t *
-csp_hold_item (csp_item_t *item)
+csp_retain_item (csp_item_t *item)
 {
   atomic_fetch_add_explicit (&item->references, 1, memory_order_relaxed);
   return item;
--- a/source/declaration/declaration-links.c
+++ b/source/declaration/declaration-links.c
@@ -4,9 +4,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* What one value says of another.  A rule that names a pool which does not
-   exist would turn its requests away one by one, long after its writer has
-   gone home; so it is refused as a whole when it is declared.  */
+/* Checks the references between values.  A rule that names a missing pool
+   would fail each of its requests later, when its author no longer watches;
+   therefore the declaration is refused when it is published.  */
 
 enum
 {
@@ -14,27 +14,29 @@
 };
 
 static bool
-is_broken (const csp_declaration_t *declaration, csp_kind_t kind,
-           const char *name)
+is_invalid (const csp_declaration_t *declaration, csp_value_kind_t kind,
+            const char *name)
 {
-  const char *broken_name;
-  csp_kind_t broken_kind;
+  const char *invalid_name;
+  csp_value_kind_t invalid_kind;
   size_t i;
 
-  for (i = 0; i < declaration->broken_count; i++)
-    if (csp_split_key (declaration->broken[i], &broken_kind, &broken_name)
-        && broken_kind == kind
-        && (name == NULL || strcmp (broken_name, name) == 0))
+  for (i = 0; i < declaration->invalid_key_count; i++)
+    if (csp_split_key (declaration->invalid_keys[i], &invalid_kind,
+                       &invalid_name)
+        && invalid_kind == kind
+        && (name == NULL || strcmp (invalid_name, name) == 0))
       return true;
   return false;
 }
 
 static void
-refuse_unknown (const csp_declaration_t *declaration, csp_faults_t *faults,
-                const csp_item_t *item, const char *path, csp_kind_t kind,
-                const char *name)
+add_unknown_name_fault (const csp_declaration_t *declaration,
+                        csp_faults_t *faults, const csp_item_t *item,
+                        const char *path, csp_value_kind_t kind,
+                        const char *name)
 {
-  static const char *const words[CSP_KIND_COUNT] = {
+  static const char *const kind_names[CSP_KIND_COUNT] = {
     [CSP_KIND_ORGANISATION] = "organisation",
     [CSP_KIND_ROUTE] = "route",
     [CSP_KIND_RULE] = "rule",
@@ -42,9 +44,9 @@
     [CSP_KIND_POOL] = "pool",
   };
 
-  if (!is_broken (declaration, kind, name))
+  if (!is_invalid (declaration, kind, name))
     csp_add_fault (faults, item->where, path, 0, "there is no %s \"%s\"",
-                   words[kind], name);
+                   kind_names[kind], name);
 }
 
 static void
@@ -55,7 +57,8 @@
   const csp_pool_t *pool = csp_find_pool (declaration, name);
 
   if (pool == NULL)
-    refuse_unknown (declaration, faults, item, path, CSP_KIND_POOL, name);
+    add_unknown_name_fault (declaration, faults, item, path, CSP_KIND_POOL,
+                            name);
   else if (pool->kind != kind)
     csp_add_fault (faults, item->where, path, 0,
                    "pool \"%s\" has %s; it must have %s", name,
@@ -63,8 +66,8 @@
                    kind == CSP_POOL_ENGINES ? "engines" : "services");
 }
 
-/* A fallback that leads back to its route would send a request round while
-   all pools are gone.  */
+/* With a cycle of fallbacks, a request would be sent from route to route
+   without end while all their pools are down.  */
 static void
 check_fallback (const csp_declaration_t *declaration, csp_faults_t *faults,
                 const csp_item_t *item)
@@ -73,18 +76,18 @@
   size_t steps = 0;
 
   while (route != NULL && route->fallback != NULL
-         && steps <= declaration->count[CSP_KIND_ROUTE])
+         && steps <= declaration->kind_count[CSP_KIND_ROUTE])
     {
       route = csp_find_route (declaration, route->fallback);
       steps++;
     }
-  if (steps > declaration->count[CSP_KIND_ROUTE])
+  if (steps > declaration->kind_count[CSP_KIND_ROUTE])
     csp_add_fault (faults, item->where, "fallback", 0,
-                   "the fallbacks lead round in a ring");
+                   "the fallbacks form a cycle");
   else if (item->is.route.fallback != NULL
            && csp_find_route (declaration, item->is.route.fallback) == NULL)
-    refuse_unknown (declaration, faults, item, "fallback", CSP_KIND_ROUTE,
-                    item->is.route.fallback);
+    add_unknown_name_fault (declaration, faults, item, "fallback",
+                            CSP_KIND_ROUTE, item->is.route.fallback);
 }
 
 static void
@@ -97,7 +100,7 @@
 
   check_pool (declaration, faults, item, "pool", service->pool,
               CSP_POOL_SERVICES);
-  for (i = 0; i < declaration->count[CSP_KIND_SERVICE]; i++)
+  for (i = 0; i < declaration->kind_count[CSP_KIND_SERVICE]; i++)
     {
       other = csp_get_service (declaration, i);
       if (other == service)
@@ -110,11 +113,11 @@
 }
 
 static bool
-any_route_has_class (const csp_declaration_t *declaration, const char *name)
+is_class_of_any_route (const csp_declaration_t *declaration, const char *name)
 {
   size_t i;
 
-  for (i = 0; i < declaration->count[CSP_KIND_ROUTE]; i++)
+  for (i = 0; i < declaration->kind_count[CSP_KIND_ROUTE]; i++)
     if (csp_find_class (csp_get_route (declaration, i), name) != NULL)
       return true;
   return false;
@@ -124,27 +127,28 @@
 check_class (const csp_declaration_t *declaration, csp_faults_t *faults,
              const csp_item_t *item, const char *path, const char *name)
 {
-  if (!any_route_has_class (declaration, name)
-      && !is_broken (declaration, CSP_KIND_ROUTE, NULL))
+  if (!is_class_of_any_route (declaration, name)
+      && !is_invalid (declaration, CSP_KIND_ROUTE, NULL))
     csp_add_fault (faults, item->where, path, 0, "there is no class \"%s\"",
                    name);
 }
 
 static void
-check_name (const csp_declaration_t *declaration, csp_faults_t *faults,
-            const csp_item_t *item, csp_when_set_t set, const char *name)
+check_name_in_set (const csp_declaration_t *declaration, csp_faults_t *faults,
+                   const csp_item_t *item, csp_when_set_t set,
+                   const char *name)
 {
   char path[CSP_NAME_BYTES];
-  csp_kind_t kind = CSP_KIND_ORGANISATION;
+  csp_value_kind_t kind = CSP_KIND_ORGANISATION;
 
-  snprintf (path, sizeof path, "when.%s", csp_when_set_name (set));
+  snprintf (path, sizeof path, "when.%s", csp_when_set_key (set));
   switch (set)
     {
     case CSP_WHEN_CLASS:
       check_class (declaration, faults, item, path, name);
       return;
     case CSP_WHEN_DATA_CENTRE:
-    case CSP_WHEN_SETS:
+    case CSP_WHEN_SET_COUNT:
       return;
     case CSP_WHEN_ORGANISATION:
       break;
@@ -156,7 +160,7 @@
       break;
     }
   if (csp_find_item (declaration, kind, name) == NULL)
-    refuse_unknown (declaration, faults, item, path, kind, name);
+    add_unknown_name_fault (declaration, faults, item, path, kind, name);
 }
 
 static void
@@ -167,16 +171,16 @@
   size_t i;
   int s;
 
-  for (s = 0; s < CSP_WHEN_SETS; s++)
+  for (s = 0; s < CSP_WHEN_SET_COUNT; s++)
     {
       set = &item->is.rule.when.sets[s];
       for (i = 0; i < set->count; i++)
-        check_name (declaration, faults, item, s, set->declared[i]);
+        check_name_in_set (declaration, faults, item, s, set->declared[i]);
     }
 }
 
 static bool
-is_in_order (const csp_declaration_t *declaration, const char *name)
+is_in_rule_order (const csp_declaration_t *declaration, const char *name)
 {
   const csp_item_t *item
       = csp_find_item (declaration, CSP_KIND_RULE_ORDER, "rule-order");
@@ -188,9 +192,9 @@
   return false;
 }
 
-/* A rule with a pool that held for generations and for calls of services
-   would send the one to the other's targets, so it has to say for which of
-   them it is.  */
+/* A rule that names a pool and matches both generations and service calls
+   would send one of the two kinds to targets of the other kind, so it must
+   restrict itself to one of them.  */
 static void
 check_rule_pool (const csp_declaration_t *declaration, csp_faults_t *faults,
                  const csp_item_t *item, const char *path, const char *name)
@@ -222,16 +226,16 @@
                    rule->then.lend.pool);
   check_rule_pool (declaration, faults, item, "then.spill.pool",
                    rule->then.spill.pool);
-  if (declaration->rule_count != declaration->count[CSP_KIND_RULE]
-      && !is_in_order (declaration, rule->name)
-      && !is_broken (declaration, CSP_KIND_RULE_ORDER, NULL))
+  if (declaration->rule_count != declaration->kind_count[CSP_KIND_RULE]
+      && !is_in_rule_order (declaration, rule->name)
+      && !is_invalid (declaration, CSP_KIND_RULE_ORDER, NULL))
     csp_add_fault (faults, item->where, "", 0,
                    "is not in rule-order, so it would never decide");
 }
 
 static void
-link_order (csp_declaration_t *declaration, csp_faults_t *faults,
-            const csp_item_t *item)
+resolve_rule_order (csp_declaration_t *declaration, csp_faults_t *faults,
+                    const csp_item_t *item)
 {
   const csp_rule_order_t *order = &item->is.order;
   const csp_item_t *rule;
@@ -244,68 +248,68 @@
     {
       rule = csp_find_item (declaration, CSP_KIND_RULE, order->names[i]);
       if (rule == NULL)
-        refuse_unknown (declaration, faults, item, "", CSP_KIND_RULE,
-                        order->names[i]);
+        add_unknown_name_fault (declaration, faults, item, "", CSP_KIND_RULE,
+                                order->names[i]);
       else
         declaration->rules[declaration->rule_count++] = &rule->is.rule;
     }
 }
 
 static size_t
-count_keys (const csp_declaration_t *declaration)
+count_bearer_keys (const csp_declaration_t *declaration)
 {
   size_t count = 0;
   size_t i;
 
-  for (i = 0; i < declaration->count[CSP_KIND_ORGANISATION]; i++)
+  for (i = 0; i < declaration->kind_count[CSP_KIND_ORGANISATION]; i++)
     count += csp_get_organisation (declaration, i)->key_count;
   return count;
 }
 
 static const csp_organisation_t *
-insert_key (csp_declaration_t *declaration, const char *key,
-            const csp_organisation_t *organisation)
+insert_bearer_key (csp_declaration_t *declaration, const char *key,
+                   const csp_organisation_t *organisation)
 {
-  size_t mask = declaration->key_slots - 1;
+  size_t mask = declaration->bearer_key_slots - 1;
   size_t slot = csp_hash_name (key) & mask;
 
-  for (; declaration->keys[slot].key != NULL; slot = (slot + 1) & mask)
-    if (strcmp (declaration->keys[slot].key, key) == 0)
-      return declaration->keys[slot].organisation;
-  declaration->keys[slot].key = key;
-  declaration->keys[slot].organisation = organisation;
+  for (; declaration->bearer_keys[slot].key != NULL; slot = (slot + 1) & mask)
+    if (strcmp (declaration->bearer_keys[slot].key, key) == 0)
+      return declaration->bearer_keys[slot].organisation;
+  declaration->bearer_keys[slot].key = key;
+  declaration->bearer_keys[slot].organisation = organisation;
   return NULL;
 }
 
-/* One bearer key in two organisations would bill and limit the one for what
-   the other sends.  */
+/* If two organisations had the same bearer key, one would be billed and
+   limited for the other's requests.  */
 static void
-link_keys (csp_declaration_t *declaration, csp_faults_t *faults)
+index_bearer_keys (csp_declaration_t *declaration, csp_faults_t *faults)
 {
   const csp_organisation_t *organisation;
   const csp_organisation_t *owner;
   size_t i;
   size_t k;
 
-  declaration->key_slots = KEY_SLOTS_MIN;
-  while (declaration->key_slots < 2 * count_keys (declaration))
-    declaration->key_slots *= 2;
-  declaration->keys
-      = calloc (declaration->key_slots, sizeof *declaration->keys);
-  if (declaration->keys == NULL)
+  declaration->bearer_key_slots = KEY_SLOTS_MIN;
+  while (declaration->bearer_key_slots < 2 * count_bearer_keys (declaration))
+    declaration->bearer_key_slots *= 2;
+  declaration->bearer_keys = calloc (declaration->bearer_key_slots,
+                                     sizeof *declaration->bearer_keys);
+  if (declaration->bearer_keys == NULL)
     abort ();
-  for (i = 0; i < declaration->count[CSP_KIND_ORGANISATION]; i++)
+  for (i = 0; i < declaration->kind_count[CSP_KIND_ORGANISATION]; i++)
     {
       organisation = csp_get_organisation (declaration, i);
       for (k = 0; k < organisation->key_count; k++)
         {
-          owner = insert_key (declaration, organisation->key_sha256[k],
-                              organisation);
+          owner = insert_bearer_key (declaration, organisation->key_sha256[k],
+                                     organisation);
           if (owner != NULL)
             csp_add_fault (
                 faults,
                 declaration
-                    ->items[declaration->first[CSP_KIND_ORGANISATION] + i]
+                    ->items[declaration->kind_start[CSP_KIND_ORGANISATION] + i]
                     ->where,
                 "key_sha256", 0, "key %zu is organisation \"%s\"'s already", k,
                 owner->name);
@@ -331,7 +335,7 @@
       check_rule (declaration, faults, item);
       break;
     case CSP_KIND_RULE_ORDER:
-      link_order (declaration, faults, item);
+      resolve_rule_order (declaration, faults, item);
       break;
     case CSP_KIND_ORGANISATION:
     case CSP_KIND_POOL:
@@ -341,22 +345,22 @@
 }
 
 void
-csp_link_declaration (csp_declaration_t *declaration, csp_faults_t *faults)
+csp_resolve_references (csp_declaration_t *declaration, csp_faults_t *faults)
 {
-  size_t most;
+  size_t max_count;
   size_t i;
   int kind;
 
   for (kind = 0; kind < CSP_KIND_COUNT; kind++)
     {
-      most = kind == CSP_KIND_ORGANISATION ? CSP_ORGANISATIONS_MAX
-                                           : CSP_ITEMS_MAX;
-      if (declaration->count[kind] > most)
+      max_count = kind == CSP_KIND_ORGANISATION ? CSP_ORGANISATIONS_MAX
+                                                : CSP_ITEMS_MAX;
+      if (declaration->kind_count[kind] > max_count)
         csp_add_fault (faults, "declaration", "", 0,
                        "%zu values of one kind; at most %zu are allowed",
-                       declaration->count[kind], most);
+                       declaration->kind_count[kind], max_count);
     }
   for (i = 0; i < declaration->item_count; i++)
     check_item (declaration, faults, declaration->items[i]);
-  link_keys (declaration, faults);
+  index_bearer_keys (declaration, faults);
 }
--- a/source/declaration/declaration-rules.c
+++ b/source/declaration/declaration-rules.c
@@ -5,29 +5,29 @@
 #include <string.h>
 
 /* Names are compared by hash first: with 200 rules of five sets each, string
-   comparisons alone would cost more than the whole decision may.  */
+   comparisons alone would exceed the time allowed for a decision.  */
 
 enum
 {
-  HASH_PRIME = 1099511628211U,
-  NAMES_SHOWN = 4
+  FNV_PRIME = 1099511628211U,
+  NAMES_SHOWN_MAX = 4
 };
 
-/* The facts in the shape of the conditions.  */
+/* The facts of a request, indexed by condition.  */
 typedef struct
 {
-  const char *names[CSP_WHEN_SETS];
-  uint64_t hashes[CSP_WHEN_SETS];
-  double numbers[CSP_WHEN_RANGES];
+  const char *names[CSP_WHEN_SET_COUNT];
+  uint64_t hashes[CSP_WHEN_SET_COUNT];
+  double numbers[CSP_WHEN_RANGE_COUNT];
 } hashed_facts_t;
 
-static const char *const set_names[CSP_WHEN_SETS] = {
+static const char *const when_set_keys[CSP_WHEN_SET_COUNT] = {
   [CSP_WHEN_ORGANISATION] = "organisation", [CSP_WHEN_ROUTE] = "route",
   [CSP_WHEN_SERVICE] = "service",           [CSP_WHEN_CLASS] = "class",
   [CSP_WHEN_DATA_CENTRE] = "data_centre",
 };
 
-static const char *const range_names[CSP_WHEN_RANGES] = {
+static const char *const when_range_keys[CSP_WHEN_RANGE_COUNT] = {
   [CSP_WHEN_PRIORITY] = "priority",
   [CSP_WHEN_PROMPT_TOKENS] = "prompt_tokens",
   [CSP_WHEN_LOAD] = "load",
@@ -35,15 +35,15 @@
 };
 
 const char *
-csp_when_set_name (csp_when_set_t set)
+csp_when_set_key (csp_when_set_t set)
 {
-  return set_names[set];
+  return when_set_keys[set];
 }
 
 const char *
-csp_when_range_name (csp_when_range_t range)
+csp_when_range_key (csp_when_range_t range)
 {
-  return range_names[range];
+  return when_range_keys[range];
 }
 
 /* FNV-1a.  */
@@ -53,12 +53,12 @@
   uint64_t hash = 14695981039346656037U;
 
   for (; *name != '\0'; name++)
-    hash = (hash ^ (unsigned char)*name) * HASH_PRIME;
+    hash = (hash ^ (unsigned char)*name) * FNV_PRIME;
   return hash;
 }
 
 static int
-compare_names (const void *a, const void *b)
+compare_name_hashes (const void *a, const void *b)
 {
   uint64_t first = csp_hash_name (*(const char *const *)a);
   uint64_t second = csp_hash_name (*(const char *const *)b);
@@ -67,22 +67,25 @@
 }
 
 void
-csp_seal_set (csp_name_set_t *set, csp_arena_t *arena)
+csp_sort_name_set (csp_name_set_t *set, csp_arena_t *arena)
 {
   size_t i;
 
   if (set->count == 0)
     return;
-  set->names = csp_allocate (arena, set->count * sizeof *set->names);
+  set->sorted_names
+      = csp_allocate (arena, set->count * sizeof *set->sorted_names);
   set->hashes = csp_allocate (arena, set->count * sizeof *set->hashes);
-  memcpy (set->names, set->declared, set->count * sizeof *set->names);
-  qsort (set->names, set->count, sizeof *set->names, compare_names);
+  memcpy (set->sorted_names, set->declared,
+          set->count * sizeof *set->sorted_names);
+  qsort (set->sorted_names, set->count, sizeof *set->sorted_names,
+         compare_name_hashes);
   for (i = 0; i < set->count; i++)
-    set->hashes[i] = csp_hash_name (set->names[i]);
+    set->hashes[i] = csp_hash_name (set->sorted_names[i]);
 }
 
 static bool
-set_has (const csp_name_set_t *set, const char *name, uint64_t hash)
+set_contains (const csp_name_set_t *set, const char *name, uint64_t hash)
 {
   size_t low = 0;
   size_t high = set->count;
@@ -99,7 +102,7 @@
         high = middle;
     }
   for (; low < set->count && set->hashes[low] == hash; low++)
-    if (strcmp (set->names[low], name) == 0)
+    if (strcmp (set->sorted_names[low], name) == 0)
       return true;
   return false;
 }
@@ -118,34 +121,34 @@
   hashed->numbers[CSP_WHEN_PROMPT_TOKENS] = facts->prompt_tokens;
   hashed->numbers[CSP_WHEN_LOAD] = facts->load;
   hashed->numbers[CSP_WHEN_TIME_IN_QUEUE] = (double)facts->time_in_queue_ms;
-  for (i = 0; i < CSP_WHEN_SETS; i++)
+  for (i = 0; i < CSP_WHEN_SET_COUNT; i++)
     hashed->hashes[i]
         = hashed->names[i] == NULL ? 0 : csp_hash_name (hashed->names[i]);
 }
 
 static bool
-range_has (const csp_range_t *range, double number)
+range_contains (const csp_range_t *range, double number)
 {
   return number >= range->min && number <= range->max;
 }
 
 static bool
-rule_holds (const csp_rule_t *rule, const hashed_facts_t *facts)
+rule_matches (const csp_rule_t *rule, const hashed_facts_t *facts)
 {
   const csp_when_t *when = &rule->when;
   int i;
 
-  for (i = 0; i < CSP_WHEN_SETS; i++)
+  for (i = 0; i < CSP_WHEN_SET_COUNT; i++)
     if (when->sets[i].count > 0
-        && !set_has (&when->sets[i], facts->names[i], facts->hashes[i]))
+        && !set_contains (&when->sets[i], facts->names[i], facts->hashes[i]))
       return false;
-  for (i = 0; i < CSP_WHEN_RANGES; i++)
-    if (!range_has (&when->ranges[i], facts->numbers[i]))
+  for (i = 0; i < CSP_WHEN_RANGE_COUNT; i++)
+    if (!range_contains (&when->ranges[i], facts->numbers[i]))
       return false;
   return true;
 }
 
-/* The smaller of two limits, of which 0 is none.  */
+/* The smaller of two limits; 0 means unlimited.  */
 static uint32_t
 smaller_limit (uint32_t a, uint32_t b)
 {
@@ -155,7 +158,7 @@
 }
 
 static void
-limit_request (csp_limits_t *limits, const csp_limits_t *other)
+tighten_request_limits (csp_limits_t *limits, const csp_limits_t *other)
 {
   limits->max_prompt_tokens
       = smaller_limit (limits->max_prompt_tokens, other->max_prompt_tokens);
@@ -164,8 +167,9 @@
 }
 
 static void
-fill_from_target (csp_terms_t *terms, const csp_declaration_t *declaration,
-                  const csp_request_facts_t *facts)
+fill_from_route_or_service (csp_terms_t *terms,
+                            const csp_declaration_t *declaration,
+                            const csp_request_facts_t *facts)
 {
   const csp_route_t *route = NULL;
   const csp_service_t *service = NULL;
@@ -178,7 +182,7 @@
   if (route != NULL)
     {
       class = csp_find_class (route, facts->class_name);
-      limit_request (&terms->limits, &route->limits);
+      tighten_request_limits (&terms->limits, &route->limits);
     }
   if (terms->pool == NULL)
     terms->pool = route != NULL     ? route->pool
@@ -204,8 +208,8 @@
     terms->weight
         = organisation == NULL ? CSP_WEIGHT_DEFAULT : organisation->weight;
   if (organisation != NULL)
-    limit_request (&terms->limits, &organisation->limits);
-  fill_from_target (terms, declaration, facts);
+    tighten_request_limits (&terms->limits, &organisation->limits);
+  fill_from_route_or_service (terms, declaration, facts);
 }
 
 static void
@@ -249,7 +253,7 @@
 
   hash_facts (facts, &hashed);
   for (i = 0; i < declaration->rule_count; i++)
-    if (rule_holds (declaration->rules[i], &hashed))
+    if (rule_matches (declaration->rules[i], &hashed))
       {
         apply_rule (declaration, declaration->rules[i], facts, outcome);
         return;
@@ -261,45 +265,49 @@
 }
 
 static void
-explain_set (const csp_name_set_t *set, const char *condition,
-             const char *name, char why[CSP_WHY_BYTES])
+explain_name_mismatch (const csp_name_set_t *set, const char *condition,
+                       const char *name, char mismatch[CSP_MISMATCH_BYTES])
 {
   size_t used;
   size_t i;
 
-  used = (size_t)snprintf (why, CSP_WHY_BYTES, "%s is %s, the rule asks for ",
-                           condition, name == NULL ? "none" : name);
-  for (i = 0; i < set->count && i < NAMES_SHOWN && used < CSP_WHY_BYTES; i++)
-    used += (size_t)snprintf (why + used, CSP_WHY_BYTES - used, "%s%s",
-                              i == 0 ? "" : " or ", set->declared[i]);
-  if (set->count > NAMES_SHOWN && used < CSP_WHY_BYTES)
-    snprintf (why + used, CSP_WHY_BYTES - used, " or %zu more",
-              set->count - NAMES_SHOWN);
+  used = (size_t)snprintf (mismatch, CSP_MISMATCH_BYTES,
+                           "%s is %s, the rule asks for ", condition,
+                           name == NULL ? "none" : name);
+  for (i = 0;
+       i < set->count && i < NAMES_SHOWN_MAX && used < CSP_MISMATCH_BYTES; i++)
+    used += (size_t)snprintf (mismatch + used, CSP_MISMATCH_BYTES - used,
+                              "%s%s", i == 0 ? "" : " or ", set->declared[i]);
+  if (set->count > NAMES_SHOWN_MAX && used < CSP_MISMATCH_BYTES)
+    snprintf (mismatch + used, CSP_MISMATCH_BYTES - used, " or %zu more",
+              set->count - NAMES_SHOWN_MAX);
 }
 
 bool
 csp_explain_rule (const csp_declaration_t *declaration, size_t index,
-                  const csp_request_facts_t *facts, char why[CSP_WHY_BYTES])
+                  const csp_request_facts_t *facts,
+                  char mismatch[CSP_MISMATCH_BYTES])
 {
   const csp_when_t *when = &declaration->rules[index]->when;
   hashed_facts_t hashed;
   int i;
 
   hash_facts (facts, &hashed);
-  why[0] = '\0';
-  for (i = 0; i < CSP_WHEN_SETS; i++)
+  mismatch[0] = '\0';
+  for (i = 0; i < CSP_WHEN_SET_COUNT; i++)
     if (when->sets[i].count > 0
-        && !set_has (&when->sets[i], hashed.names[i], hashed.hashes[i]))
+        && !set_contains (&when->sets[i], hashed.names[i], hashed.hashes[i]))
       {
-        explain_set (&when->sets[i], set_names[i], hashed.names[i], why);
+        explain_name_mismatch (&when->sets[i], when_set_keys[i],
+                               hashed.names[i], mismatch);
         return false;
       }
-  for (i = 0; i < CSP_WHEN_RANGES; i++)
-    if (!range_has (&when->ranges[i], hashed.numbers[i]))
+  for (i = 0; i < CSP_WHEN_RANGE_COUNT; i++)
+    if (!range_contains (&when->ranges[i], hashed.numbers[i]))
       {
-        snprintf (why, CSP_WHY_BYTES,
+        snprintf (mismatch, CSP_MISMATCH_BYTES,
                   "%s is %.10g, the rule asks for %.10g to %.10g",
-                  range_names[i], hashed.numbers[i], when->ranges[i].min,
+                  when_range_keys[i], hashed.numbers[i], when->ranges[i].min,
                   when->ranges[i].max);
         return false;
       }
--- a/source/declaration/declaration-tables.c
+++ b/source/declaration/declaration-tables.c
@@ -26,7 +26,7 @@
   DAY_MS = 86400000
 };
 
-/* The two limits of one request, and the three that are counted.  */
+/* The two limits per request, and the three over all requests together.  */
 #define REQUEST_LIMITS(type_name, member)                                     \
   { .name = "max_prompt_tokens",                                              \
     U32 (type_name, member.max_prompt_tokens, 1, LIMIT_MAX),                  \
@@ -201,7 +201,7 @@
 static const csp_field_t engine_table[]
     = { { .name = "wanted",
           .type = CSP_FIELD_OBJECT,
-          .offset = offsetof (csp_engine_wanted_t, wanted),
+          .offset = offsetof (csp_engine_wanted_state_t, wanted),
           .fields = wanted_table,
           .required = true,
           .help = "its wanted state, in place of the pool's" },
@@ -247,8 +247,8 @@
         { .name = "engines",
           .type = CSP_FIELD_MAP,
           .form = CSP_FORM_NAME,
-          STRUCTS (csp_pool_t, engines, engine_count, csp_engine_wanted_t,
-                   engine_table, ENGINES_MAX),
+          STRUCTS (csp_pool_t, engines, engine_count,
+                   csp_engine_wanted_state_t, engine_table, ENGINES_MAX),
           .help = "engines whose wanted state differs" },
         { 0 } };
 
--- a/source/declaration/declaration.c
+++ b/source/declaration/declaration.c
@@ -4,12 +4,13 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A walk over the previous declaration's items beside sorted values.  */
+/* Position in the previous declaration's items, which advances with the sorted
+   values.  */
 typedef struct
 {
   const csp_declaration_t *previous;
   size_t next;
-} reuse_t;
+} reuse_cursor_t;
 
 static void *
 allocate_array (size_t count, size_t size_bytes)
@@ -43,11 +44,11 @@
   return sorted;
 }
 
-/* The previous item of the same key and text, if there is one.  The text is
-   compared and not a revision: a revision that lies would keep an old rule in
-   force while every operator surface shows the new one.  */
+/* The previous item with the same key and text, if there is one.  Texts are
+   compared instead of revisions: if a revision were wrong, an old rule would
+   stay in force while status pages show the new one.  */
 static csp_item_t *
-find_reusable (reuse_t *reuse, const csp_declared_value_t *value)
+find_reusable (reuse_cursor_t *reuse, const csp_declared_value_t *value)
 {
   csp_item_t *item;
   int order;
@@ -72,16 +73,16 @@
 static void
 add_item (csp_declaration_t *declaration, csp_item_t *item)
 {
-  if (declaration->count[item->kind] == 0)
-    declaration->first[item->kind] = declaration->item_count;
-  declaration->count[item->kind]++;
+  if (declaration->kind_count[item->kind] == 0)
+    declaration->kind_start[item->kind] = declaration->item_count;
+  declaration->kind_count[item->kind]++;
   declaration->items[declaration->item_count++] = item;
 }
 
 static void
-take_values (csp_declaration_t *declaration, reuse_t *reuse,
-             const csp_declared_value_t **sorted, size_t count,
-             csp_faults_t *faults)
+parse_values (csp_declaration_t *declaration, reuse_cursor_t *reuse,
+              const csp_declared_value_t **sorted, size_t count,
+              csp_faults_t *faults)
 {
   csp_item_t *item;
   size_t i;
@@ -98,13 +99,14 @@
         }
       item = find_reusable (reuse, sorted[i]);
       if (item != NULL)
-        csp_hold_item (item);
+        csp_retain_item (item);
       else
         item = csp_parse_item (sorted[i], faults);
       if (item != NULL)
         add_item (declaration, item);
       else
-        declaration->broken[declaration->broken_count++] = sorted[i]->key;
+        declaration->invalid_keys[declaration->invalid_key_count++]
+            = sorted[i]->key;
     }
 }
 
@@ -116,16 +118,16 @@
   csp_declaration_t *declaration = allocate_array (0, sizeof *declaration);
   const csp_declared_value_t **sorted = sort_values (values, count);
   size_t before = csp_count_faults (faults);
-  reuse_t reuse = { previous, 0 };
+  reuse_cursor_t reuse = { previous, 0 };
 
   declaration->items = allocate_array (count, sizeof (void *));
-  declaration->broken = allocate_array (count, sizeof (void *));
-  take_values (declaration, &reuse, sorted, count, faults);
+  declaration->invalid_keys = allocate_array (count, sizeof (void *));
+  parse_values (declaration, &reuse, sorted, count, faults);
   free (sorted);
-  csp_link_declaration (declaration, faults);
-  free (declaration->broken);
-  declaration->broken = NULL;
-  declaration->broken_count = 0;
+  csp_resolve_references (declaration, faults);
+  free (declaration->invalid_keys);
+  declaration->invalid_keys = NULL;
+  declaration->invalid_key_count = 0;
   if (csp_count_faults (faults) == before)
     return declaration;
   csp_destroy_declaration (declaration);
@@ -143,26 +145,26 @@
     csp_release_item (declaration->items[i]);
   free (declaration->items);
   free (declaration->rules);
-  free (declaration->keys);
+  free (declaration->bearer_keys);
   free (declaration);
 }
 
 const csp_item_t *
-csp_find_item (const csp_declaration_t *declaration, csp_kind_t kind,
+csp_find_item (const csp_declaration_t *declaration, csp_value_kind_t kind,
                const char *name)
 {
-  csp_item_t **run = declaration->items + declaration->first[kind];
+  csp_item_t **items = declaration->items + declaration->kind_start[kind];
   size_t low = 0;
-  size_t high = declaration->count[kind];
+  size_t high = declaration->kind_count[kind];
   size_t middle;
   int order;
 
   while (low < high)
     {
       middle = low + (high - low) / 2;
-      order = strcmp (run[middle]->name, name);
+      order = strcmp (items[middle]->name, name);
       if (order == 0)
-        return run[middle];
+        return items[middle];
       if (order < 0)
         low = middle + 1;
       else
@@ -208,17 +210,17 @@
 csp_find_organisation_by_key (const csp_declaration_t *declaration,
                               const char *key_sha256)
 {
-  size_t mask = declaration->key_slots - 1;
+  size_t mask = declaration->bearer_key_slots - 1;
   size_t slot = csp_hash_name (key_sha256) & mask;
 
-  for (; declaration->keys[slot].key != NULL; slot = (slot + 1) & mask)
-    if (strcmp (declaration->keys[slot].key, key_sha256) == 0)
-      return declaration->keys[slot].organisation;
+  for (; declaration->bearer_keys[slot].key != NULL; slot = (slot + 1) & mask)
+    if (strcmp (declaration->bearer_keys[slot].key, key_sha256) == 0)
+      return declaration->bearer_keys[slot].organisation;
   return NULL;
 }
 
 static const char *
-path_behind (const csp_service_t *service, const char *path)
+path_after_prefix (const csp_service_t *service, const char *path)
 {
   size_t length = strlen (service->path_prefix);
 
@@ -235,19 +237,19 @@
 {
   const csp_service_t *best = NULL;
   const csp_service_t *service;
-  const char *behind;
+  const char *after_prefix;
   size_t i;
 
-  for (i = 0; i < declaration->count[CSP_KIND_SERVICE]; i++)
+  for (i = 0; i < declaration->kind_count[CSP_KIND_SERVICE]; i++)
     {
       service = csp_get_service (declaration, i);
-      behind = path_behind (service, path);
-      if (behind == NULL
+      after_prefix = path_after_prefix (service, path);
+      if (after_prefix == NULL
           || (best != NULL
               && strlen (best->path_prefix) > strlen (service->path_prefix)))
         continue;
       best = service;
-      *rest = behind;
+      *rest = after_prefix;
     }
   return best;
 }
@@ -268,7 +270,8 @@
 }
 
 static bool
-is_call (const csp_service_call_t *call, const char *method, const char *rest)
+call_matches (const csp_service_call_t *call, const char *method,
+              const char *rest)
 {
   size_t length = strlen (call->path);
 
@@ -287,7 +290,7 @@
   size_t i;
 
   for (i = 0; i < service->call_count; i++)
-    if (is_call (&service->calls[i], method, rest)
+    if (call_matches (&service->calls[i], method, rest)
         && (best == NULL
             || strlen (service->calls[i].path) > strlen (best->path)))
       best = &service->calls[i];
@@ -313,25 +316,25 @@
 size_t
 csp_count_organisations (const csp_declaration_t *declaration)
 {
-  return declaration->count[CSP_KIND_ORGANISATION];
+  return declaration->kind_count[CSP_KIND_ORGANISATION];
 }
 
 size_t
 csp_count_routes (const csp_declaration_t *declaration)
 {
-  return declaration->count[CSP_KIND_ROUTE];
+  return declaration->kind_count[CSP_KIND_ROUTE];
 }
 
 size_t
 csp_count_services (const csp_declaration_t *declaration)
 {
-  return declaration->count[CSP_KIND_SERVICE];
+  return declaration->kind_count[CSP_KIND_SERVICE];
 }
 
 size_t
 csp_count_pools (const csp_declaration_t *declaration)
 {
-  return declaration->count[CSP_KIND_POOL];
+  return declaration->kind_count[CSP_KIND_POOL];
 }
 
 size_t
@@ -341,9 +344,10 @@
 }
 
 static const csp_item_t *
-get_item (const csp_declaration_t *declaration, csp_kind_t kind, size_t index)
+get_item (const csp_declaration_t *declaration, csp_value_kind_t kind,
+          size_t index)
 {
-  return declaration->items[declaration->first[kind] + index];
+  return declaration->items[declaration->kind_start[kind] + index];
 }
 
 const csp_organisation_t *
