--- a/include/cowslipspoke/losses.h
+++ b/include/cowslipspoke/losses.h
@@ -6,31 +6,33 @@
 #include <stdint.h>
 #include <stdio.h>
 
-/* Which requests were lost, and why, from the logs of the hosts alone.
+/* Finds which requests were lost, and why, from the hosts' logs alone.
 
-   The last line of a request says how it ended; why a text was cut is told by
-   the lines before it and by what the host knew of the target: whether it had
-   heard that the target leaves, whether a copy was begun, refused or late.  */
+   The last line of a request says how it ended.  Why a stream was cut follows
+   from the request's earlier lines and from what the host knew about the
+   target: whether it had received the target's leave notice, and whether a
+   copy to another target was started, refused or late.  */
 
 typedef enum
 {
-  CSP_LOSS_NONE,          /* whole answer */
-  CSP_LOSS_NOTICE_UNSEEN, /* the target ended and the host knew of no notice */
-  CSP_LOSS_NO_ROOM,       /* it knew, and no copy was begun */
-  CSP_LOSS_COPY_REFUSED,  /* no other target had room for the copy */
-  CSP_LOSS_COPY_LATE,     /* the target ended while the run was copied */
-  CSP_LOSS_COPY_MISSING,  /* no copy was where the run was to go on */
-  CSP_LOSS_LINK_RESET,    /* the connection to the target was reset */
-  CSP_LOSS_LINK_SILENT,   /* the stream stood still until its caller left */
-  CSP_LOSS_TARGET_FAILED, /* the target answered another request, or not */
-  CSP_LOSS_TARGET_ERROR,  /* an error of the target's own was passed on */
+  CSP_LOSS_NONE,             /* complete response */
+  CSP_LOSS_NOTICE_UNSEEN,    /* the target ended, no notice received */
+  CSP_LOSS_COPY_NOT_STARTED, /* notice received, but no copy was started */
+  CSP_LOSS_COPY_REFUSED,     /* no other target accepted the copy */
+  CSP_LOSS_COPY_LATE,        /* the target ended during the copy */
+  CSP_LOSS_COPY_MISSING,     /* the new target did not have the copy */
+  CSP_LOSS_LINK_RESET,       /* the connection to the target was reset */
+  CSP_LOSS_STREAM_STALLED,   /* no data came until the caller left */
+  CSP_LOSS_TARGET_FAILED,    /* the response was missing, invalid or for
+                                another request */
+  CSP_LOSS_TARGET_ERROR,     /* the target's error response was passed on */
   CSP_LOSS_TARGET_REFUSED,
-  CSP_LOSS_REFUSED_ON_ARRIVAL, /* no place was expected in time */
-  CSP_LOSS_WAITED_IN_VAIN,     /* no place came in time */
-  CSP_LOSS_NO_TARGET,          /* none is listed or can be reached */
-  CSP_LOSS_CORDONED,           /* operators let all of its targets be */
-  CSP_LOSS_BACKED_OFF,         /* all targets had asked for a wait */
-  CSP_LOSS_QUARANTINED,        /* targets had ended under the request */
+  CSP_LOSS_REFUSED_ON_ARRIVAL,  /* no capacity was expected in time */
+  CSP_LOSS_NO_CAPACITY_IN_TIME, /* waited, but no capacity became free */
+  CSP_LOSS_NO_TARGET,           /* no target is listed or reachable */
+  CSP_LOSS_CORDONED,    /* all its targets' data centres are cordoned */
+  CSP_LOSS_BACKED_OFF,  /* all targets had asked for backoff */
+  CSP_LOSS_QUARANTINED, /* targets ended while serving the request */
   CSP_LOSS_HOST_STOPPING,
   CSP_LOSS_TIME_OVER,
   CSP_LOSS_CALLER_LEFT,
@@ -46,16 +48,17 @@
 csp_losses_t *csp_create_losses (void);
 void csp_destroy_losses (csp_losses_t *losses);
 
-/* Take one line of a host's log; what stands before its first brace, and lines
-   that are none, are passed over.  Lines of one host must come in their order.
-   False where it is no line of a log.  */
-bool csp_read_loss_line (csp_losses_t *losses, const char *line);
+/* Process one line of a host's log; text before the first brace is ignored.
+   Lines of the same host must be passed in their order.  Returns false if it
+   is not a log line of a host, which is then ignored.  */
+bool csp_process_loss_line (csp_losses_t *losses, const char *line);
 
-/* How many requests of a route, or of all where it is NULL, ended so.  */
+/* Number of requests of a route, or of all routes if it is NULL, that ended
+   with this loss.  */
 uint64_t csp_count_losses (const csp_losses_t *losses, const char *route,
                            csp_loss_t loss);
 
-/* A table by route and cause, and one by time and cause.  */
+/* Print a table by route and cause, and one by time and cause.  */
 void csp_print_losses (const csp_losses_t *losses, FILE *stream);
 
 #endif
--- a/source/cowslipctl/ctl-losses.c
+++ b/source/cowslipctl/ctl-losses.c
@@ -43,7 +43,7 @@
 take_loss_line (void *state, const char *line)
 {
   /* A log may have lines of other programs in it.  */
-  csp_read_loss_line (state, line);
+  csp_process_loss_line (state, line);
 }
 
 int
--- a/source/losses/losses.c
+++ b/source/losses/losses.c
@@ -13,29 +13,29 @@
 {
   ROUTES_MAX = 64,
   NAME_BYTES = 64,
-  /* Causes over time are shown in so many parts of the logs' time.  */
-  PARTS = 20,
-  FIRST_ROOM = 256,
+  /* Number of equal parts of the logs' time range in the table by time.  */
+  TIME_SLICES = 20,
+  INITIAL_CAPACITY = 256,
   STATUS_SERVER_ERROR = 500,
-  /* A request that was turned away sooner than this never waited for a place:
-     the answer of the host that decides takes some milliseconds.  */
-  ARRIVAL_MS = 60
+  /* A request that was refused sooner than this never waited in a queue; the
+     time covers the few milliseconds until the deciding host's answer.  */
+  REFUSED_ON_ARRIVAL_MAX_MS = 60
 };
 
 static const char *const loss_names[] = {
   [CSP_LOSS_NONE] = "whole answer",
   [CSP_LOSS_NOTICE_UNSEEN] = "notice unseen",
-  [CSP_LOSS_NO_ROOM] = "no room or no turn",
+  [CSP_LOSS_COPY_NOT_STARTED] = "copy not started",
   [CSP_LOSS_COPY_REFUSED] = "copy refused",
   [CSP_LOSS_COPY_LATE] = "copy too late",
   [CSP_LOSS_COPY_MISSING] = "copy missing",
   [CSP_LOSS_LINK_RESET] = "link reset",
-  [CSP_LOSS_LINK_SILENT] = "link silent",
+  [CSP_LOSS_STREAM_STALLED] = "stream stalled",
   [CSP_LOSS_TARGET_FAILED] = "target failed",
   [CSP_LOSS_TARGET_ERROR] = "target's own error",
   [CSP_LOSS_TARGET_REFUSED] = "target refused",
   [CSP_LOSS_REFUSED_ON_ARRIVAL] = "refused on arrival",
-  [CSP_LOSS_WAITED_IN_VAIN] = "waited in vain",
+  [CSP_LOSS_NO_CAPACITY_IN_TIME] = "no capacity in time",
   [CSP_LOSS_NO_TARGET] = "no target",
   [CSP_LOSS_CORDONED] = "cordoned",
   [CSP_LOSS_BACKED_OFF] = "targets asked for a wait",
@@ -52,14 +52,15 @@
   return loss_names[loss];
 }
 
-/* What is known of a request before its end, or of a target's notice.  */
+/* Earlier log lines of a request.  For a pair of host and target, its
+   existence means that the host had received the target's leave notice.  */
 typedef struct
 {
   csp_index_node_t node;
-  bool copied;
-  bool refused;
-  bool silent;
-} note_t;
+  bool copy_started;
+  bool copy_refused;
+  bool stalled;
+} history_t;
 
 typedef struct
 {
@@ -72,19 +73,19 @@
 {
   int64_t at_ms;
   csp_loss_t loss;
-} end_t;
+} request_end_t;
 
 struct csp_losses
 {
-  csp_index_t notes;
-  size_t note_count;
-  size_t note_room;
-  note_t **all_notes;
+  csp_index_t histories;
+  size_t history_count;
+  size_t history_capacity;
+  history_t **all_histories;
   size_t route_count;
-  route_row_t routes[ROUTES_MAX]; /* those beyond share the last */
+  route_row_t routes[ROUTES_MAX]; /* any further routes share the last row */
   size_t end_count;
-  size_t end_room;
-  end_t *ends;
+  size_t end_capacity;
+  request_end_t *ends;
 };
 
 csp_losses_t *
@@ -92,7 +93,8 @@
 {
   csp_losses_t *losses = calloc (1, sizeof *losses);
 
-  if (losses != NULL && csp_open_index (&losses->notes, FIRST_ROOM) != 0)
+  if (losses != NULL
+      && csp_open_index (&losses->histories, INITIAL_CAPACITY) != 0)
     {
       free (losses);
       return NULL;
@@ -107,16 +109,16 @@
 
   if (losses == NULL)
     return;
-  for (i = 0; i < losses->note_count; i++)
-    free (losses->all_notes[i]);
-  free (losses->all_notes);
+  for (i = 0; i < losses->history_count; i++)
+    free (losses->all_histories[i]);
+  free (losses->all_histories);
   free (losses->ends);
-  csp_close_index (&losses->notes);
+  csp_close_index (&losses->histories);
   free (losses);
 }
 
 static const char *
-text_of (json_object *line, const char *name)
+get_text (json_object *line, const char *name)
 {
   json_object *value = NULL;
 
@@ -127,7 +129,7 @@
 }
 
 static int64_t
-number_of (json_object *line, const char *name)
+get_number (json_object *line, const char *name)
 {
   json_object *value = NULL;
 
@@ -136,75 +138,80 @@
              : 0;
 }
 
-static note_t *
-find_note (csp_losses_t *losses, const char *first, const char *second)
+static history_t *
+find_history (csp_losses_t *losses, const char *first, const char *second)
 {
   csp_index_node_t *node
-      = csp_find_in_index (&losses->notes, csp_hash_pair (first, second));
+      = csp_find_in_index (&losses->histories, csp_hash_pair (first, second));
 
-  return node == NULL ? NULL : CSP_INDEXED (node, note_t, node);
+  return node == NULL ? NULL : CSP_INDEXED (node, history_t, node);
 }
 
-/* The note, made where there is none; NULL when memory fails, and what it
-   would say is lost.  */
-static note_t *
-take_note (csp_losses_t *losses, const char *first, const char *second)
+/* Find the history or add one; NULL if memory is exhausted, and the line is
+   then ignored.  */
+static history_t *
+get_or_add_history (csp_losses_t *losses, const char *first,
+                    const char *second)
 {
-  note_t *note = find_note (losses, first, second);
+  history_t *history = find_history (losses, first, second);
 
-  if (note != NULL)
-    return note;
-  if (losses->note_count == losses->note_room)
+  if (history != NULL)
+    return history;
+  if (losses->history_count == losses->history_capacity)
     {
-      size_t room
-          = losses->note_room == 0 ? FIRST_ROOM : losses->note_room * 2;
-      note_t **grown = realloc (losses->all_notes, room * sizeof (note_t *));
+      size_t capacity = losses->history_capacity == 0
+                            ? INITIAL_CAPACITY
+                            : losses->history_capacity * 2;
+      history_t **grown
+          = realloc (losses->all_histories, capacity * sizeof (history_t *));
 
       if (grown == NULL)
         return NULL;
-      losses->all_notes = grown;
-      losses->note_room = room;
+      losses->all_histories = grown;
+      losses->history_capacity = capacity;
     }
-  note = calloc (1, sizeof *note);
-  if (note == NULL)
+  history = calloc (1, sizeof *history);
+  if (history == NULL)
     return NULL;
-  losses->all_notes[losses->note_count++] = note;
-  csp_add_to_index (&losses->notes, &note->node,
+  losses->all_histories[losses->history_count++] = history;
+  csp_add_to_index (&losses->histories, &history->node,
                     csp_hash_pair (first, second));
-  return note;
+  return history;
 }
 
 static void
-take_step (csp_losses_t *losses, json_object *line)
+record_step (csp_losses_t *losses, json_object *line)
 {
-  note_t *note = take_note (losses, "request", text_of (line, "request_id"));
-  const char *step = text_of (line, "step");
+  history_t *history
+      = get_or_add_history (losses, "request", get_text (line, "request_id"));
+  const char *step = get_text (line, "step");
 
-  if (note == NULL)
+  if (history == NULL)
     return;
-  /* A run that goes on elsewhere begins anew with its next target.  */
+  /* After a run has moved, its history starts again with the new target.  */
   if (strcmp (step, "arrived") == 0)
-    note->copied = note->refused = note->silent = false;
-  note->copied |= strcmp (step, "copy") == 0;
-  note->refused |= strcmp (step, "copy-refused") == 0;
-  note->silent |= strcmp (step, "silent") == 0;
+    history->copy_started = history->copy_refused = history->stalled = false;
+  history->copy_started |= strcmp (step, "copy") == 0;
+  history->copy_refused |= strcmp (step, "copy-refused") == 0;
+  history->stalled |= strcmp (step, "silent") == 0;
 }
 
-/* Why a stream ended with its target, which closed the connection.  */
+/* Why a stream was lost when its target ended and closed the connection.  */
 static csp_loss_t
-loss_of_ended_target (csp_losses_t *losses, json_object *line,
-                      const note_t *note)
+classify_ended_target (csp_losses_t *losses, json_object *line,
+                       const history_t *history)
 {
-  if (find_note (losses, text_of (line, "host"), text_of (line, "target"))
+  if (find_history (losses, get_text (line, "host"), get_text (line, "target"))
       == NULL)
     return CSP_LOSS_NOTICE_UNSEEN;
-  if (note == NULL || !note->copied)
-    return CSP_LOSS_NO_ROOM;
-  return note->refused ? CSP_LOSS_COPY_REFUSED : CSP_LOSS_COPY_LATE;
+  if (history == NULL || !history->copy_started)
+    return CSP_LOSS_COPY_NOT_STARTED;
+  return history->copy_refused ? CSP_LOSS_COPY_REFUSED : CSP_LOSS_COPY_LATE;
 }
 
 static csp_loss_t
-loss_of_failure (csp_losses_t *losses, json_object *line, const note_t *note)
+classify_failure (csp_losses_t *losses, json_object *line,
+                  const history_t *history)
 {
   static const struct
   {
@@ -234,16 +241,16 @@
     { "the answer is not the target's", CSP_LOSS_TARGET_FAILED },
     { "the answer is to another request", CSP_LOSS_TARGET_FAILED },
   };
-  const char *detail = text_of (line, "detail");
+  const char *detail = get_text (line, "detail");
   size_t i;
 
-  if (number_of (line, "event") == CSP_EVENT_STREAM_LOST
+  if (get_number (line, "event") == CSP_EVENT_STREAM_LOST
       && strcmp (detail, "the target closed the connection") == 0)
-    return loss_of_ended_target (losses, line, note);
+    return classify_ended_target (losses, line, history);
   if (strcmp (detail, "the engines are full") == 0)
-    return number_of (line, "took_ms") < ARRIVAL_MS
+    return get_number (line, "took_ms") < REFUSED_ON_ARRIVAL_MAX_MS
                ? CSP_LOSS_REFUSED_ON_ARRIVAL
-               : CSP_LOSS_WAITED_IN_VAIN;
+               : CSP_LOSS_NO_CAPACITY_IN_TIME;
   for (i = 0; i < sizeof rows / sizeof rows[0]; i++)
     if (strcmp (detail, rows[i].detail) == 0)
       return rows[i].loss;
@@ -251,27 +258,27 @@
 }
 
 static csp_loss_t
-loss_of_end (csp_losses_t *losses, json_object *line)
+classify_end (csp_losses_t *losses, json_object *line)
 {
-  const note_t *note
-      = find_note (losses, "request", text_of (line, "request_id"));
+  const history_t *history
+      = find_history (losses, "request", get_text (line, "request_id"));
 
-  switch (number_of (line, "event"))
+  switch (get_number (line, "event"))
     {
     case CSP_EVENT_FORWARD_ENDED:
-      return number_of (line, "status") >= STATUS_SERVER_ERROR
+      return get_number (line, "status") >= STATUS_SERVER_ERROR
                  ? CSP_LOSS_TARGET_ERROR
                  : CSP_LOSS_NONE;
     case CSP_EVENT_FORWARD_ABANDONED:
-      return note != NULL && note->silent ? CSP_LOSS_LINK_SILENT
-                                          : CSP_LOSS_CALLER_LEFT;
+      return history != NULL && history->stalled ? CSP_LOSS_STREAM_STALLED
+                                                 : CSP_LOSS_CALLER_LEFT;
     default:
-      return loss_of_failure (losses, line, note);
+      return classify_failure (losses, line, history);
     }
 }
 
 static route_row_t *
-take_route (csp_losses_t *losses, const char *name)
+get_or_add_route (csp_losses_t *losses, const char *name)
 {
   size_t i;
 
@@ -285,50 +292,54 @@
   return &losses->routes[i];
 }
 
-/* Without memory the end counts, and isn't shown over time.  */
+/* If memory is exhausted, the end is counted but missing from the table by
+   time.  */
 static void
-keep_end (csp_losses_t *losses, int64_t at_ms, csp_loss_t loss)
+append_end (csp_losses_t *losses, int64_t at_ms, csp_loss_t loss)
 {
-  if (losses->end_count == losses->end_room)
+  if (losses->end_count == losses->end_capacity)
     {
-      size_t room = losses->end_room == 0 ? FIRST_ROOM : losses->end_room * 2;
-      end_t *grown = realloc (losses->ends, room * sizeof *grown);
+      size_t capacity = losses->end_capacity == 0 ? INITIAL_CAPACITY
+                                                  : losses->end_capacity * 2;
+      request_end_t *grown = realloc (losses->ends, capacity * sizeof *grown);
 
       if (grown == NULL)
         return;
       losses->ends = grown;
-      losses->end_room = room;
+      losses->end_capacity = capacity;
     }
-  losses->ends[losses->end_count++] = (end_t){ .at_ms = at_ms, .loss = loss };
+  losses->ends[losses->end_count++]
+      = (request_end_t){ .at_ms = at_ms, .loss = loss };
 }
 
 static void
-take_end (csp_losses_t *losses, json_object *line)
+record_end (csp_losses_t *losses, json_object *line)
 {
-  csp_loss_t loss = loss_of_end (losses, line);
-  route_row_t *route = take_route (losses, text_of (line, "route"));
+  csp_loss_t loss = classify_end (losses, line);
+  route_row_t *route = get_or_add_route (losses, get_text (line, "route"));
 
   route->requests[loss]++;
-  route->tokens[loss] += (uint64_t)number_of (line, "tokens");
-  keep_end (losses, number_of (line, "at_ms"), loss);
+  route->tokens[loss] += (uint64_t)get_number (line, "tokens");
+  append_end (losses, get_number (line, "at_ms"), loss);
 }
 
 static void
-take_line (csp_losses_t *losses, json_object *line)
+process_line (csp_losses_t *losses, json_object *line)
 {
-  switch (number_of (line, "event"))
+  switch (get_number (line, "event"))
     {
     case CSP_EVENT_TARGET_LEAVING:
-      take_note (losses, text_of (line, "host"), text_of (line, "target"));
+      get_or_add_history (losses, get_text (line, "host"),
+                          get_text (line, "target"));
       break;
     case CSP_EVENT_STREAM_MOVED:
-      take_step (losses, line);
+      record_step (losses, line);
       break;
     case CSP_EVENT_FORWARD_ENDED:
     case CSP_EVENT_FORWARD_REFUSED:
     case CSP_EVENT_FORWARD_ABANDONED:
     case CSP_EVENT_STREAM_LOST:
-      take_end (losses, line);
+      record_end (losses, line);
       break;
     default:
       break;
@@ -336,17 +347,17 @@
 }
 
 bool
-csp_read_loss_line (csp_losses_t *losses, const char *line)
+csp_process_loss_line (csp_losses_t *losses, const char *line)
 {
   const char *brace = strchr (line, '{');
   json_object *object = brace == NULL ? NULL : json_tokener_parse (brace);
-  bool good = json_object_is_type (object, json_type_object)
-              && json_object_object_get_ex (object, "event", NULL);
+  bool is_log_line = json_object_is_type (object, json_type_object)
+                     && json_object_object_get_ex (object, "event", NULL);
 
-  if (good)
-    take_line (losses, object);
+  if (is_log_line)
+    process_line (losses, object);
   json_object_put (object);
-  return good;
+  return is_log_line;
 }
 
 uint64_t
@@ -380,7 +391,8 @@
 }
 
 static void
-find_span (const csp_losses_t *losses, int64_t *first_ms, int64_t *last_ms)
+find_time_range (const csp_losses_t *losses, int64_t *first_ms,
+                 int64_t *last_ms)
 {
   size_t i;
 
@@ -395,33 +407,33 @@
 }
 
 static void
-print_parts (const csp_losses_t *losses, FILE *stream)
+print_time_slices (const csp_losses_t *losses, FILE *stream)
 {
   static const double ms_per_s = 1000.0;
-  uint64_t counts[PARTS][CSP_LOSS_COUNT] = { { 0 } };
+  uint64_t counts[TIME_SLICES][CSP_LOSS_COUNT] = { { 0 } };
   int64_t first_ms;
   int64_t last_ms;
-  int64_t part_ms;
-  size_t part;
+  int64_t slice_ms;
+  size_t slice;
   size_t loss;
   size_t i;
 
   if (losses->end_count == 0)
     return;
-  find_span (losses, &first_ms, &last_ms);
-  part_ms = (last_ms - first_ms) / PARTS + 1;
+  find_time_range (losses, &first_ms, &last_ms);
+  slice_ms = (last_ms - first_ms) / TIME_SLICES + 1;
   for (i = 0; i < losses->end_count; i++)
-    counts[(losses->ends[i].at_ms - first_ms) / part_ms]
+    counts[(losses->ends[i].at_ms - first_ms) / slice_ms]
           [losses->ends[i].loss]++;
   fprintf (stream, "\n%-10s %s\n", "from s", "lost, by cause");
-  for (part = 0; part < PARTS; part++)
+  for (slice = 0; slice < TIME_SLICES; slice++)
     {
       fprintf (stream, "%-10.1f",
-               (double)((int64_t)part * part_ms) / ms_per_s);
+               (double)((int64_t)slice * slice_ms) / ms_per_s);
       for (loss = CSP_LOSS_NONE + 1; loss < CSP_LOSS_COUNT; loss++)
-        if (counts[part][loss] > 0)
+        if (counts[slice][loss] > 0)
           fprintf (stream, " %s %llu;", loss_names[loss],
-                   (unsigned long long)counts[part][loss]);
+                   (unsigned long long)counts[slice][loss]);
       fputc ('\n', stream);
     }
 }
@@ -430,5 +442,5 @@
 csp_print_losses (const csp_losses_t *losses, FILE *stream)
 {
   print_routes (losses, stream);
-  print_parts (losses, stream);
+  print_time_slices (losses, stream);
 }
--- a/tests/losses/losses-test.c
+++ b/tests/losses/losses-test.c
@@ -6,7 +6,7 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Requests whose hosts' logs tell why they were lost.  */
+/* Classifies lost requests by the lines in their hosts' logs.  */
 
 #define END(event, detail, more)                                              \
   "{\"at_ms\":9000,\"event\":" event ",\"host\":\"h1\","                      \
@@ -17,7 +17,7 @@
 #define STEP(step)                                                            \
   "{\"at_ms\":8000,\"event\":215,\"host\":\"h1\",\"request_id\":\"r1\","      \
   "\"step\":\"" step "\",\"target\":\"t1\"}"
-#define CUT END ("216", "the target closed the connection", "")
+#define CONNECTION_CLOSED END ("216", "the target closed the connection", "")
 
 enum
 {
@@ -28,30 +28,30 @@
 {
   const char *lines[LINES_MAX];
   csp_loss_t loss;
-} row_t;
+} loss_case_t;
 
-static const row_t rows[] = {
+static const loss_case_t loss_cases[] = {
   { { "{\"at_ms\":1,\"event\":210,\"request_id\":\"r1\",\"route\":"
       "\"texts\"}" },
     CSP_LOSS_NONE },
-  { { CUT }, CSP_LOSS_NOTICE_UNSEEN },
-  { { NOTICE ("h2"), CUT }, CSP_LOSS_NOTICE_UNSEEN },
-  { { NOTICE ("h1"), CUT }, CSP_LOSS_NO_ROOM },
-  { { NOTICE ("h1"), STEP ("copy"), CUT }, CSP_LOSS_COPY_LATE },
-  { { NOTICE ("h1"), STEP ("copy"), STEP ("copy-refused"), CUT },
+  { { CONNECTION_CLOSED }, CSP_LOSS_NOTICE_UNSEEN },
+  { { NOTICE ("h2"), CONNECTION_CLOSED }, CSP_LOSS_NOTICE_UNSEEN },
+  { { NOTICE ("h1"), CONNECTION_CLOSED }, CSP_LOSS_COPY_NOT_STARTED },
+  { { NOTICE ("h1"), STEP ("copy"), CONNECTION_CLOSED }, CSP_LOSS_COPY_LATE },
+  { { NOTICE ("h1"), STEP ("copy"), STEP ("copy-refused"), CONNECTION_CLOSED },
     CSP_LOSS_COPY_REFUSED },
-  /* It had moved before, and then its next target left.  */
-  { { STEP ("copy"), STEP ("arrived"), NOTICE ("h1"), CUT },
-    CSP_LOSS_NO_ROOM },
+  /* The request had moved to this target before the target left.  */
+  { { STEP ("copy"), STEP ("arrived"), NOTICE ("h1"), CONNECTION_CLOSED },
+    CSP_LOSS_COPY_NOT_STARTED },
   { { END ("216", "the copy was not there", "") }, CSP_LOSS_COPY_MISSING },
   { { END ("216", "the target reset the connection", "") },
     CSP_LOSS_LINK_RESET },
-  { { STEP ("silent"), END ("214", "", "") }, CSP_LOSS_LINK_SILENT },
+  { { STEP ("silent"), END ("214", "", "") }, CSP_LOSS_STREAM_STALLED },
   { { END ("214", "", "") }, CSP_LOSS_CALLER_LEFT },
   { { END ("211", "the engines are full", ",\"took_ms\":4") },
     CSP_LOSS_REFUSED_ON_ARRIVAL },
   { { END ("211", "the engines are full", ",\"took_ms\":900") },
-    CSP_LOSS_WAITED_IN_VAIN },
+    CSP_LOSS_NO_CAPACITY_IN_TIME },
   { { END ("211", "no target can take it", "") }, CSP_LOSS_NO_TARGET },
   { { END ("211", "the host is stopping", "") }, CSP_LOSS_HOST_STOPPING },
   { { END ("211", "the time is over", "") }, CSP_LOSS_TIME_OVER },
@@ -71,33 +71,34 @@
   { { END ("211", "something new", "") }, CSP_LOSS_OTHER },
 };
 
-/* A caller's text stopped in the middle, and whoever is on call has only the
-   logs.  The last line names what the host saw; which of the causes it was is
-   told by the lines before.  */
-START_TEST (the_logs_tell_why_a_request_was_lost)
+/* Operators have only the logs to find out why a caller's stream was cut.  The
+   last line names what the host saw; the cause follows from the earlier lines.
+ */
+START_TEST (log_lines_are_classified_by_cause)
 {
   csp_losses_t *losses = csp_create_losses ();
   size_t i;
 
-  for (i = 0; i < LINES_MAX && rows[_i].lines[i] != NULL; i++)
-    ck_assert (csp_read_loss_line (losses, rows[_i].lines[i]));
-  ck_assert_msg (csp_count_losses (losses, "texts", rows[_i].loss) == 1,
-                 "not told as %s", csp_loss_name (rows[_i].loss));
+  for (i = 0; i < LINES_MAX && loss_cases[_i].lines[i] != NULL; i++)
+    ck_assert (csp_process_loss_line (losses, loss_cases[_i].lines[i]));
+  ck_assert_msg (csp_count_losses (losses, "texts", loss_cases[_i].loss) == 1,
+                 "not classified as %s", csp_loss_name (loss_cases[_i].loss));
   csp_destroy_losses (losses);
 }
 END_TEST
 
-/* Logs hold lines of other programs, cut lines and other events.  */
-START_TEST (what_is_no_end_of_a_request_is_passed_over)
+/* Logs contain lines of other programs, truncated lines and other events.  */
+START_TEST (other_lines_are_ignored)
 {
   csp_losses_t *losses = csp_create_losses ();
 
-  ck_assert (!csp_read_loss_line (losses, ""));
-  ck_assert (!csp_read_loss_line (losses, "a line of text"));
-  ck_assert (!csp_read_loss_line (losses, "{\"event\":21"));
-  ck_assert (!csp_read_loss_line (losses, "{\"no\":1}"));
-  ck_assert (csp_read_loss_line (losses, "{\"event\":100}"));
-  ck_assert (csp_read_loss_line (losses, "  33.5 host-1 " CUT));
+  ck_assert (!csp_process_loss_line (losses, ""));
+  ck_assert (!csp_process_loss_line (losses, "a line of text"));
+  ck_assert (!csp_process_loss_line (losses, "{\"event\":21"));
+  ck_assert (!csp_process_loss_line (losses, "{\"no\":1}"));
+  ck_assert (csp_process_loss_line (losses, "{\"event\":100}"));
+  ck_assert (
+      csp_process_loss_line (losses, "  33.5 host-1 " CONNECTION_CLOSED));
   ck_assert_uint_eq (csp_count_losses (losses, NULL, CSP_LOSS_NOTICE_UNSEEN),
                      1);
   ck_assert_uint_eq (
@@ -112,8 +113,8 @@
   char text[4096] = "";
   FILE *stream = fmemopen (text, sizeof text, "w");
 
-  csp_read_loss_line (losses, CUT);
-  csp_read_loss_line (losses, CUT);
+  csp_process_loss_line (losses, CONNECTION_CLOSED);
+  csp_process_loss_line (losses, CONNECTION_CLOSED);
   csp_print_losses (losses, stream);
   fclose (stream);
   ck_assert_ptr_nonnull (
@@ -130,9 +131,9 @@
   Suite *suite = suite_create ("losses");
   TCase *tcase = tcase_create ("losses");
 
-  tcase_add_loop_test (tcase, the_logs_tell_why_a_request_was_lost, 0,
-                       sizeof rows / sizeof rows[0]);
-  tcase_add_test (tcase, what_is_no_end_of_a_request_is_passed_over);
+  tcase_add_loop_test (tcase, log_lines_are_classified_by_cause, 0,
+                       sizeof loss_cases / sizeof loss_cases[0]);
+  tcase_add_test (tcase, other_lines_are_ignored);
   tcase_add_test (tcase, the_table_has_a_row_for_each_route_and_cause);
   suite_add_tcase (suite, tcase);
   return run_suite (suite);
