--- a/source/cowslipctl/cowslipctl-imp.h
+++ b/source/cowslipctl/cowslipctl-imp.h
@@ -4,15 +4,14 @@
 /* Exit codes of cowslipctl; docs/DECLARATIONS.md has them for operators.  */
 enum
 {
-  CTL_EXIT_GOOD = 0,
-  CTL_EXIT_DIFFERENT = 1,
+  CTL_EXIT_SUCCESS = 0,
+  CTL_EXIT_DIFFERENCES = 1,
   CTL_EXIT_FAULTS = 2,
-  CTL_EXIT_UNREACHED = 3
+  CTL_EXIT_UNREACHABLE = 3
 };
 
-/* The commands; arguments are those behind the command's name, as many as it
-   takes or more where it takes any number of files, and NULL behind them. Each
-   returns an exit code.  */
+/* Run a command.  arguments are those after the command's name, ended by NULL;
+   the caller has checked their number.  Returns an exit code.  */
 int ctl_check (char **arguments);
 int ctl_diff (char **arguments);
 int ctl_explain (char **arguments);
--- a/source/cowslipctl/cowslipctl.c
+++ b/source/cowslipctl/cowslipctl.c
@@ -11,7 +11,7 @@
   const char *name;
   const char *arguments;
   int argument_count;
-  bool or_more;
+  bool accepts_more;
   int (*run) (char **arguments);
   const char *help;
 } command_t;
@@ -77,7 +77,7 @@
       return CTL_EXIT_FAULTS;
     }
   if (count - 1 < command->argument_count
-      || (count - 1 > command->argument_count && !command->or_more))
+      || (count - 1 > command->argument_count && !command->accepts_more))
     {
       fprintf (stderr, "usage: cowslipctl %s %s\n", command->name,
                command->arguments);
@@ -98,10 +98,10 @@
     {
     case 'h':
       print_help (stdout);
-      return CTL_EXIT_GOOD;
+      return CTL_EXIT_SUCCESS;
     case 'v':
       printf ("cowslipctl %s\n", csp_version ());
-      return CTL_EXIT_GOOD;
+      return CTL_EXIT_SUCCESS;
     case '?':
       return CTL_EXIT_FAULTS;
     default:
--- a/source/cowslipctl/ctl-declarations.c
+++ b/source/cowslipctl/ctl-declarations.c
@@ -9,9 +9,10 @@
   REQUEST_BYTES_MAX = 65536
 };
 
-/* NULL with faults where the directory is not in order.  */
+/* Build the declaration in a directory; returns NULL and adds faults if it is
+   invalid.  */
 static csp_declaration_t *
-load (const char *path, csp_faults_t *faults)
+load_declaration (const char *path, csp_faults_t *faults)
 {
   size_t before = csp_count_faults (faults);
   csp_declaration_directory_t *directory
@@ -29,9 +30,10 @@
   return NULL;
 }
 
-/* Prints and drops the faults; returns the exit code.  */
+/* Print and destroy the faults.  Returns code if there are none, otherwise
+   CTL_EXIT_FAULTS.  */
 static int
-finish (csp_faults_t *faults, int code)
+report_faults (csp_faults_t *faults, int code)
 {
   if (csp_count_faults (faults) > 0)
     code = CTL_EXIT_FAULTS;
@@ -54,35 +56,35 @@
 ctl_check (char **arguments)
 {
   csp_faults_t *faults = csp_create_faults ();
-  csp_declaration_t *declaration = load (arguments[0], faults);
+  csp_declaration_t *declaration = load_declaration (arguments[0], faults);
 
   if (declaration != NULL)
     csp_find_unreachable_rules (declaration, faults);
   if (csp_count_faults (faults) == 0)
     print_counts (declaration);
   csp_destroy_declaration (declaration);
-  return finish (faults, CTL_EXIT_GOOD);
+  return report_faults (faults, CTL_EXIT_SUCCESS);
 }
 
 int
 ctl_diff (char **arguments)
 {
   csp_faults_t *faults = csp_create_faults ();
-  csp_declaration_t *before = load (arguments[0], faults);
-  csp_declaration_t *after = load (arguments[1], faults);
-  int code = CTL_EXIT_GOOD;
+  csp_declaration_t *before = load_declaration (arguments[0], faults);
+  csp_declaration_t *after = load_declaration (arguments[1], faults);
+  int code = CTL_EXIT_SUCCESS;
 
   if (before != NULL && after != NULL
       && csp_print_difference (before, after, stdout) > 0)
-    code = CTL_EXIT_DIFFERENT;
+    code = CTL_EXIT_DIFFERENCES;
   csp_destroy_declaration (before);
   csp_destroy_declaration (after);
-  return finish (faults, code);
+  return report_faults (faults, code);
 }
 
 static void
-explain (const csp_declaration_t *declaration, const char *path,
-         csp_faults_t *faults)
+explain_request_file (const csp_declaration_t *declaration, const char *path,
+                      csp_faults_t *faults)
 {
   csp_described_request_t request;
   size_t size_bytes = 0;
@@ -101,22 +103,22 @@
 ctl_explain (char **arguments)
 {
   csp_faults_t *faults = csp_create_faults ();
-  csp_declaration_t *declaration = load (arguments[0], faults);
+  csp_declaration_t *declaration = load_declaration (arguments[0], faults);
 
   if (declaration != NULL)
-    explain (declaration, arguments[1], faults);
+    explain_request_file (declaration, arguments[1], faults);
   csp_destroy_declaration (declaration);
-  return finish (faults, CTL_EXIT_GOOD);
+  return report_faults (faults, CTL_EXIT_SUCCESS);
 }
 
 int
 ctl_bundle (char **arguments)
 {
   csp_faults_t *faults = csp_create_faults ();
-  csp_declaration_t *declaration = load (arguments[0], faults);
+  csp_declaration_t *declaration = load_declaration (arguments[0], faults);
 
   if (declaration != NULL)
     csp_print_bundle (declaration, stdout);
   csp_destroy_declaration (declaration);
-  return finish (faults, CTL_EXIT_GOOD);
+  return report_faults (faults, CTL_EXIT_SUCCESS);
 }
--- a/source/cowslipctl/ctl-losses.c
+++ b/source/cowslipctl/ctl-losses.c
@@ -7,19 +7,19 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* What hosts' logs tell: which requests were lost and why, and all that was
-   decided about one of them.  */
+/* Commands that read hosts' logs: which requests were lost and why, and all
+   log lines of one request.  */
 
-/* Called for each line of each file; path is the file's.  */
-typedef void (*take_log_line_t) (void *state, const char *line);
+/* Called for each line of each file.  */
+typedef void (*handle_log_line_t) (void *state, const char *line);
 
-/* Read files line by line; false where one can't be read.  */
+/* Read files line by line; returns false if any can't be read.  */
 static bool
-read_logs (char **paths, take_log_line_t take, void *state)
+read_logs (char **paths, handle_log_line_t handle_line, void *state)
 {
   char *line = NULL;
-  size_t room = 0;
-  bool good = true;
+  size_t capacity = 0;
+  bool success = true;
 
   for (; *paths != NULL; paths++)
     {
@@ -28,21 +28,21 @@
       if (file == NULL)
         {
           perror (*paths);
-          good = false;
+          success = false;
           continue;
         }
-      while (getline (&line, &room, file) >= 0)
-        take (state, line);
+      while (getline (&line, &capacity, file) >= 0)
+        handle_line (state, line);
       fclose (file);
     }
   free (line);
-  return good;
+  return success;
 }
 
 static void
-take_loss_line (void *state, const char *line)
+handle_loss_line (void *state, const char *line)
 {
-  /* A log may have lines of other programs in it.  */
+  /* A log may contain lines of other programs; these are ignored.  */
   csp_process_loss_line (state, line);
 }
 
@@ -50,38 +50,39 @@
 ctl_losses (char **arguments)
 {
   csp_losses_t *losses = csp_create_losses ();
-  bool good;
+  bool success;
 
   if (losses == NULL)
     {
       fputs ("out of memory\n", stderr);
       return CTL_EXIT_FAULTS;
     }
-  good = read_logs (arguments, take_loss_line, losses);
+  success = read_logs (arguments, handle_loss_line, losses);
   csp_print_losses (losses, stdout);
   csp_destroy_losses (losses);
-  return good ? CTL_EXIT_GOOD : CTL_EXIT_FAULTS;
+  return success ? CTL_EXIT_SUCCESS : CTL_EXIT_FAULTS;
 }
 
-/* One line of a request, kept until all are in order.  */
+/* A log line of the traced request, kept until all lines are sorted.  order is
+   its position in the files, for lines of the same time.  */
 typedef struct
 {
   int64_t at_ms;
   size_t order;
   char *text;
-} traced_t;
+} traced_line_t;
 
 typedef struct
 {
   const char *id;
   size_t count;
-  size_t room;
-  traced_t *lines;
-  bool incomplete; /* memory failed */
+  size_t capacity;
+  traced_line_t *lines;
+  bool incomplete; /* out of memory */
 } trace_t;
 
 static bool
-is_of_request (json_object *line, const char *id)
+has_request_id (json_object *line, const char *id)
 {
   json_object *value = NULL;
   const char *text = NULL;
@@ -92,54 +93,55 @@
 }
 
 static void
-keep_line (trace_t *trace, const char *text, int64_t at_ms)
+append_line (trace_t *trace, const char *text, int64_t at_ms)
 {
-  traced_t kept
+  traced_line_t copy
       = { .at_ms = at_ms, .order = trace->count, .text = strdup (text) };
 
-  trace->incomplete |= kept.text == NULL;
-  if (kept.text == NULL)
+  trace->incomplete |= copy.text == NULL;
+  if (copy.text == NULL)
     return;
-  if (trace->count == trace->room)
+  if (trace->count == trace->capacity)
     {
-      size_t room = trace->room == 0 ? 16 : trace->room * 2;
-      traced_t *grown = realloc (trace->lines, room * sizeof *grown);
+      size_t capacity = trace->capacity == 0 ? 16 : trace->capacity * 2;
+      traced_line_t *grown = realloc (trace->lines, capacity * sizeof *grown);
 
       trace->incomplete |= grown == NULL;
       if (grown == NULL)
         {
-          free (kept.text);
+          free (copy.text);
           return;
         }
       trace->lines = grown;
-      trace->room = room;
+      trace->capacity = capacity;
     }
-  trace->lines[trace->count++] = kept;
+  trace->lines[trace->count++] = copy;
 }
 
 static void
-take_traced_line (void *state, const char *line)
+handle_traced_line (void *state, const char *line)
 {
   trace_t *trace = state;
   const char *brace = strchr (line, '{');
   json_object *object;
-  json_object *at = NULL;
+  json_object *time_value = NULL;
 
-  /* Most lines are of other requests; parsing each takes far longer.  */
+  /* Search for the id before parsing: most lines belong to other requests, and
+     parsing is far slower than a text search.  */
   if (brace == NULL || strstr (brace, trace->id) == NULL)
     return;
   object = json_tokener_parse (brace);
-  if (is_of_request (object, trace->id)
-      && json_object_object_get_ex (object, "at_ms", &at))
-    keep_line (trace, brace, json_object_get_int64 (at));
+  if (has_request_id (object, trace->id)
+      && json_object_object_get_ex (object, "at_ms", &time_value))
+    append_line (trace, brace, json_object_get_int64 (time_value));
   json_object_put (object);
 }
 
 static int
-compare_traced (const void *a, const void *b)
+compare_traced_lines (const void *a, const void *b)
 {
-  const traced_t *first = a;
-  const traced_t *second = b;
+  const traced_line_t *first = a;
+  const traced_line_t *second = b;
 
   if (first->at_ms != second->at_ms)
     return first->at_ms < second->at_ms ? -1 : 1;
@@ -150,11 +152,12 @@
 ctl_trace (char **arguments)
 {
   trace_t trace = { .id = arguments[0] };
-  bool good = read_logs (arguments + 1, take_traced_line, &trace);
+  bool success = read_logs (arguments + 1, handle_traced_line, &trace);
   size_t i;
 
   if (trace.count > 0)
-    qsort (trace.lines, trace.count, sizeof *trace.lines, compare_traced);
+    qsort (trace.lines, trace.count, sizeof *trace.lines,
+           compare_traced_lines);
   for (i = 0; i < trace.count; i++)
     {
       fputs (trace.lines[i].text, stdout);
@@ -167,6 +170,6 @@
     fprintf (stderr, "no line of request %s\n", trace.id);
   if (trace.incomplete)
     fputs ("out of memory: lines are missing\n", stderr);
-  return good && !trace.incomplete && trace.count > 0 ? CTL_EXIT_GOOD
-                                                      : CTL_EXIT_FAULTS;
+  return success && !trace.incomplete && trace.count > 0 ? CTL_EXIT_SUCCESS
+                                                         : CTL_EXIT_FAULTS;
 }
