--- a/source/cowslipd/cowslipd.c
+++ b/source/cowslipd/cowslipd.c
@@ -6,22 +6,23 @@
 
 #include "cowslipspoke/entry.h"
 
-/* cowslipd: one host's process.  Reads its settings, serves, and drains on
-   SIGTERM or SIGINT; a second one, or the drain limit, ends what is open with
-   explicit errors.  SIGHUP changes nothing, since settings are read once and
-   declarations come from the platform.  */
+/* cowslipd: the process of an entry host.  Reads its settings, serves, and
+   drains on SIGTERM or SIGINT.  A second signal or the drain limit ends open
+   requests with explicit errors.  SIGHUP is ignored, because settings are read
+   once and declarations come from the platform.  */
 
 enum
 {
-  EXIT_CANNOT_START = 1,
+  EXIT_START_FAILED = 1,
   MESSAGE_BYTES = 256,
   DRAIN_POLL_MS = 50,
-  CLAIM_LIMIT_MS = 1000,
+  CLAIM_WAIT_MAX_MS = 1000,
   MS_PER_S = 1000,
   NS_PER_MS = 1000000
 };
 
-/* Block the signals in every thread; one place waits for them.  */
+/* Block the signals in every thread; the main thread waits for them with
+   sigwaitinfo and sigtimedwait.  */
 static void
 block_signals (sigset_t *signals)
 {
@@ -33,54 +34,56 @@
   pthread_sigmask (SIG_BLOCK, signals, NULL);
 }
 
-/* Wait up to ms for a stopping signal; true when one came.  */
+/* Wait up to ms for SIGTERM or SIGINT; returns true if one arrived.  */
 static bool
-await_signal (const sigset_t *signals, int64_t ms)
+wait_for_signal (const sigset_t *signals, int64_t ms)
 {
-  struct timespec limit = { ms / MS_PER_S, (long)(ms % MS_PER_S) * NS_PER_MS };
+  struct timespec timeout
+      = { ms / MS_PER_S, (long)(ms % MS_PER_S) * NS_PER_MS };
 
-  return sigtimedwait (signals, NULL, &limit) > 0;
+  return sigtimedwait (signals, NULL, &timeout) > 0;
 }
 
-/* Readiness fails first, so that the balancer turns away while new requests
-   are still served; then new ones are refused, and what is open runs to its
-   end.  */
+/* The readiness check fails first, so that the load balancer stops sending
+   while new requests are still served.  Then new requests are refused, and
+   open requests run until they end or the drain limit passes.  */
 static void
 drain (csp_entry_t *entry, const csp_context_t *context,
        const sigset_t *signals)
 {
   const csp_settings_t *settings = &context->settings;
-  int64_t limit_ms = csp_now_ms (&context->clock) + settings->drain_limit_ms;
-  bool hurry;
+  int64_t deadline_ms
+      = csp_now_ms (&context->clock) + settings->drain_limit_ms;
+  bool stop_requested;
 
   csp_announce_drain (entry);
   CSP_LOG (context->log, CSP_EVENT_DRAINING, NULL,
            csp_number ("open_requests", csp_open_requests (entry)));
-  hurry = await_signal (signals, settings->drain_notice_ms);
+  stop_requested = wait_for_signal (signals, settings->drain_notice_ms);
   csp_refuse_new (entry);
-  while (!hurry && csp_open_requests (entry) > 0
-         && csp_now_ms (&context->clock) < limit_ms)
-    hurry = await_signal (signals, DRAIN_POLL_MS);
+  while (!stop_requested && csp_open_requests (entry) > 0
+         && csp_now_ms (&context->clock) < deadline_ms)
+    stop_requested = wait_for_signal (signals, DRAIN_POLL_MS);
   if (csp_open_requests (entry) == 0)
     return;
   CSP_LOG (context->log, CSP_EVENT_DRAIN_LIMIT, NULL,
            csp_number ("open_requests", csp_open_requests (entry)));
   csp_stop_open (entry);
   while (csp_open_requests (entry) > 0)
-    await_signal (signals, DRAIN_POLL_MS);
+    wait_for_signal (signals, DRAIN_POLL_MS);
 }
 
-/* Outcomes of keyed calls are told behind the callers' answers; give the peers
-   a moment to acknowledge them.  */
+/* Outcomes of keyed calls are sent to the peers after the callers' responses;
+   wait a short time until the peers have acknowledged them.  */
 static void
-await_claims (csp_control_t *control, const csp_context_t *context,
-              const sigset_t *signals)
+wait_for_claims (csp_control_t *control, const csp_context_t *context,
+                 const sigset_t *signals)
 {
-  int64_t limit_ms = csp_now_ms (&context->clock) + CLAIM_LIMIT_MS;
+  int64_t deadline_ms = csp_now_ms (&context->clock) + CLAIM_WAIT_MAX_MS;
 
   while (csp_open_claims (control) > 0
-         && csp_now_ms (&context->clock) < limit_ms)
-    if (await_signal (signals, DRAIN_POLL_MS))
+         && csp_now_ms (&context->clock) < deadline_ms)
+    if (wait_for_signal (signals, DRAIN_POLL_MS))
       break;
 }
 
@@ -91,7 +94,7 @@
   csp_entry_t *entry = NULL;
   csp_control_t *control
       = csp_create_control (context, message, sizeof message);
-  int result = EXIT_CANNOT_START;
+  int result = EXIT_START_FAILED;
 
   if (control != NULL)
     entry = csp_create_entry (context, control, message, sizeof message);
@@ -110,7 +113,7 @@
   sigwaitinfo (signals, NULL);
   csp_leave_control (control);
   drain (entry, context, signals);
-  await_claims (control, context, signals);
+  wait_for_claims (control, context, signals);
   result = EXIT_SUCCESS;
 
 done:
@@ -127,7 +130,7 @@
       = { .settings = *settings, .clock = csp_system_clock () };
   csp_level_t level = CSP_LEVEL_INFO;
   sigset_t signals;
-  int result = EXIT_CANNOT_START;
+  int result = EXIT_START_FAILED;
 
   block_signals (&signals);
   csp_parse_level (settings->log_level, &level);
