--- a/include/cowslipspoke/fetcher.h
+++ b/include/cowslipspoke/fetcher.h
@@ -3,49 +3,52 @@
 
 #include "cowslipspoke/engine.h"
 
-/* Reads over HTTP that the control thread wants and must not wait for: the
-   configuration service, the host list, load reports of engines.  A few
-   threads serve a queue of them.  */
+/* HTTP requests made for the control thread, which must not block: reads of
+   the configuration service, of the host list and of engines' load reports.
+   A small pool of threads serves a queue of them.  */
 typedef struct csp_fetcher csp_fetcher_t;
 
-/* Takes an answer, on a thread of the fetcher.  body is NULL when no answer
-   with status 200 came; it ends with a nul and is freed behind the call.  */
-typedef void (*csp_take_fetched_t) (void *state, const char *body,
-                                    size_t size_bytes);
+/* Receives a response, on a thread of the fetcher.  body is NULL unless a
+   response with status 200 arrived; it is nul-terminated and is freed when
+   the callback returns.  */
+typedef void (*csp_fetch_done_t) (void *state, const char *body,
+                                  size_t size_bytes);
 
-/* A fetcher with so many threads.  NULL when they can't be started.  */
-csp_fetcher_t *csp_create_fetcher (uint32_t threads);
+/* Create a fetcher with thread_count threads.  NULL when memory or a thread
+   can't be had.  */
+csp_fetcher_t *csp_create_fetcher (uint32_t thread_count);
 
-/* Stop: what waits is answered with NULL, what is on its way is awaited for
-   at most its timeout.  NULL is allowed.  */
+/* Stop and free a fetcher.  Queued requests end without being sent, requests
+   in flight are aborted, and the callback of each is called.  NULL is
+   allowed.  */
 void csp_destroy_fetcher (csp_fetcher_t *fetcher);
 
-/* Queue a read, or a post where post_body is not NULL.  done is always called
-   once, also at once when memory fails.  */
+/* Queue a GET, or a POST where post_body is not NULL.  done is called exactly
+   once; when memory runs out it is called before csp_fetch returns.  */
 void csp_fetch (csp_fetcher_t *fetcher, const csp_endpoint_t *endpoint,
                 const char *path, const char *post_body, uint32_t timeout_ms,
-                csp_take_fetched_t done, void *state);
+                csp_fetch_done_t done, void *state);
 
-/* Asked on a thread of the fetcher immediately before a byte leaves; false
-   keeps the post from being sent.  */
+/* Called on a thread of the fetcher immediately before the first byte is sent;
+   false keeps the POST from being sent.  */
 typedef bool (*csp_may_send_t) (void *state);
 
 enum
 {
-  /* Statuses of a post without an answer: it may have arrived, or not a byte
-     of it has left.  */
+  /* Statuses of a POST without a response: the request may have arrived, or
+     no byte of it was sent.  */
   CSP_POST_LOST = 0,
   CSP_POST_NOT_SENT = -1
 };
 
-/* Takes the status of a post, on a thread of the fetcher.  */
-typedef void (*csp_take_status_t) (void *state, long status);
+/* Receives the status of a POST, on a thread of the fetcher.  */
+typedef void (*csp_post_done_t) (void *state, long status);
 
-/* Queue a post whose status matters.  may_send closes the time between the
-   decision and the send, in which the process may have been paused.  done is
-   always called once.  */
+/* Queue a POST whose status matters.  may_send repeats the caller's check
+   right before the send, since the process may have been paused after the
+   caller decided to send.  done is called exactly once.  */
 void csp_post (csp_fetcher_t *fetcher, const csp_endpoint_t *endpoint,
                const char *path, const char *body, uint32_t timeout_ms,
-               csp_may_send_t may_send, csp_take_status_t done, void *state);
+               csp_may_send_t may_send, csp_post_done_t done, void *state);
 
 #endif
--- a/include/cowslipspoke/list-watch.h
+++ b/include/cowslipspoke/list-watch.h
@@ -4,37 +4,40 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* When a host reads the platform's list of hosts.
-
-   Load pattern: 330 hosts read the list, each with a call that waits for a
-   change, so a failed read is not repeated before two seconds have passed.
-   A host that was paused finds its read timed out as it wakes up.  That
-   failure is its own: two seconds more without the list, and an orderly stop
-   of two seconds ends before the host has heard of hosts that came meanwhile,
-   and what it keeps for them goes with it.  So a read that was sent before
-   the host woke up is repeated at once when it fails.  */
+/* Decides when a host reads the platform's host list.
+
+   Load pattern: 330 hosts read the list by long polling, so a failed read is
+   retried after two seconds.  A read that was pending while the host's process
+   was paused times out when the process resumes, whatever the platform's
+   state.  After two more seconds without the list, an orderly stop, which
+   takes two seconds, could end before the host learns of newly added hosts,
+   and state that it holds for them would be lost.  So a read that was sent
+   before the resume is retried immediately when it fails.  */
 typedef struct
 {
   bool pending;
   bool away; /* the last read failed */
   int64_t next_ms;
   int64_t asked_ms;
-  /* Up to when the list is known to be the platform's: when the last answered
-     read was sent, since an answer may lie in the socket of a paused host.  */
+  /* The time at which the list was last known to be current: when the last
+     successful read was sent, not when its response was read, since a response
+     may wait in the socket buffer of a paused host.  */
   int64_t confirmed_ms;
-  int64_t woke_ms; /* when this host last found that it had been paused */
+  int64_t woke_ms; /* when this host last detected that it had been paused */
 } csp_list_watch_t;
 
-/* Whether a read is to be sent now.  */
+/* Whether a read should be sent now.  */
 bool csp_list_read_is_due (const csp_list_watch_t *watch, int64_t now_ms);
 
-/* One was tried; sent says whether it is under way.  */
+/* Record an attempt to send a read; sent is false where sending failed.  */
 void csp_note_list_asked (csp_list_watch_t *watch, bool sent, int64_t now_ms);
 
-/* It ended, with a list that could be read or without.  */
-void csp_note_list_read (csp_list_watch_t *watch, bool good, int64_t now_ms);
+/* Record the end of a read; succeeded is true where it returned a list that
+   could be parsed.  */
+void csp_note_list_read (csp_list_watch_t *watch, bool succeeded,
+                         int64_t now_ms);
 
-/* This host was paused and runs again.  */
+/* Record that this host's process was paused and has resumed.  */
 void csp_note_list_woke (csp_list_watch_t *watch, int64_t now_ms);
 
 #endif
--- a/include/cowslipspoke/platform.h
+++ b/include/cowslipspoke/platform.h
@@ -8,9 +8,9 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* What the platform answers, parsed and bounded; docs/PLATFORM.md has the
-   format.  Nothing of an answer is used unless the whole of it is well
-   formed.  */
+/* Parsers of the platform's responses, with bounds on their size;
+   docs/PLATFORM.md has the format.  A response that is malformed anywhere is
+   rejected as a whole.  */
 
 enum
 {
@@ -67,15 +67,16 @@
   csp_listed_target_t *targets;
 } csp_host_list_t;
 
-/* Parse the answer of /v1/hosts.  On false nothing is made and error->detail
+/* Parse a response of /v1/hosts.  On false *list is NULL and error->detail
    names the row and member at fault.  */
 bool csp_parse_host_list (const char *text, size_t size_bytes,
                           csp_host_list_t **list, csp_error_t *error);
 
-/* Destroy a list; NULL is harmless.  */
+/* Destroy a list; NULL is allowed.  */
 void csp_destroy_host_list (csp_host_list_t *list);
 
-/* One keyed value; json is NULL where the key was deleted at revision.  */
+/* One value of the configuration.  json is NULL where the key was deleted at
+   revision.  */
 typedef struct
 {
   const char *key;
@@ -83,9 +84,10 @@
   int64_t revision;
 } csp_config_value_t;
 
-/* The changes behind revision base, or the whole where full is true, as they
-   travel from the platform or a peer.  digest is that of the whole state at
-   revision, 0 where the sender gives none (the platform does not).  */
+/* The changes after revision base, or the whole configuration where full is
+   true, as the platform or a peer sends them.  digest covers the whole
+   configuration at revision; it is 0 where the sender gives none, as the
+   platform does.  */
 typedef struct
 {
   int64_t base;
@@ -96,13 +98,13 @@
   const csp_config_value_t *values;
 } csp_config_delta_t;
 
-/* Parse the answer of /v1/config to the question after=BASE.  The delta and
-   everything it points to go with csp_destroy_config_delta.  */
+/* Parse a response of /v1/config to a request with after=BASE.
+   csp_destroy_config_delta frees the delta and everything it points to.  */
 bool csp_parse_config_answer (const char *text, size_t size_bytes,
                               int64_t base, csp_config_delta_t **delta,
                               csp_error_t *error);
 
-/* Destroy a parsed delta; NULL is harmless.  */
+/* Destroy a parsed delta; NULL is allowed.  */
 void csp_destroy_config_delta (csp_config_delta_t *delta);
 
 #endif
--- a/source/platform/fetcher.c
+++ b/source/platform/fetcher.c
@@ -9,7 +9,7 @@
 enum
 {
   MAX_THREADS = 32,
-  ANSWER_LIMIT_BYTES = 64 << 20,
+  RESPONSE_MAX_BYTES = 64 << 20,
   CONNECT_TIMEOUT_MS = 1000,
   HTTP_OK = 200,
   PATH_BYTES = 256
@@ -22,42 +22,42 @@
   char path[PATH_BYTES];
   char *post_body;
   uint32_t timeout_ms;
-  csp_take_fetched_t done;
+  csp_fetch_done_t done;
   csp_may_send_t may_send;
-  csp_take_status_t take_status; /* NULL for reads */
+  csp_post_done_t post_done; /* NULL for reads */
   void *state;
   csp_fetcher_t *fetcher;
-  char *answer;
-  size_t answer_bytes;
+  char *response;
+  size_t response_bytes;
 } fetch_job_t;
 
 struct csp_fetcher
 {
   pthread_mutex_t lock;
-  pthread_cond_t wake;
-  fetch_job_t *first;
-  fetch_job_t **last;
+  pthread_cond_t job_available;
+  fetch_job_t *head;
+  fetch_job_t **tail;
   bool stopping;
   uint32_t thread_count;
   pthread_t threads[MAX_THREADS];
 };
 
 static size_t
-take_answer (char *data, size_t unit, size_t count, void *state)
+append_response (char *data, size_t unit, size_t count, void *state)
 {
   fetch_job_t *job = state;
   size_t size_bytes = unit * count;
-  char *answer;
+  char *response;
 
-  if (job->answer_bytes + size_bytes > ANSWER_LIMIT_BYTES)
+  if (job->response_bytes + size_bytes > RESPONSE_MAX_BYTES)
     return 0;
-  answer = realloc (job->answer, job->answer_bytes + size_bytes + 1);
-  if (answer == NULL)
+  response = realloc (job->response, job->response_bytes + size_bytes + 1);
+  if (response == NULL)
     return 0;
-  memcpy (answer + job->answer_bytes, data, size_bytes);
-  job->answer = answer;
-  job->answer_bytes += size_bytes;
-  answer[job->answer_bytes] = '\0';
+  memcpy (response + job->response_bytes, data, size_bytes);
+  job->response = response;
+  job->response_bytes += size_bytes;
+  response[job->response_bytes] = '\0';
   return size_bytes;
 }
 
@@ -73,8 +73,8 @@
 }
 
 static int
-check_stop (void *state, curl_off_t total_down, curl_off_t down,
-            curl_off_t total_up, curl_off_t up)
+abort_when_stopping (void *state, curl_off_t total_down, curl_off_t down,
+                     curl_off_t total_up, curl_off_t up)
 {
   fetch_job_t *job = state;
 
@@ -85,33 +85,34 @@
   return is_stopping (job->fetcher) ? 1 : 0;
 }
 
-/* The status of the answer, or why there is none.  */
+/* Returns the status of the response, CSP_POST_NOT_SENT or CSP_POST_LOST.  */
 static long
-run_call (fetch_job_t *job)
+perform_request (fetch_job_t *job)
 {
-  CURL *call = csp_create_call (&job->endpoint, job->path, CONNECT_TIMEOUT_MS);
+  CURL *handle
+      = csp_create_call (&job->endpoint, job->path, CONNECT_TIMEOUT_MS);
   struct curl_slist *headers = NULL;
   CURLcode code;
   long status = 0;
 
-  if (call == NULL)
+  if (handle == NULL)
     return CSP_POST_NOT_SENT;
   headers = curl_slist_append (headers, "Content-Type: application/json");
-  curl_easy_setopt (call, CURLOPT_HTTPHEADER, headers);
-  curl_easy_setopt (call, CURLOPT_TIMEOUT_MS, (long)job->timeout_ms);
-  curl_easy_setopt (call, CURLOPT_WRITEFUNCTION, take_answer);
-  curl_easy_setopt (call, CURLOPT_WRITEDATA, job);
-  curl_easy_setopt (call, CURLOPT_XFERINFOFUNCTION, check_stop);
-  curl_easy_setopt (call, CURLOPT_XFERINFODATA, job);
-  curl_easy_setopt (call, CURLOPT_NOPROGRESS, 0L);
+  curl_easy_setopt (handle, CURLOPT_HTTPHEADER, headers);
+  curl_easy_setopt (handle, CURLOPT_TIMEOUT_MS, (long)job->timeout_ms);
+  curl_easy_setopt (handle, CURLOPT_WRITEFUNCTION, append_response);
+  curl_easy_setopt (handle, CURLOPT_WRITEDATA, job);
+  curl_easy_setopt (handle, CURLOPT_XFERINFOFUNCTION, abort_when_stopping);
+  curl_easy_setopt (handle, CURLOPT_XFERINFODATA, job);
+  curl_easy_setopt (handle, CURLOPT_NOPROGRESS, 0L);
   if (job->post_body != NULL)
-    curl_easy_setopt (call, CURLOPT_POSTFIELDS, job->post_body);
+    curl_easy_setopt (handle, CURLOPT_POSTFIELDS, job->post_body);
   if (job->may_send != NULL && !job->may_send (job->state))
     code = CURLE_COULDNT_CONNECT;
   else
-    code = curl_easy_perform (call);
-  curl_easy_getinfo (call, CURLINFO_RESPONSE_CODE, &status);
-  curl_easy_cleanup (call);
+    code = curl_easy_perform (handle);
+  curl_easy_getinfo (handle, CURLINFO_RESPONSE_CODE, &status);
+  curl_easy_cleanup (handle);
   curl_slist_free_all (headers);
   if (code == CURLE_COULDNT_CONNECT)
     return CSP_POST_NOT_SENT;
@@ -121,32 +122,32 @@
 static void
 finish_job (fetch_job_t *job, long status)
 {
-  if (job->take_status != NULL)
-    job->take_status (job->state, status);
+  if (job->post_done != NULL)
+    job->post_done (job->state, status);
   else if (status == HTTP_OK)
-    job->done (job->state, job->answer == NULL ? "" : job->answer,
-               job->answer_bytes);
+    job->done (job->state, job->response == NULL ? "" : job->response,
+               job->response_bytes);
   else
     job->done (job->state, NULL, 0);
-  free (job->answer);
+  free (job->response);
   free (job->post_body);
   free (job);
 }
 
 static fetch_job_t *
-take_job (csp_fetcher_t *fetcher)
+dequeue_job (csp_fetcher_t *fetcher)
 {
   fetch_job_t *job;
 
   pthread_mutex_lock (&fetcher->lock);
-  while (fetcher->first == NULL && !fetcher->stopping)
-    pthread_cond_wait (&fetcher->wake, &fetcher->lock);
-  job = fetcher->first;
+  while (fetcher->head == NULL && !fetcher->stopping)
+    pthread_cond_wait (&fetcher->job_available, &fetcher->lock);
+  job = fetcher->head;
   if (job != NULL)
     {
-      fetcher->first = job->next;
-      if (fetcher->first == NULL)
-        fetcher->last = &fetcher->first;
+      fetcher->head = job->next;
+      if (fetcher->head == NULL)
+        fetcher->tail = &fetcher->head;
     }
   pthread_mutex_unlock (&fetcher->lock);
   return job;
@@ -158,23 +159,23 @@
   csp_fetcher_t *fetcher = state;
   fetch_job_t *job;
 
-  while ((job = take_job (fetcher)) != NULL)
-    finish_job (job,
-                is_stopping (fetcher) ? CSP_POST_NOT_SENT : run_call (job));
+  while ((job = dequeue_job (fetcher)) != NULL)
+    finish_job (job, is_stopping (fetcher) ? CSP_POST_NOT_SENT
+                                           : perform_request (job));
   return NULL;
 }
 
 csp_fetcher_t *
-csp_create_fetcher (uint32_t threads)
+csp_create_fetcher (uint32_t thread_count)
 {
   csp_fetcher_t *fetcher = calloc (1, sizeof *fetcher);
 
   if (fetcher == NULL)
     return NULL;
   pthread_mutex_init (&fetcher->lock, NULL);
-  pthread_cond_init (&fetcher->wake, NULL);
-  fetcher->last = &fetcher->first;
-  while (fetcher->thread_count < threads
+  pthread_cond_init (&fetcher->job_available, NULL);
+  fetcher->tail = &fetcher->head;
+  while (fetcher->thread_count < thread_count
          && fetcher->thread_count < MAX_THREADS)
     {
       if (pthread_create (&fetcher->threads[fetcher->thread_count], NULL,
@@ -198,19 +199,19 @@
     return;
   pthread_mutex_lock (&fetcher->lock);
   fetcher->stopping = true;
-  pthread_cond_broadcast (&fetcher->wake);
+  pthread_cond_broadcast (&fetcher->job_available);
   pthread_mutex_unlock (&fetcher->lock);
   for (i = 0; i < fetcher->thread_count; i++)
     pthread_join (fetcher->threads[i], NULL);
-  pthread_cond_destroy (&fetcher->wake);
+  pthread_cond_destroy (&fetcher->job_available);
   pthread_mutex_destroy (&fetcher->lock);
   free (fetcher);
 }
 
 static fetch_job_t *
-new_job (csp_fetcher_t *fetcher, const csp_endpoint_t *endpoint,
-         const char *path, const char *post_body, uint32_t timeout_ms,
-         void *state)
+create_job (csp_fetcher_t *fetcher, const csp_endpoint_t *endpoint,
+            const char *path, const char *post_body, uint32_t timeout_ms,
+            void *state)
 {
   fetch_job_t *job = calloc (1, sizeof *job);
 
@@ -226,22 +227,22 @@
 }
 
 static void
-queue_job (csp_fetcher_t *fetcher, fetch_job_t *job)
+enqueue_job (csp_fetcher_t *fetcher, fetch_job_t *job)
 {
   pthread_mutex_lock (&fetcher->lock);
-  *fetcher->last = job;
-  fetcher->last = &job->next;
-  pthread_cond_signal (&fetcher->wake);
+  *fetcher->tail = job;
+  fetcher->tail = &job->next;
+  pthread_cond_signal (&fetcher->job_available);
   pthread_mutex_unlock (&fetcher->lock);
 }
 
 void
 csp_fetch (csp_fetcher_t *fetcher, const csp_endpoint_t *endpoint,
            const char *path, const char *post_body, uint32_t timeout_ms,
-           csp_take_fetched_t done, void *state)
+           csp_fetch_done_t done, void *state)
 {
   fetch_job_t *job
-      = new_job (fetcher, endpoint, path, post_body, timeout_ms, state);
+      = create_job (fetcher, endpoint, path, post_body, timeout_ms, state);
 
   if (job == NULL)
     {
@@ -249,16 +250,16 @@
       return;
     }
   job->done = done;
-  queue_job (fetcher, job);
+  enqueue_job (fetcher, job);
 }
 
 void
 csp_post (csp_fetcher_t *fetcher, const csp_endpoint_t *endpoint,
           const char *path, const char *body, uint32_t timeout_ms,
-          csp_may_send_t may_send, csp_take_status_t done, void *state)
+          csp_may_send_t may_send, csp_post_done_t done, void *state)
 {
   fetch_job_t *job
-      = new_job (fetcher, endpoint, path, body, timeout_ms, state);
+      = create_job (fetcher, endpoint, path, body, timeout_ms, state);
 
   if (job == NULL)
     {
@@ -266,6 +267,6 @@
       return;
     }
   job->may_send = may_send;
-  job->take_status = done;
-  queue_job (fetcher, job);
+  job->post_done = done;
+  enqueue_job (fetcher, job);
 }
--- a/source/platform/list-watch.c
+++ b/source/platform/list-watch.c
@@ -2,10 +2,11 @@
 
 enum
 {
-  /* A platform that is away is asked by 330 hosts 165 times a second.  */
-  RETRY_MS = 2000,
-  /* A list that changes all the time is read once a second, no more.  */
-  GAP_MS = 1000
+  /* With this delay 330 hosts send an unreachable platform 165 reads a
+     second.  */
+  RETRY_DELAY_MS = 2000,
+  /* A list that changes constantly is read at most once a second.  */
+  READ_INTERVAL_MS = 1000
 };
 
 bool
@@ -22,23 +23,24 @@
 }
 
 void
-csp_note_list_read (csp_list_watch_t *watch, bool good, int64_t now_ms)
+csp_note_list_read (csp_list_watch_t *watch, bool succeeded, int64_t now_ms)
 {
-  bool sent_before_pause = watch->asked_ms <= watch->woke_ms;
+  bool sent_before_resume = watch->asked_ms <= watch->woke_ms;
 
   watch->pending = false;
-  watch->away = !good;
-  if (good)
+  watch->away = !succeeded;
+  if (succeeded)
     {
-      watch->next_ms = now_ms + GAP_MS;
+      watch->next_ms = now_ms + READ_INTERVAL_MS;
       watch->confirmed_ms = watch->asked_ms;
     }
   else
-    watch->next_ms = sent_before_pause ? now_ms : now_ms + RETRY_MS;
+    watch->next_ms = sent_before_resume ? now_ms : now_ms + RETRY_DELAY_MS;
 }
 
-/* The read may have failed already in this turn of the loop, or fail in a
-   later one.  */
+/* A read that was pending during the pause may have failed earlier in this
+   iteration of the event loop, or may fail in a later one; both cases lead to
+   an immediate retry.  */
 void
 csp_note_list_woke (csp_list_watch_t *watch, int64_t now_ms)
 {
--- a/source/platform/platform-answer.c
+++ b/source/platform/platform-answer.c
@@ -3,30 +3,31 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A delta with the JSON tree and the texts that it points into.  */
+/* A delta with the JSON tree and the strings that it points into.  */
 typedef struct
 {
   csp_config_delta_t delta;
   csp_config_value_t *values;
-  char **texts;
-  struct json_object *tree;
-} answer_t;
+  char **value_texts;
+  struct json_object *json_tree;
+} parsed_delta_t;
 
 enum
 {
-  MAX_VALUES = 200000
+  VALUES_MAX = 200000
 };
 
 static bool
-read_value (const csp_json_row_t *row, int64_t highest, answer_t *answer)
+parse_value (const csp_json_row_t *row, int64_t revision_max,
+             parsed_delta_t *parsed)
 {
-  csp_config_value_t *value = &answer->values[row->index];
+  csp_config_value_t *value = &parsed->values[row->index];
   struct json_object *key;
   struct json_object *json;
   char name[CSP_MAX_KEY_BYTES];
 
   if (!csp_read_string (row, "key", name, sizeof name)
-      || !csp_read_number (row, "revision", 1, highest, &value->revision))
+      || !csp_read_number (row, "revision", 1, revision_max, &value->revision))
     return false;
   json_object_object_get_ex (row->object, "key", &key);
   value->key = json_object_get_string (key);
@@ -34,9 +35,9 @@
     return csp_fail_row (row, "value", "is missing");
   if (json == NULL)
     return true;
-  answer->texts[row->index]
+  parsed->value_texts[row->index]
       = strdup (json_object_to_json_string_ext (json, JSON_C_TO_STRING_PLAIN));
-  value->json = answer->texts[row->index];
+  value->json = parsed->value_texts[row->index];
   if (value->json == NULL)
     return csp_fail_row (row, "value", "out of memory");
   if (strlen (value->json) > CSP_MAX_VALUE_BYTES)
@@ -45,25 +46,25 @@
 }
 
 static bool
-read_values (const csp_json_row_t *whole, answer_t *answer)
+parse_values (const csp_json_row_t *document, parsed_delta_t *parsed)
 {
-  csp_json_row_t row = { NULL, "values", 0, whole->error };
+  csp_json_row_t row = { NULL, "values", 0, document->error };
   struct json_object *array;
   size_t count;
 
-  if (!csp_read_array (whole, "values", MAX_VALUES, &array))
+  if (!csp_read_array (document, "values", VALUES_MAX, &array))
     return false;
   count = json_object_array_length (array);
-  answer->values = calloc (count + 1, sizeof *answer->values);
-  answer->texts = calloc (count + 1, sizeof *answer->texts);
-  if (answer->values == NULL || answer->texts == NULL)
-    return csp_fail_row (whole, "values", "out of memory");
-  answer->delta.value_count = count;
-  answer->delta.values = answer->values;
+  parsed->values = calloc (count + 1, sizeof *parsed->values);
+  parsed->value_texts = calloc (count + 1, sizeof *parsed->value_texts);
+  if (parsed->values == NULL || parsed->value_texts == NULL)
+    return csp_fail_row (document, "values", "out of memory");
+  parsed->delta.value_count = count;
+  parsed->delta.values = parsed->values;
   for (row.index = 0; row.index < count; row.index++)
     {
       row.object = json_object_array_get_idx (array, row.index);
-      if (!read_value (&row, answer->delta.revision, answer))
+      if (!parse_value (&row, parsed->delta.revision, parsed))
         return false;
     }
   return true;
@@ -73,43 +74,43 @@
 csp_parse_config_answer (const char *text, size_t size_bytes, int64_t base,
                          csp_config_delta_t **delta, csp_error_t *error)
 {
-  csp_json_row_t whole = { NULL, "config", 0, error };
-  answer_t *answer = calloc (1, sizeof *answer);
-  bool good = false;
+  csp_json_row_t document = { NULL, "config", 0, error };
+  parsed_delta_t *parsed = calloc (1, sizeof *parsed);
+  bool valid = false;
 
   *delta = NULL;
-  whole.object = csp_parse_json_object (text, size_bytes, error);
-  if (whole.object == NULL || answer == NULL)
+  document.object = csp_parse_json_object (text, size_bytes, error);
+  if (document.object == NULL || parsed == NULL)
     goto out;
-  answer->tree = json_object_get (whole.object);
-  answer->delta.base = base;
-  good = csp_read_number (&whole, "revision", 0, INT64_MAX - 1,
-                          &answer->delta.revision)
-         && csp_read_bool (&whole, "full", &answer->delta.full)
-         && read_values (&whole, answer);
-  if (good && base == 0)
-    answer->delta.full = true;
+  parsed->json_tree = json_object_get (document.object);
+  parsed->delta.base = base;
+  valid = csp_read_number (&document, "revision", 0, INT64_MAX - 1,
+                           &parsed->delta.revision)
+          && csp_read_bool (&document, "full", &parsed->delta.full)
+          && parse_values (&document, parsed);
+  if (valid && base == 0)
+    parsed->delta.full = true;
 out:
-  json_object_put (whole.object);
-  if (good)
-    *delta = &answer->delta;
-  else if (answer != NULL)
-    csp_destroy_config_delta (&answer->delta);
-  return good;
+  json_object_put (document.object);
+  if (valid)
+    *delta = &parsed->delta;
+  else if (parsed != NULL)
+    csp_destroy_config_delta (&parsed->delta);
+  return valid;
 }
 
 void
 csp_destroy_config_delta (csp_config_delta_t *delta)
 {
-  answer_t *answer = (answer_t *)delta;
+  parsed_delta_t *parsed = (parsed_delta_t *)delta;
   size_t i;
 
-  if (answer == NULL)
+  if (parsed == NULL)
     return;
-  for (i = 0; answer->texts != NULL && i < delta->value_count; i++)
-    free (answer->texts[i]);
-  free (answer->texts);
-  free (answer->values);
-  json_object_put (answer->tree);
-  free (answer);
+  for (i = 0; parsed->value_texts != NULL && i < delta->value_count; i++)
+    free (parsed->value_texts[i]);
+  free (parsed->value_texts);
+  free (parsed->values);
+  json_object_put (parsed->json_tree);
+  free (parsed);
 }
--- a/source/platform/platform-json-imp.h
+++ b/source/platform/platform-json-imp.h
@@ -5,9 +5,11 @@
 
 #include <json-c/json.h>
 
-/* Readers of members that fill error with the row and member at fault.  */
+/* Functions that read members of JSON objects.  On false they have set
+   row->error to a text that names the row and member at fault.  */
 
-/* Where a member is read from, for error texts: "hosts" and 3.  */
+/* The object that members are read from; section and index name it in error
+   texts, such as "hosts" and 3.  */
 typedef struct
 {
   struct json_object *object;
@@ -16,24 +18,26 @@
   csp_error_t *error;
 } csp_json_row_t;
 
-/* Parse a whole text to one object; NULL and error otherwise.  */
+/* Parse a text that holds exactly one JSON object.  On failure returns NULL
+   and sets error.  */
 struct json_object *csp_parse_json_object (const char *text, size_t size_bytes,
                                            csp_error_t *error);
 
+/* Set row->error; always returns false.  */
 bool csp_fail_row (const csp_json_row_t *row, const char *member,
                    const char *problem);
-/* A string that fits size_bytes with its nul and is not empty.  */
+/* Read a non-empty string that fits size_bytes including its nul.  */
 bool csp_read_string (const csp_json_row_t *row, const char *member,
                       char *value, size_t size_bytes);
 bool csp_read_number (const csp_json_row_t *row, const char *member,
-                      int64_t least, int64_t most, int64_t *value);
+                      int64_t min, int64_t max, int64_t *value);
 bool csp_read_bool (const csp_json_row_t *row, const char *member,
                     bool *value);
-/* An array of at most most rows.  */
-bool csp_read_array (const csp_json_row_t *row, const char *member,
-                     size_t most, struct json_object **array);
-/* One of two words; *second says whether it was the second.  */
-bool csp_read_word (const csp_json_row_t *row, const char *member,
-                    const char *first, const char *other, bool *second);
+/* Read an array of at most max rows.  */
+bool csp_read_array (const csp_json_row_t *row, const char *member, size_t max,
+                     struct json_object **array);
+/* Read a string that must be first or second; *is_second says which.  */
+bool csp_read_choice (const csp_json_row_t *row, const char *member,
+                      const char *first, const char *second, bool *is_second);
 
 #endif
--- a/source/platform/platform-json.c
+++ b/source/platform/platform-json.c
@@ -82,15 +82,15 @@
 }
 
 bool
-csp_read_number (const csp_json_row_t *row, const char *member, int64_t least,
-                 int64_t most, int64_t *value)
+csp_read_number (const csp_json_row_t *row, const char *member, int64_t min,
+                 int64_t max, int64_t *value)
 {
   struct json_object *found = find_member (row, member, json_type_int);
 
   if (found == NULL)
     return csp_fail_row (row, member, "is not a whole number");
   *value = json_object_get_int64 (found);
-  if (*value < least || *value > most)
+  if (*value < min || *value > max)
     return csp_fail_row (row, member, "is out of range");
   return true;
 }
@@ -107,26 +107,26 @@
 }
 
 bool
-csp_read_array (const csp_json_row_t *row, const char *member, size_t most,
+csp_read_array (const csp_json_row_t *row, const char *member, size_t max,
                 struct json_object **array)
 {
   *array = find_member (row, member, json_type_array);
   if (*array == NULL)
     return csp_fail_row (row, member, "is not an array");
-  if (json_object_array_length (*array) > most)
+  if (json_object_array_length (*array) > max)
     return csp_fail_row (row, member, "has too many rows");
   return true;
 }
 
 bool
-csp_read_word (const csp_json_row_t *row, const char *member,
-               const char *first, const char *other, bool *second)
+csp_read_choice (const csp_json_row_t *row, const char *member,
+                 const char *first, const char *second, bool *is_second)
 {
   struct json_object *found = find_member (row, member, json_type_string);
-  const char *word = found == NULL ? "" : json_object_get_string (found);
+  const char *text = found == NULL ? "" : json_object_get_string (found);
 
-  *second = strcmp (word, other) == 0;
-  if (*second || strcmp (word, first) == 0)
+  *is_second = strcmp (text, second) == 0;
+  if (*is_second || strcmp (text, first) == 0)
     return true;
   return csp_fail_row (row, member, "is not one of the known words");
 }
--- a/source/platform/platform-list.c
+++ b/source/platform/platform-list.c
@@ -19,7 +19,7 @@
 {
   bool leaving;
 
-  if (!csp_read_word (row, "state", "live", "leaving", &leaving))
+  if (!csp_read_choice (row, "state", "live", "leaving", &leaving))
     return false;
   *state = leaving ? CSP_MEMBER_LEAVING : CSP_MEMBER_LIVE;
   return true;
@@ -51,11 +51,11 @@
                            sizeof target->address)
       || !csp_read_string (row, "pool", target->pool, sizeof target->pool)
       || !read_port (row, "port", &target->port)
-      || !csp_read_word (row, "kind", "engine", "service", &service)
+      || !csp_read_choice (row, "kind", "engine", "service", &service)
       || !read_state (row, &target->state))
     return false;
   target->kind = service ? CSP_TARGET_SERVICE : CSP_TARGET_ENGINE;
-  /* Only engines take orders, so services need not say.  */
+  /* Only engines are sent orders, so a service may omit the member.  */
   if (json_object_object_get_ex (row->object, "checks_fence", NULL))
     return csp_read_bool (row, "checks_fence", &target->checks_fence);
   return service || csp_fail_row (row, "checks_fence", "is missing");
@@ -67,10 +67,10 @@
   return strcmp (*(const char *const *)a, *(const char *const *)b);
 }
 
-/* Two rows of one name would make two hosts or targets out of one.  */
+/* Two rows with the same name would be treated as two hosts or targets.  */
 static bool
-check_names (const csp_json_row_t *row, const void *rows, size_t count,
-             size_t row_bytes)
+check_names_unique (const csp_json_row_t *row, const void *rows, size_t count,
+                    size_t row_bytes)
 {
   const char **names;
   bool unique = true;
@@ -91,75 +91,77 @@
 }
 
 static bool
-read_hosts (const csp_json_row_t *answer, csp_host_list_t *list)
+read_hosts (const csp_json_row_t *document, csp_host_list_t *list)
 {
-  csp_json_row_t row = { NULL, "hosts", 0, answer->error };
+  csp_json_row_t row = { NULL, "hosts", 0, document->error };
   struct json_object *array;
 
-  if (!csp_read_array (answer, "hosts", CSP_MAX_HOSTS, &array))
+  if (!csp_read_array (document, "hosts", CSP_MAX_HOSTS, &array))
     return false;
   list->host_count = json_object_array_length (array);
   list->hosts = calloc (list->host_count + 1, sizeof *list->hosts);
   if (list->hosts == NULL)
-    return csp_fail_row (answer, "hosts", "out of memory");
+    return csp_fail_row (document, "hosts", "out of memory");
   for (row.index = 0; row.index < list->host_count; row.index++)
     {
       row.object = json_object_array_get_idx (array, row.index);
       if (!read_host (&row, &list->hosts[row.index]))
         return false;
     }
-  return check_names (&row, list->hosts, list->host_count,
-                      sizeof *list->hosts);
+  return check_names_unique (&row, list->hosts, list->host_count,
+                             sizeof *list->hosts);
 }
 
 static bool
-read_targets (const csp_json_row_t *answer, csp_host_list_t *list)
+read_targets (const csp_json_row_t *document, csp_host_list_t *list)
 {
-  csp_json_row_t row = { NULL, "targets", 0, answer->error };
+  csp_json_row_t row = { NULL, "targets", 0, document->error };
   struct json_object *array;
 
-  if (!csp_read_array (answer, "targets", CSP_MAX_TARGETS, &array))
+  if (!csp_read_array (document, "targets", CSP_MAX_TARGETS, &array))
     return false;
   list->target_count = json_object_array_length (array);
   list->targets = calloc (list->target_count + 1, sizeof *list->targets);
   if (list->targets == NULL)
-    return csp_fail_row (answer, "targets", "out of memory");
+    return csp_fail_row (document, "targets", "out of memory");
   for (row.index = 0; row.index < list->target_count; row.index++)
     {
       row.object = json_object_array_get_idx (array, row.index);
       if (!read_target (&row, &list->targets[row.index]))
         return false;
     }
-  return check_names (&row, list->targets, list->target_count,
-                      sizeof *list->targets);
+  return check_names_unique (&row, list->targets, list->target_count,
+                             sizeof *list->targets);
 }
 
 bool
 csp_parse_host_list (const char *text, size_t size_bytes,
                      csp_host_list_t **list, csp_error_t *error)
 {
-  csp_json_row_t answer = { NULL, "list", 0, error };
-  csp_host_list_t *made = calloc (1, sizeof *made);
-  bool good = false;
+  csp_json_row_t document = { NULL, "list", 0, error };
+  csp_host_list_t *parsed = calloc (1, sizeof *parsed);
+  bool valid = false;
 
   *list = NULL;
-  answer.object = csp_parse_json_object (text, size_bytes, error);
-  if (answer.object == NULL)
+  document.object = csp_parse_json_object (text, size_bytes, error);
+  if (document.object == NULL)
     goto out;
-  if (made == NULL)
+  if (parsed == NULL)
     {
-      csp_fail_row (&answer, "hosts", "out of memory");
+      csp_fail_row (&document, "hosts", "out of memory");
       goto out;
     }
-  good = csp_read_number (&answer, "version", 0, INT64_MAX - 1, &made->version)
-         && read_hosts (&answer, made) && read_targets (&answer, made);
+  valid = csp_read_number (&document, "version", 0, INT64_MAX - 1,
+                           &parsed->version)
+          && read_hosts (&document, parsed)
+          && read_targets (&document, parsed);
 out:
-  json_object_put (answer.object);
-  if (good)
-    *list = made;
+  json_object_put (document.object);
+  if (valid)
+    *list = parsed;
   else
-    csp_destroy_host_list (made);
-  return good;
+    csp_destroy_host_list (parsed);
+  return valid;
 }
 
 void
--- a/tests/platform/list-watch-test.c
+++ b/tests/platform/list-watch-test.c
@@ -6,10 +6,10 @@
 
 typedef enum
 {
-  ASK,
-  GOOD,
-  FAILED,
-  WAKE
+  READ_SENT,
+  READ_SUCCEEDED,
+  READ_FAILED,
+  HOST_RESUMED
 } step_kind_t;
 
 typedef struct
@@ -23,76 +23,76 @@
   STEPS_MAX = 4
 };
 
-/* What happens to a host's reads, and when the next is due.  */
+/* A sequence of events, and when the next read is due after it.  */
 typedef struct
 {
   const char *name;
   step_t steps[STEPS_MAX];
   size_t step_count;
-  int64_t due_ms;
-} story_t;
+  int64_t expected_due_ms;
+} scenario_t;
 
-static const story_t stories[] = {
-  { "answered", { { ASK, 1000 }, { GOOD, 1200 } }, 2, 2200 },
-  { "failed", { { ASK, 1000 }, { FAILED, 1200 } }, 2, 3200 },
-  { "failed behind a pause, seen first",
-    { { ASK, 1000 }, { FAILED, 9000 }, { WAKE, 9000 } },
+static const scenario_t scenarios[] = {
+  { "answered", { { READ_SENT, 1000 }, { READ_SUCCEEDED, 1200 } }, 2, 2200 },
+  { "failed", { { READ_SENT, 1000 }, { READ_FAILED, 1200 } }, 2, 3200 },
+  { "failed after a pause, failure noted before the resume",
+    { { READ_SENT, 1000 }, { READ_FAILED, 9000 }, { HOST_RESUMED, 9000 } },
     3,
     9000 },
-  { "failed behind a pause, seen later",
-    { { ASK, 1000 }, { WAKE, 9000 }, { FAILED, 9003 } },
+  { "failed after a pause, failure noted after the resume",
+    { { READ_SENT, 1000 }, { HOST_RESUMED, 9000 }, { READ_FAILED, 9003 } },
     3,
     9003 },
-  { "answered behind a pause",
-    { { ASK, 1000 }, { WAKE, 9000 }, { GOOD, 9002 } },
+  { "answered after a pause",
+    { { READ_SENT, 1000 }, { HOST_RESUMED, 9000 }, { READ_SUCCEEDED, 9002 } },
     3,
     10002 },
-  { "failed again behind a pause",
-    { { WAKE, 9000 }, { ASK, 9001 }, { FAILED, 9100 } },
+  { "sent after a pause and failed",
+    { { HOST_RESUMED, 9000 }, { READ_SENT, 9001 }, { READ_FAILED, 9100 } },
     3,
     11100 },
 };
 
 static void
-take_step (csp_list_watch_t *watch, const step_t *step)
+apply_step (csp_list_watch_t *watch, const step_t *step)
 {
   switch (step->kind)
     {
-    case ASK:
+    case READ_SENT:
       csp_note_list_asked (watch, true, step->at_ms);
       break;
-    case GOOD:
-    case FAILED:
-      csp_note_list_read (watch, step->kind == GOOD, step->at_ms);
+    case READ_SUCCEEDED:
+    case READ_FAILED:
+      csp_note_list_read (watch, step->kind == READ_SUCCEEDED, step->at_ms);
       break;
-    case WAKE:
+    case HOST_RESUMED:
       csp_note_list_woke (watch, step->at_ms);
       break;
     }
 }
 
-/* A host is paused for some seconds while its read of the host list is under
-   way.  As it runs again that read has timed out.  Waiting two seconds before
-   the next, as behind other failures, it was stopped meanwhile and never heard
-   of a host that had come: what it held was lost with it, and callers of its
-   engines were served by an older configuration.  */
-START_TEST (a_host_that_wakes_up_reads_at_once)
+/* A host is paused for some seconds while a read of the host list is pending,
+   and the read has timed out when the host resumes.  If the host waits two
+   seconds before the next read, as after other failures, and is stopped in
+   that time, it never learns of a newly added host: the state that it holds is
+   lost, and callers of its engines are served by an older configuration.  */
+START_TEST (failed_read_is_retried_at_once_after_a_pause)
 {
-  const story_t *story = &stories[_i];
+  const scenario_t *scenario = &scenarios[_i];
   csp_list_watch_t watch = { .pending = false };
   size_t i;
 
-  for (i = 0; i < story->step_count; i++)
-    take_step (&watch, &story->steps[i]);
-  ck_assert_msg (!csp_list_read_is_due (&watch, story->due_ms - 1), "%s",
-                 story->name);
-  ck_assert_msg (csp_list_read_is_due (&watch, story->due_ms), "%s",
-                 story->name);
+  for (i = 0; i < scenario->step_count; i++)
+    apply_step (&watch, &scenario->steps[i]);
+  ck_assert_msg (!csp_list_read_is_due (&watch, scenario->expected_due_ms - 1),
+                 "%s", scenario->name);
+  ck_assert_msg (csp_list_read_is_due (&watch, scenario->expected_due_ms),
+                 "%s", scenario->name);
 }
 END_TEST
 
-/* A list counts as the platform's up to when its read was sent.  */
-START_TEST (a_list_is_confirmed_as_of_its_question)
+/* A list is known to be current as of the time when its read was sent.  */
+START_TEST (list_is_current_as_of_the_send_of_its_read)
 {
   csp_list_watch_t watch = { .pending = false };
 
@@ -113,9 +113,9 @@
   Suite *suite = suite_create ("list watch");
   TCase *tcase = tcase_create ("list watch");
 
-  tcase_add_loop_test (tcase, a_host_that_wakes_up_reads_at_once, 0,
-                       sizeof stories / sizeof *stories);
-  tcase_add_test (tcase, a_list_is_confirmed_as_of_its_question);
+  tcase_add_loop_test (tcase, failed_read_is_retried_at_once_after_a_pause, 0,
+                       sizeof scenarios / sizeof *scenarios);
+  tcase_add_test (tcase, list_is_current_as_of_the_send_of_its_read);
   suite_add_tcase (suite, tcase);
   return run_suite (suite);
 }
--- a/tests/platform/platform-answer-test.c
+++ b/tests/platform/platform-answer-test.c
@@ -20,11 +20,11 @@
 typedef struct
 {
   const char *text;
-  /* NULL is good; else a part of the error.  */
-  const char *fault;
+  /* A part of the error's detail; NULL where the text is valid.  */
+  const char *expected_error;
 } text_case_t;
 
-static const text_case_t list_cases[] = {
+static const text_case_t host_list_cases[] = {
   { LIST (HOST ("h1", "1", "live"),
           TARGET ("engine", ",\"checks_fence\":true")),
     NULL },
@@ -45,15 +45,15 @@
   { "", "cut short" },
 };
 
-/* A list comes cut short, from a newer platform, or damaged.  Half of a list
-   would make the other half's hosts and targets vanish.  */
-START_TEST (only_whole_lists_are_read)
+/* A list may arrive truncated, damaged or in a newer format.  If a part of it
+   were used, the hosts and targets of the other part would be removed.  */
+START_TEST (malformed_host_list_is_rejected)
 {
-  const text_case_t *row = &list_cases[_i];
+  const text_case_t *row = &host_list_cases[_i];
   csp_host_list_t *list;
   csp_error_t error;
 
-  if (row->fault == NULL)
+  if (row->expected_error == NULL)
     {
       ck_assert (
           csp_parse_host_list (row->text, strlen (row->text), &list, &error));
@@ -65,7 +65,7 @@
   ck_assert (
       !csp_parse_host_list (row->text, strlen (row->text), &list, &error));
   ck_assert_ptr_null (list);
-  ck_assert_ptr_nonnull (strstr (error.detail, row->fault));
+  ck_assert_ptr_nonnull (strstr (error.detail, row->expected_error));
 }
 END_TEST
 
@@ -84,13 +84,13 @@
   { "{\"full\":true,\"values\":[]}", "revision" },
 };
 
-START_TEST (only_whole_configurations_are_read)
+START_TEST (malformed_configuration_is_rejected)
 {
   const text_case_t *row = &config_cases[_i];
   csp_config_delta_t *delta;
   csp_error_t error;
 
-  if (row->fault == NULL)
+  if (row->expected_error == NULL)
     {
       ck_assert (csp_parse_config_answer (row->text, strlen (row->text), 50,
                                           &delta, &error));
@@ -105,7 +105,7 @@
   ck_assert (!csp_parse_config_answer (row->text, strlen (row->text), 50,
                                        &delta, &error));
   ck_assert_ptr_null (delta);
-  ck_assert_ptr_nonnull (strstr (error.detail, row->fault));
+  ck_assert_ptr_nonnull (strstr (error.detail, row->expected_error));
 }
 END_TEST
 
@@ -115,9 +115,9 @@
   Suite *suite = suite_create ("platform answers");
   TCase *tcase = tcase_create ("platform answers");
 
-  tcase_add_loop_test (tcase, only_whole_lists_are_read, 0,
-                       sizeof list_cases / sizeof *list_cases);
-  tcase_add_loop_test (tcase, only_whole_configurations_are_read, 0,
+  tcase_add_loop_test (tcase, malformed_host_list_is_rejected, 0,
+                       sizeof host_list_cases / sizeof *host_list_cases);
+  tcase_add_loop_test (tcase, malformed_configuration_is_rejected, 0,
                        sizeof config_cases / sizeof *config_cases);
   suite_add_tcase (suite, tcase);
   return run_suite (suite);
