--- a/tests/adapter/adapter-test.c
+++ b/tests/adapter/adapter-test.c
@@ -10,7 +10,7 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-/* The adapter against the platform's own spellings.  */
+/* Tests of the adapter with texts in the platform's own format.  */
 
 #define CONFIG(version, kind, extra)                                          \
   "{\"version\":" version ",\"routes\":[{\"name\":\"r\",\"host\":\"h\","      \
@@ -26,15 +26,15 @@
   "\"tenants\":[{\"name\":\"t\",\"api_keys\":[\"k1\",\"k2\"],"                \
   "\"priority\":1}]}"
 
-START_TEST (a_configuration_is_decoded_once)
+START_TEST (configuration_is_decoded)
 {
-  const char *why = NULL;
+  const char *fault = NULL;
   csp_routes_t *routes = csp_decode_configuration (
-      CONFIG ("7", "streaming", "\"service\":\"e\""), &why);
+      CONFIG ("7", "streaming", "\"service\":\"e\""), &fault);
   const csp_route_service_t *service;
   const csp_route_t *route;
 
-  ck_assert_msg (routes != NULL, "%s", why);
+  ck_assert_msg (routes != NULL, "%s", fault);
   ck_assert_uint_eq (csp_routes_version (routes), 7);
   ck_assert_uint_eq (csp_routes_limits (routes)->head_max_bytes, 16384);
   ck_assert_uint_eq (csp_routes_limits (routes)->idle_timeout_ms, 15000);
@@ -61,17 +61,17 @@
 }
 END_TEST
 
-START_TEST (a_split_route_has_its_weights)
+START_TEST (split_route_is_decoded_with_its_weights)
 {
-  const char *why = NULL;
+  const char *fault = NULL;
   csp_routes_t *routes = csp_decode_configuration (
       CONFIG ("7", "safe",
               "\"backends\":[{\"service\":\"e\",\"weight\":90},"
               "{\"service\":\"p\",\"weight\":10}]"),
-      &why);
+      &fault);
   const csp_route_t *route;
 
-  ck_assert_msg (routes != NULL, "%s", why);
+  ck_assert_msg (routes != NULL, "%s", fault);
   route = csp_match_route (routes, "h", "/p/");
   ck_assert_int_eq (route->kind, CSP_ROUTE_IDEMPOTENT);
   ck_assert_uint_eq (route->share_count, 2);
@@ -81,8 +81,8 @@
 }
 END_TEST
 
-/* What can't be used changes nothing in force, and says why.  */
-static const char *const bad_configs[]
+/* Invalid configurations are refused with a description of the fault.  */
+static const char *const invalid_configs[]
     = { "",
         "{",
         "[]",
@@ -97,12 +97,12 @@
         "{\"version\":7,\"tenants\":[{\"api_keys\":[]}]}",
         "{\"version\":7,\"tenants\":[{\"name\":\"t\",\"api_keys\":[4]}]}" };
 
-START_TEST (a_configuration_that_cannot_be_used_is_refused)
+START_TEST (invalid_configuration_is_refused)
 {
-  const char *why = NULL;
+  const char *fault = NULL;
 
-  ck_assert_ptr_null (csp_decode_configuration (bad_configs[_i], &why));
-  ck_assert_ptr_nonnull (why);
+  ck_assert_ptr_null (csp_decode_configuration (invalid_configs[_i], &fault));
+  ck_assert_ptr_nonnull (fault);
 }
 END_TEST
 
@@ -112,9 +112,9 @@
 static const struct
 {
   const char *json;
-  bool good;
+  bool valid;
   bool leaving;
-} servers[] = {
+} server_cases[] = {
   { "{\"service\":\"s\",\"address\":\"10.128.0.9:8080\",\"zone\":\"z\","
     "\"slots\":24,\"state\":\"ready\",\"cold_left_ms\":30,\"seq\":4}",
     true, false },
@@ -156,31 +156,32 @@
   { "", false, false },
 };
 
-/* Another writer leaves an entry among the servers', or a server's is cut
-   short on its way.  Half of it taken, requests go to an address at which
-   nobody answers, and their callers wait for the connection's time limit.  */
-START_TEST (a_server_is_decoded_or_passed_over)
+/* A foreign writer leaves an entry among the servers, or a server's entry is
+   truncated.  If a part of it were used, requests would go to an address at
+   which nothing answers, and their callers would wait for the connection
+   timeout.  */
+START_TEST (server_entry_is_decoded_or_rejected)
 {
   csp_fleet_row_t row;
 
-  ck_assert (csp_decode_server ("i-1", servers[_i].json, &row)
-             == servers[_i].good);
-  if (!servers[_i].good)
+  ck_assert (csp_decode_server ("i-1", server_cases[_i].json, &row)
+             == server_cases[_i].valid);
+  if (!server_cases[_i].valid)
     return;
   ck_assert_str_eq (row.id, "i-1");
   ck_assert_str_eq (row.data_centre, "z");
   ck_assert_uint_eq (ntohs (row.address.sin_port), 8080);
-  ck_assert (row.leaving == servers[_i].leaving);
+  ck_assert (row.leaving == server_cases[_i].leaving);
 }
 END_TEST
 
-START_TEST (a_run_is_copied_in_the_platforms_words)
+START_TEST (move_requests_use_the_platforms_format)
 {
   const csp_dialect_t *dialect = csp_platform_dialect ();
   static const char answer[] = "{\"handle\":\"h-1\",\"created\":32}";
   csp_buffer_t request = { 0 };
-  csp_move_answer_t read = { .handle = "" };
-  char copy[64];
+  csp_move_answer_t move = { .handle = "" };
+  char copy_source[64];
   int i;
 
   ck_assert (dialect->write_move ("10.0.0.1:80", "r1", "10.0.0.2:80", true,
@@ -191,13 +192,13 @@
   ck_assert_ptr_nonnull (strstr (request.data,
                                  "{\"id\":\"r1\",\"target\":\"10.0.0.2:80\","
                                  "\"last\":true}"));
-  ck_assert (dialect->read_move (answer, strlen (answer), &read));
-  ck_assert_str_eq (read.handle, "h-1");
-  ck_assert_uint_eq (read.events, 32);
-  ck_assert (!dialect->read_move ("", 0, &read));
-  ck_assert (!dialect->read_move ("{\"error\":\"full\"}", 16, &read));
-  dialect->write_copy ("10.0.0.1:80", "h-1", copy, sizeof copy);
-  ck_assert_str_eq (copy, "10.0.0.1:80/h-1");
+  ck_assert (dialect->read_move (answer, strlen (answer), &move));
+  ck_assert_str_eq (move.handle, "h-1");
+  ck_assert_uint_eq (move.events, 32);
+  ck_assert (!dialect->read_move ("", 0, &move));
+  ck_assert (!dialect->read_move ("{\"error\":\"full\"}", 16, &move));
+  dialect->write_copy ("10.0.0.1:80", "h-1", copy_source, sizeof copy_source);
+  ck_assert_str_eq (copy_source, "10.0.0.1:80/h-1");
   for (i = 0; i < CSP_NAME_COUNT; i++)
     ck_assert_ptr_nonnull (dialect->names[i]);
   csp_clear_buffer (&request);
@@ -210,12 +211,13 @@
   "\"peers\":\"127.0.0.1:4\",\"seeds\":[\"127.0.0.1:5\"],"                    \
   "\"store\":\"127.0.0.1:6\",\"retry_share\":0.2," extra "}"
 
-/* Settings, and the key that a fault names.  */
+/* Settings, and the key that the first fault names; NULL where the settings
+   are valid.  */
 static const struct
 {
   const char *text;
   const char *fault;
-} settings_rows[] = {
+} settings_cases[] = {
   { SETTINGS ("\"127.0.0.1:1\"", "\"stop_limit_s\":8,\"retry_extra\":58"),
     NULL },
   { SETTINGS ("\"127.0.0.1:1\"",
@@ -230,43 +232,44 @@
   { "{", "" },
 };
 
-START_TEST (settings_are_read_or_their_faults_told)
+START_TEST (settings_are_read_or_their_faults_reported)
 {
   char path[] = "/tmp/adapter-settings-XXXXXX";
   int file = mkstemp (path);
   csp_faults_t *faults = csp_create_faults ();
   csp_adapter_settings_t settings;
-  const char *text = settings_rows[_i].text;
-  bool good;
+  const char *text = settings_cases[_i].text;
+  bool valid;
 
   ck_assert_int_ge (file, 0);
   ck_assert_int_eq (write (file, text, strlen (text)), (int)strlen (text));
   close (file);
-  good = csp_read_adapter_settings (path, &settings, faults);
-  ck_assert (good == (settings_rows[_i].fault == NULL));
-  if (good)
+  valid = csp_read_adapter_settings (path, &settings, faults);
+  ck_assert (valid == (settings_cases[_i].fault == NULL));
+  if (valid)
     {
       ck_assert_str_eq (settings.gateway.host, "n");
       ck_assert_uint_eq (settings.gateway.stop_limit_ms, 8000);
       ck_assert_uint_eq (settings.gateway.seed_count, 1);
-      ck_assert_uint_eq (ntohs (settings.store.sin_port), 6);
+      ck_assert_uint_eq (ntohs (settings.store_address.sin_port), 6);
     }
   else
     ck_assert_str_eq (csp_get_fault (faults, 0)->path,
-                      settings_rows[_i].fault);
+                      settings_cases[_i].fault);
   csp_destroy_faults (faults);
   unlink (path);
 }
 END_TEST
 
-/* The program itself, as who runs it sees it.  */
+/* Command lines of the program, with their exit code and a part of their
+   output.  */
 static const struct
 {
   const char *arguments;
-  const char *settings; /* NULL: no variable names a file */
+  const char *settings; /* NULL: COWSLIPSPOKE_CONFIG is not set */
   int exit_code;
-  const char *printed;
-} commands[] = {
+  const char *output;
+} command_cases[] = {
   { "--help", NULL, 0, "Usage: cowslip-gateway" },
   { "--version", NULL, 0, "cowslip-gateway " },
   { "--check-settings", NULL, 2, "COWSLIPSPOKE_CONFIG" },
@@ -275,19 +278,19 @@
     SETTINGS ("\"127.0.0.1:1\"", "\"stop_limit_s\":8,\"retry_extra\":58"), 0,
     "" },
   { "", SETTINGS ("\"here\"", "\"stop_limit_s\":8,\"retry_extra\":58"), 2,
-    "\"here\" is no ADDRESS:PORT" },
+    "\"here\" is not of the form ADDRESS:PORT" },
   { "--other", NULL, 2, "no such option" },
   { "more", NULL, 2, "more" },
 };
 
-START_TEST (the_command_line_tells_what_is_wrong)
+START_TEST (command_line_faults_are_reported)
 {
   const char *build = getenv ("BUILD");
   char path[] = "/tmp/adapter-settings-XXXXXX";
-  const char *settings = commands[_i].settings;
+  const char *settings = command_cases[_i].settings;
   char command[400];
-  char printed[2000];
-  size_t printed_bytes;
+  char output[2000];
+  size_t output_bytes;
   FILE *program;
   int status;
 
@@ -304,17 +307,18 @@
             "env -u COWSLIPSPOKE_CONFIG %s%s %s/cowslip-gateway %s 2>&1",
             settings == NULL ? "" : "COWSLIPSPOKE_CONFIG=",
             settings == NULL ? "" : path,
-            build == NULL ? "build/plain" : build, commands[_i].arguments);
+            build == NULL ? "build/plain" : build,
+            command_cases[_i].arguments);
   program = popen (command, "r");
   ck_assert_ptr_nonnull (program);
-  printed_bytes = fread (printed, 1, sizeof printed - 1, program);
-  printed[printed_bytes] = '\0';
+  output_bytes = fread (output, 1, sizeof output - 1, program);
+  output[output_bytes] = '\0';
   status = pclose (program);
   ck_assert_msg (WIFEXITED (status)
-                     && WEXITSTATUS (status) == commands[_i].exit_code,
-                 "%s: %s", commands[_i].arguments, printed);
-  ck_assert_msg (strstr (printed, commands[_i].printed) != NULL, "%s: %s",
-                 commands[_i].arguments, printed);
+                     && WEXITSTATUS (status) == command_cases[_i].exit_code,
+                 "%s: %s", command_cases[_i].arguments, output);
+  ck_assert_msg (strstr (output, command_cases[_i].output) != NULL, "%s: %s",
+                 command_cases[_i].arguments, output);
   if (settings != NULL)
     unlink (path);
 }
@@ -326,17 +330,17 @@
   Suite *suite = suite_create ("adapter");
   TCase *tcase = tcase_create ("adapter");
 
-  tcase_add_test (tcase, a_configuration_is_decoded_once);
-  tcase_add_test (tcase, a_split_route_has_its_weights);
-  tcase_add_loop_test (tcase, a_configuration_that_cannot_be_used_is_refused,
-                       0, sizeof bad_configs / sizeof bad_configs[0]);
-  tcase_add_loop_test (tcase, a_server_is_decoded_or_passed_over, 0,
-                       sizeof servers / sizeof servers[0]);
-  tcase_add_test (tcase, a_run_is_copied_in_the_platforms_words);
-  tcase_add_loop_test (tcase, settings_are_read_or_their_faults_told, 0,
-                       sizeof settings_rows / sizeof settings_rows[0]);
-  tcase_add_loop_test (tcase, the_command_line_tells_what_is_wrong, 0,
-                       sizeof commands / sizeof commands[0]);
+  tcase_add_test (tcase, configuration_is_decoded);
+  tcase_add_test (tcase, split_route_is_decoded_with_its_weights);
+  tcase_add_loop_test (tcase, invalid_configuration_is_refused, 0,
+                       sizeof invalid_configs / sizeof invalid_configs[0]);
+  tcase_add_loop_test (tcase, server_entry_is_decoded_or_rejected, 0,
+                       sizeof server_cases / sizeof server_cases[0]);
+  tcase_add_test (tcase, move_requests_use_the_platforms_format);
+  tcase_add_loop_test (tcase, settings_are_read_or_their_faults_reported, 0,
+                       sizeof settings_cases / sizeof settings_cases[0]);
+  tcase_add_loop_test (tcase, command_line_faults_are_reported, 0,
+                       sizeof command_cases / sizeof command_cases[0]);
   suite_add_tcase (suite, tcase);
   return run_suite (suite);
 }
--- a/tests/adapter/fuzz-test.c
+++ b/tests/adapter/fuzz-test.c
@@ -8,16 +8,16 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* All that is read from the platform, from targets and from other hosts, with
-   bytes changed, cut out and put in by seeded lots.  FUZZ_ROUNDS makes it
-   longer; FUZZ_SEED begins elsewhere.  */
+/* Feeds the parsers of texts from the platform, from targets and from other
+   hosts with input in which random bytes are changed, removed and inserted.
+   FUZZ_ROUNDS sets the number of rounds, FUZZ_SEED the seed.  */
 
 enum
 {
-  ROUNDS = 3000,
+  DEFAULT_ROUNDS = 3000,
   CHANGES_MAX = 6,
-  ROOM_BYTES = 4096,
-  FIRST_SEED = 1
+  BUFFER_BYTES = 4096,
+  DEFAULT_SEED = 1
 };
 
 static const char entry[]
@@ -41,14 +41,14 @@
       "\"born\":1784969129013,\"runs\":[[\"a\",1,2,3]]}";
 static const char move[] = "{\"handle\":\"h-1\",\"created\":32}";
 
-static csp_random_t lots;
+static csp_random_t random_state;
 
 static uint32_t
-rounds (void)
+get_rounds (void)
 {
   const char *text = getenv ("FUZZ_ROUNDS");
 
-  return text == NULL ? ROUNDS : (uint32_t)strtoul (text, NULL, 10);
+  return text == NULL ? DEFAULT_ROUNDS : (uint32_t)strtoul (text, NULL, 10);
 }
 
 static void
@@ -56,28 +56,29 @@
 {
   const char *text = getenv ("FUZZ_SEED");
 
-  csp_seed_random (&lots,
-                   text == NULL ? FIRST_SEED : strtoull (text, NULL, 10));
+  csp_seed_random (&random_state,
+                   text == NULL ? DEFAULT_SEED : strtoull (text, NULL, 10));
 }
 
-/* Change some bytes, in place; the new size.  */
+/* Change some bytes in place; returns the new size.  */
 static size_t
-spoil (char *bytes, size_t size_bytes)
+mutate (char *bytes, size_t size_bytes)
 {
-  static const char telling[] = "{}[]\",:0-9.eE\\u\xff\x80\x01nt";
-  uint32_t changes = 1 + csp_random_below (&lots, CHANGES_MAX);
+  static const char json_bytes[] = "{}[]\",:0-9.eE\\u\xff\x80\x01nt";
+  uint32_t changes = 1 + csp_random_below (&random_state, CHANGES_MAX);
 
-  while (changes-- > 0 && size_bytes > 1 && size_bytes < ROOM_BYTES - 1)
+  while (changes-- > 0 && size_bytes > 1 && size_bytes < BUFFER_BYTES - 1)
     {
-      size_t at = csp_random_below (&lots, (uint32_t)size_bytes);
+      size_t at = csp_random_below (&random_state, (uint32_t)size_bytes);
 
-      switch (csp_random_below (&lots, 4))
+      switch (csp_random_below (&random_state, 4))
         {
         case 0:
-          bytes[at] = (char)csp_random_below (&lots, 256);
+          bytes[at] = (char)csp_random_below (&random_state, 256);
           break;
         case 1:
-          bytes[at] = telling[csp_random_below (&lots, sizeof telling - 1)];
+          bytes[at] = json_bytes[csp_random_below (&random_state,
+                                                   sizeof json_bytes - 1)];
           break;
         case 2:
           memmove (bytes + at, bytes + at + 1, size_bytes - at - 1);
@@ -89,58 +90,59 @@
           break;
         }
     }
-  if (csp_random_below (&lots, 8) == 0)
-    size_bytes = csp_random_below (&lots, (uint32_t)size_bytes + 1);
+  if (csp_random_below (&random_state, 8) == 0)
+    size_bytes = csp_random_below (&random_state, (uint32_t)size_bytes + 1);
   return size_bytes;
 }
 
-/* A spoilt text, which ends at its first zero byte as others do.  */
+/* Copy a text to buffer and mutate it; the result ends at its first zero
+   byte.  */
 static const char *
-spoil_text (const char *text, char room[ROOM_BYTES])
+mutate_text (const char *text, char buffer[BUFFER_BYTES])
 {
   size_t size_bytes = strlen (text);
 
-  memcpy (room, text, size_bytes);
-  room[spoil (room, size_bytes)] = '\0';
-  return room;
+  memcpy (buffer, text, size_bytes);
+  buffer[mutate (buffer, size_bytes)] = '\0';
+  return buffer;
 }
 
-/* An entry is taken whole, with fields in their bounds, or not at all.  */
-START_TEST (spoilt_entries_are_taken_whole_or_not)
+/* A mutated entry is rejected, or it is accepted with all fields valid.  */
+START_TEST (mutated_entries_are_valid_or_rejected)
 {
-  char room[ROOM_BYTES];
-  uint32_t taken = 0;
+  char buffer[BUFFER_BYTES];
+  uint32_t accepted = 0;
   uint32_t i;
 
-  for (i = 0; i < rounds (); i++)
+  for (i = 0; i < get_rounds (); i++)
     {
       csp_fleet_row_t row;
 
-      if (!csp_decode_server ("i-1", spoil_text (entry, room), &row))
+      if (!csp_decode_server ("i-1", mutate_text (entry, buffer), &row))
         continue;
-      taken++;
+      accepted++;
       ck_assert_str_eq (row.id, "i-1");
       ck_assert_ptr_nonnull (memchr (row.service, 0, sizeof row.service));
       ck_assert_int_ge (row.born_ms, 0);
       ck_assert_uint_ne (row.address.sin_port, 0);
     }
-  ck_assert_uint_gt (taken, 0);
-  ck_assert_uint_lt (taken, rounds ());
+  ck_assert_uint_gt (accepted, 0);
+  ck_assert_uint_lt (accepted, get_rounds ());
 }
 END_TEST
 
-START_TEST (spoilt_configurations_are_taken_whole_or_not)
+START_TEST (mutated_configurations_are_valid_or_rejected)
 {
-  char room[ROOM_BYTES];
+  char buffer[BUFFER_BYTES];
   uint32_t i;
 
-  for (i = 0; i < rounds (); i++)
+  for (i = 0; i < get_rounds (); i++)
     {
-      const char *why = NULL;
+      const char *fault = NULL;
       csp_routes_t *routes
-          = csp_decode_configuration (spoil_text (config, room), &why);
+          = csp_decode_configuration (mutate_text (config, buffer), &fault);
 
-      ck_assert ((routes == NULL) == (why != NULL));
+      ck_assert ((routes == NULL) == (fault != NULL));
       if (routes == NULL)
         continue;
       ck_assert_uint_gt (csp_routes_version (routes), 0);
@@ -149,20 +151,20 @@
 }
 END_TEST
 
-START_TEST (spoilt_answers_of_targets_are_read)
+START_TEST (mutated_target_responses_are_parsed_safely)
 {
   const csp_dialect_t *dialect = csp_platform_dialect ();
-  char room[ROOM_BYTES];
+  char buffer[BUFFER_BYTES];
   uint32_t i;
 
-  for (i = 0; i < rounds (); i++)
+  for (i = 0; i < get_rounds (); i++)
     {
-      csp_target_report_t told = { .leaving = false };
+      csp_target_report_t target_report = { .leaving = false };
       csp_move_answer_t answer = { .handle = "" };
-      const char *text = spoil_text (report, room);
+      const char *text = mutate_text (report, buffer);
 
-      dialect->read_report (text, strlen (text), &told);
-      text = spoil_text (move, room);
+      dialect->read_report (text, strlen (text), &target_report);
+      text = mutate_text (move, buffer);
       dialect->read_move (text, strlen (text), &answer);
       ck_assert_ptr_nonnull (memchr (answer.handle, 0, sizeof answer.handle));
     }
@@ -186,23 +188,24 @@
   hello->asks[0] = (csp_hello_ask_t){ .id = 4, .tokens = 900 };
 }
 
-/* Datagrams come from anybody: cut, of another version, or foreign.  */
-START_TEST (spoilt_datagrams_stay_in_their_bounds)
+/* Datagrams may come from any sender: truncated, of another version or of
+   another program.  */
+START_TEST (mutated_datagrams_are_decoded_within_bounds)
 {
   csp_buffer_t bytes = { 0 };
-  char room[ROOM_BYTES];
+  char buffer[BUFFER_BYTES];
   csp_hello_t hello;
   uint32_t i;
 
   fill_hello (&hello);
   ck_assert (csp_encode_hello (&hello, &bytes));
-  for (i = 0; i < rounds (); i++)
+  for (i = 0; i < get_rounds (); i++)
     {
       size_t size_bytes = bytes.size_bytes;
 
-      memcpy (room, bytes.data, size_bytes);
-      size_bytes = spoil (room, size_bytes);
-      if (!csp_decode_hello (room, size_bytes, &hello))
+      memcpy (buffer, bytes.data, size_bytes);
+      size_bytes = mutate (buffer, size_bytes);
+      if (!csp_decode_hello (buffer, size_bytes, &hello))
         continue;
       ck_assert_uint_le (hello.load_count, CSP_HELLO_LOADS_MAX);
       ck_assert_uint_le (hello.known_count, CSP_HELLO_KNOWN_MAX);
@@ -225,10 +228,10 @@
 
   tcase_set_timeout (tcase, 600);
   tcase_add_checked_fixture (tcase, set_up, NULL);
-  tcase_add_test (tcase, spoilt_entries_are_taken_whole_or_not);
-  tcase_add_test (tcase, spoilt_configurations_are_taken_whole_or_not);
-  tcase_add_test (tcase, spoilt_answers_of_targets_are_read);
-  tcase_add_test (tcase, spoilt_datagrams_stay_in_their_bounds);
+  tcase_add_test (tcase, mutated_entries_are_valid_or_rejected);
+  tcase_add_test (tcase, mutated_configurations_are_valid_or_rejected);
+  tcase_add_test (tcase, mutated_target_responses_are_parsed_safely);
+  tcase_add_test (tcase, mutated_datagrams_are_decoded_within_bounds);
   suite_add_tcase (suite, tcase);
   return run_suite (suite);
 }
--- a/tests/adapter/store-test.c
+++ b/tests/adapter/store-test.c
@@ -10,8 +10,8 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* The store's client against a store that the test plays call by call, and a
-   gateway that shows what came of it.  */
+/* Runs the store's client against a store that the test scripts request by
+   request, and checks the resulting state of a gateway.  */
 
 static fixture_t fixture;
 static csp_adapter_settings_t settings;
@@ -19,7 +19,7 @@
 static uv_loop_t loop;
 static uv_async_t stop;
 static pthread_t thread;
-static int store;
+static int store_socket;
 
 static void
 close_handle (uv_handle_t *handle, void *state)
@@ -52,14 +52,15 @@
   socklen_t size_bytes = sizeof address;
 
   fixture_open (&fixture);
-  store = socket (AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
+  store_socket = socket (AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   address.sin_addr.s_addr = htonl (INADDR_LOOPBACK);
-  ck_assert_int_eq (bind (store, (struct sockaddr *)&address, sizeof address),
-                    0);
-  ck_assert_int_eq (listen (store, 16), 0);
-  setsockopt (store, SOL_SOCKET, SO_RCVTIMEO, &wait, sizeof wait);
+  ck_assert_int_eq (
+      bind (store_socket, (struct sockaddr *)&address, sizeof address), 0);
+  ck_assert_int_eq (listen (store_socket, 16), 0);
+  setsockopt (store_socket, SOL_SOCKET, SO_RCVTIMEO, &wait, sizeof wait);
   memset (&settings, 0, sizeof settings);
-  getsockname (store, (struct sockaddr *)&settings.store, &size_bytes);
+  getsockname (store_socket, (struct sockaddr *)&settings.store_address,
+               &size_bytes);
   snprintf (settings.store_host, sizeof settings.store_host, "store:1");
   uv_loop_init (&loop);
   uv_async_init (&loop, &stop, on_stop);
@@ -74,48 +75,48 @@
   uv_async_send (&stop);
   pthread_join (thread, NULL);
   uv_loop_close (&loop);
-  close (store);
+  close (store_socket);
   fixture_close (&fixture);
 }
 
-/* Read one call and check how its target begins.  */
+/* Read one request and check that its request target begins with target.  */
 static void
-await_call (int link, const char *target)
+expect_request (int connection, const char *target)
 {
-  char awaited[200];
-  const char *text = target_read (link, 0);
+  char expected[200];
+  const char *text = target_read (connection, 0);
 
-  snprintf (awaited, sizeof awaited, "GET %s", target);
-  ck_assert_msg (strncmp (text, awaited, strlen (awaited)) == 0,
+  snprintf (expected, sizeof expected, "GET %s", target);
+  ck_assert_msg (strncmp (text, expected, strlen (expected)) == 0,
                  "awaited %s, got %.200s", target, text);
 }
 
 static void
-answer (int link, int status, const char *body)
+send_response (int connection, int status, const char *body)
 {
   char head[200];
 
   snprintf (head, sizeof head, "HTTP/1.1 %d X\r\nContent-Length: %zu\r\n\r\n",
             status, strlen (body));
-  send_text (link, head);
-  send_text (link, body);
+  send_text (connection, head);
+  send_text (connection, body);
 }
 
-/* An item as the store writes it.  */
+/* Format an item as the store sends it.  */
 static const char *
-item (const char *key, int revision, const char *json)
+format_item (const char *key, int revision, const char *json)
 {
-  static char rooms[4][2048];
+  static char buffers[4][2048];
   static int next;
-  char *room = rooms[next++ % 4];
+  char *buffer = buffers[next++ % 4];
   unsigned char base64[1536];
 
   EVP_EncodeBlock (base64, (const unsigned char *)json, (int)strlen (json));
-  snprintf (room, sizeof rooms[0],
+  snprintf (buffer, sizeof buffers[0],
             "{\"key\":\"%s\",\"value\":\"%s\",\"revision\":%d,\"created\":1,"
             "\"lease\":0}",
             key, base64, revision);
-  return room;
+  return buffer;
 }
 
 #define CONFIG(version)                                                       \
@@ -127,146 +128,148 @@
   "\"slots\":4,\"state\":\"" state "\"}"
 
 static void
-await_page (const char *path, const char *awaited)
+wait_for_page (const char *path, const char *expected)
 {
-  while (strstr (fixture_page (&fixture, path), awaited) == NULL)
+  while (strstr (fixture_page (&fixture, path), expected) == NULL)
     continue;
 }
 
-/* Answer the watch that asks whether a stale list is current: nothing has
-   changed.  */
+/* Answer the watch that checks whether a possibly stale listing is current:
+   nothing has changed.  */
 static void
-confirm (int link)
+confirm_listing (int connection)
 {
-  await_call (link, "/kv-watch?path_prefix=&after=40&wait_ms=1 ");
-  answer (link, 200, "{\"events\":[],\"as_of\":40}");
+  expect_request (connection, "/kv-watch?path_prefix=&after=40&wait_ms=1 ");
+  send_response (connection, 200, "{\"events\":[],\"as_of\":40}");
 }
 
-/* Answer the first listing by one page of a configuration and a server; the
-   store's connection is returned.  */
+/* Answer the first listing with one page that holds a configuration and a
+   server.  Returns the connection to the store.  */
 static int
-list_unconfirmed (void)
+answer_listing (void)
 {
   char body[8192];
-  int link = target_accept (store);
+  int connection = target_accept (store_socket);
 
-  await_call (link, "/kv-range?path_prefix=&stale_ok=1 HTTP/1.1\r\n"
-                    "Host: store:1\r\n");
+  expect_request (connection, "/kv-range?path_prefix=&stale_ok=1 HTTP/1.1\r\n"
+                              "Host: store:1\r\n");
   snprintf (body, sizeof body,
             "{\"items\":[%s,%s,%s],\"has_more\":false,\"as_of\":40}",
-            item ("op/config", 30, CONFIG ("7")),
-            item ("other/thing", 31, "x"),
-            item ("servers/i-1", 32, SERVER ("ready")));
-  answer (link, 200, body);
-  return link;
+            format_item ("op/config", 30, CONFIG ("7")),
+            format_item ("other/thing", 31, "x"),
+            format_item ("servers/i-1", 32, SERVER ("ready")));
+  send_response (connection, 200, body);
+  return connection;
 }
 
 static int
-list_all (void)
+answer_and_confirm_listing (void)
 {
-  int link = list_unconfirmed ();
+  int connection = answer_listing ();
 
-  confirm (link);
-  return link;
+  confirm_listing (connection);
+  return connection;
 }
 
-/* All hosts start at once and each lists the store, by lists that may be some
-   seconds old.  A host that took callers by such a one would refuse a key that
-   was added a moment ago; so it asks first what has changed since.  */
-START_TEST (a_host_is_ready_when_it_has_read_the_store)
+/* When all hosts start at once, each reads a listing that may be some seconds
+   old.  A host that served callers by it would refuse a recently added key, so
+   the host first reads the changes since that listing.  */
+START_TEST (host_is_ready_once_its_listing_is_confirmed)
 {
-  int link;
+  int connection;
 
   ck_assert_ptr_nonnull (strstr (fixture_page (&fixture, "/readyz"), " 503 "));
-  link = list_unconfirmed ();
-  await_page ("/metrics", "gateway_targets 1\n");
+  connection = answer_listing ();
+  wait_for_page ("/metrics", "gateway_targets 1\n");
   ck_assert_ptr_nonnull (strstr (fixture_page (&fixture, "/readyz"), " 503 "));
-  confirm (link);
-  await_page ("/readyz", " 200 ");
-  await_page ("/metrics", "gateway_routes_version 7\n");
-  await_page ("/metrics", "gateway_targets 1\n");
-  await_call (link, "/kv-watch?path_prefix=&after=40&wait_ms=");
-  close (link);
+  confirm_listing (connection);
+  wait_for_page ("/readyz", " 200 ");
+  wait_for_page ("/metrics", "gateway_routes_version 7\n");
+  wait_for_page ("/metrics", "gateway_targets 1\n");
+  expect_request (connection, "/kv-watch?path_prefix=&after=40&wait_ms=");
+  close (connection);
 }
 END_TEST
 
-START_TEST (pages_follow_one_another)
+START_TEST (listing_of_two_pages_is_read)
 {
   char body[8192];
-  int link = target_accept (store);
+  int connection = target_accept (store_socket);
 
-  await_call (link, "/kv-range?path_prefix=&stale_ok=1 ");
+  expect_request (connection, "/kv-range?path_prefix=&stale_ok=1 ");
   snprintf (body, sizeof body,
             "{\"items\":[%s],\"has_more\":true,\"as_of\":42}",
-            item ("op/config", 30, CONFIG ("7")));
-  answer (link, 200, body);
-  await_call (link, "/kv-range?path_prefix=&after=op/config&stale_ok=1 ");
+            format_item ("op/config", 30, CONFIG ("7")));
+  send_response (connection, 200, body);
+  expect_request (connection,
+                  "/kv-range?path_prefix=&after=op/config&stale_ok=1 ");
   ck_assert_ptr_nonnull (strstr (fixture_page (&fixture, "/readyz"), " 503 "));
   snprintf (body, sizeof body,
             "{\"items\":[%s],\"has_more\":false,\"as_of\":40}",
-            item ("servers/i-1", 39, SERVER ("ready")));
-  answer (link, 200, body);
-  /* From the oldest page's revision: what changed since is seen once more.  */
-  confirm (link);
-  await_page ("/readyz", " 200 ");
-  await_call (link, "/kv-watch?path_prefix=&after=40&wait_ms=600 ");
-  close (link);
+            format_item ("servers/i-1", 39, SERVER ("ready")));
+  send_response (connection, 200, body);
+  /* The watch starts at the older page's revision, so that no change between
+     the pages is missed.  */
+  confirm_listing (connection);
+  wait_for_page ("/readyz", " 200 ");
+  expect_request (connection, "/kv-watch?path_prefix=&after=40&wait_ms=600 ");
+  close (connection);
 }
 END_TEST
 
-START_TEST (changes_are_taken_and_an_older_version_is_not)
+START_TEST (newer_configuration_is_applied_and_older_is_ignored)
 {
   char body[8192];
-  int link = list_all ();
+  int connection = answer_and_confirm_listing ();
 
-  await_call (link, "/kv-watch?path_prefix=&after=40&");
+  expect_request (connection, "/kv-watch?path_prefix=&after=40&");
   snprintf (body, sizeof body, "{\"events\":[%s,%s],\"as_of\":43}",
-            item ("op/config", 42, CONFIG ("9")),
-            item ("servers/i-2", 43, SERVER ("ready")));
-  answer (link, 200, body);
-  await_page ("/metrics", "gateway_routes_version 9\n");
-  await_page ("/metrics", "gateway_targets 2\n");
-  await_call (link, "/kv-watch?path_prefix=&after=43&");
+            format_item ("op/config", 42, CONFIG ("9")),
+            format_item ("servers/i-2", 43, SERVER ("ready")));
+  send_response (connection, 200, body);
+  wait_for_page ("/metrics", "gateway_routes_version 9\n");
+  wait_for_page ("/metrics", "gateway_targets 2\n");
+  expect_request (connection, "/kv-watch?path_prefix=&after=43&");
   snprintf (body, sizeof body,
             "{\"events\":[%s,{\"key\":\"servers/i-2\",\"revision\":45,"
             "\"deleted\":true}],\"as_of\":45}",
-            item ("op/config", 44, CONFIG ("8")));
-  answer (link, 200, body);
-  await_page ("/metrics", "gateway_targets 1\n");
+            format_item ("op/config", 44, CONFIG ("8")));
+  send_response (connection, 200, body);
+  wait_for_page ("/metrics", "gateway_targets 1\n");
   ck_assert_ptr_nonnull (strstr (fixture_page (&fixture, "/metrics"),
                                  "gateway_routes_version 9\n"));
-  close (link);
+  close (connection);
 }
 END_TEST
 
-/* The store has forgotten its history while a server left.  The list is read
-   anew, and what it lacks is gone.  */
-START_TEST (history_that_is_gone_makes_a_new_list)
+/* The store has compacted its history after a server was deleted.  The list is
+   read again, and servers that it lacks are removed.  */
+START_TEST (compacted_history_leads_to_a_new_listing)
 {
   char body[8192];
-  int link = list_all ();
+  int connection = answer_and_confirm_listing ();
 
-  await_call (link, "/kv-watch?");
-  answer (link, 410, "{\"error\":\"compacted\"}");
-  close (link);
-  link = target_accept (store);
-  await_call (link, "/kv-range?path_prefix= ");
+  expect_request (connection, "/kv-watch?");
+  send_response (connection, 410, "{\"error\":\"compacted\"}");
+  close (connection);
+  connection = target_accept (store_socket);
+  expect_request (connection, "/kv-range?path_prefix= ");
   snprintf (body, sizeof body,
             "{\"items\":[%s],\"has_more\":false,\"as_of\":90}",
-            item ("op/config", 30, CONFIG ("7")));
-  answer (link, 200, body);
-  await_page ("/metrics", "gateway_targets 0\n");
-  close (link);
+            format_item ("op/config", 30, CONFIG ("7")));
+  send_response (connection, 200, body);
+  wait_for_page ("/metrics", "gateway_targets 0\n");
+  close (connection);
 }
 END_TEST
 
-/* What the store may answer in place of changes; the client goes on from where
-   it was, and nothing in force changes.  */
+/* Responses without usable changes.  The client repeats the watch from the
+   same revision and keeps the state in force.  */
 static const struct
 {
   int status; /* 0: the connection is closed */
   const char *body;
-} troubles[] = {
+} failed_responses[] = {
   { 503, "" },
   { 429, "" },
   { 200, "no json" },
@@ -275,152 +278,152 @@
   { 0, "" },
 };
 
-START_TEST (a_call_that_failed_is_made_again)
+START_TEST (failed_watch_is_repeated)
 {
-  int link = list_all ();
-
-  await_call (link, "/kv-watch?path_prefix=&after=40&");
-  if (troubles[_i].status != 0)
-    answer (link, troubles[_i].status, troubles[_i].body);
-  close (link);
-  link = target_accept (store);
-  await_call (link, "/kv-watch?path_prefix=&after=40&");
-  await_page ("/metrics", "gateway_targets 1\n");
-  close (link);
+  int connection = answer_and_confirm_listing ();
+
+  expect_request (connection, "/kv-watch?path_prefix=&after=40&");
+  if (failed_responses[_i].status != 0)
+    send_response (connection, failed_responses[_i].status,
+                   failed_responses[_i].body);
+  close (connection);
+  connection = target_accept (store_socket);
+  expect_request (connection, "/kv-watch?path_prefix=&after=40&");
+  wait_for_page ("/metrics", "gateway_targets 1\n");
+  close (connection);
 }
 END_TEST
 
-/* A configuration or a server that can't be used, between good ones.  */
-START_TEST (bad_items_are_passed_over)
+/* Invalid configurations and servers between valid ones.  */
+START_TEST (invalid_items_are_skipped)
 {
   char body[8192];
-  int link = list_all ();
+  int connection = answer_and_confirm_listing ();
 
-  await_call (link, "/kv-watch?");
+  expect_request (connection, "/kv-watch?");
   snprintf (body, sizeof body,
             "{\"events\":[%s,{\"key\":\"op/config\",\"value\":\"***\","
             "\"revision\":42},%s,%s],\"as_of\":44}",
-            item ("op/config", 41, "{\"version\":9,\"routes\":[{}]}"),
-            item ("servers/i-2", 43, "{}"),
-            item ("servers/i-3", 44, SERVER ("ready")));
-  answer (link, 200, body);
-  await_page ("/metrics", "gateway_targets 2\n");
+            format_item ("op/config", 41, "{\"version\":9,\"routes\":[{}]}"),
+            format_item ("servers/i-2", 43, "{}"),
+            format_item ("servers/i-3", 44, SERVER ("ready")));
+  send_response (connection, 200, body);
+  wait_for_page ("/metrics", "gateway_targets 2\n");
   ck_assert_ptr_nonnull (strstr (fixture_page (&fixture, "/metrics"),
                                  "gateway_routes_version 7\n"));
-  close (link);
+  close (connection);
 }
 END_TEST
 
-/* What another writer may leave in the place of a server's entry.  */
-static const char *const spoilt_values[] = {
+/* Invalid values that a foreign writer may put at a server's key.  */
+static const char *const invalid_values[] = {
   "\"***\"",      "null",          "7",        "\"e30=\"", "\"\"",
   "\"/////w==\"", "{\"value\":1}", "\"AAAA\"", "[]",
 };
 
-/* A server's entry was good and is overwritten by another writer.  It names no
-   server to use now; requests that go there all the same meet whatever has its
-   address.  The server's own next entry brings it back; the others hold all
-   the while.  */
-START_TEST (an_entry_that_turns_bad_names_no_server)
+/* A server's valid entry is overwritten by a foreign writer.  If the server
+   stays in use, requests may reach whatever has its address now.  The server's
+   own next entry adds it again; other servers are unaffected.  */
+START_TEST (invalid_entry_removes_its_server)
 {
   char body[8192];
-  int link = list_all ();
+  int connection = answer_and_confirm_listing ();
 
-  await_call (link, "/kv-watch?");
+  expect_request (connection, "/kv-watch?");
   snprintf (body, sizeof body,
             "{\"events\":[%s,{\"key\":\"servers/i-1\",\"value\":%s,"
             "\"revision\":42},7,{\"key\":9}],\"as_of\":44}",
-            item ("servers/i-2", 41, SERVER ("ready")), spoilt_values[_i]);
-  answer (link, 200, body);
-  await_call (link, "/kv-watch?path_prefix=&after=44&");
-  await_page ("/metrics", "gateway_targets 1\n");
+            format_item ("servers/i-2", 41, SERVER ("ready")),
+            invalid_values[_i]);
+  send_response (connection, 200, body);
+  expect_request (connection, "/kv-watch?path_prefix=&after=44&");
+  wait_for_page ("/metrics", "gateway_targets 1\n");
   snprintf (body, sizeof body, "{\"events\":[%s],\"as_of\":45}",
-            item ("servers/i-1", 45, SERVER ("ready")));
-  answer (link, 200, body);
-  await_page ("/metrics", "gateway_targets 2\n");
-  close (link);
+            format_item ("servers/i-1", 45, SERVER ("ready")));
+  send_response (connection, 200, body);
+  wait_for_page ("/metrics", "gateway_targets 2\n");
+  close (connection);
 }
 END_TEST
 
-/* What an operator, or anybody else, may leave as the value of an evacuation.
-   The key alone says it.  */
+/* Values of an evacuation's key; only the key's existence counts.  */
 static const char *const evacuation_values[] = {
   "\"e30=\"", "\"\"", "\"***\"", "null", "7", "\"/////w==\"",
 };
 
 #define CORDONED "gateway_cordoned{data_centre=\"z\"} 1\n"
 
-/* The operator evacuates a zone and takes it back.  A host that reads the
-   value, or misses the key's deletion while the store forgets its history,
-   sends there what is lost, or leaves a quarter of the engines idle.  */
-START_TEST (a_zone_is_evacuated_and_taken_back)
+/* The operator evacuates a zone and restores it.  A host that required a valid
+   value would keep sending requests to the zone, where they are lost; a host
+   that missed the key's deletion would leave a quarter of the engines idle. */
+START_TEST (zone_is_evacuated_and_restored)
 {
   char body[8192];
-  int link = list_all ();
+  int connection = answer_and_confirm_listing ();
 
-  await_call (link, "/kv-watch?");
+  expect_request (connection, "/kv-watch?");
   snprintf (body, sizeof body,
             "{\"events\":[{\"key\":\"op/evacuate/z\",\"value\":%s,"
             "\"revision\":41}],\"as_of\":41}",
             evacuation_values[_i]);
-  answer (link, 200, body);
-  await_call (link, "/kv-watch?path_prefix=&after=41&");
-  await_page ("/metrics", CORDONED);
-  answer (link, 200,
-          "{\"events\":[{\"key\":\"op/evacuate/z\",\"revision\":42,"
-          "\"deleted\":true}],\"as_of\":42}");
-  await_call (link, "/kv-watch?path_prefix=&after=42&");
+  send_response (connection, 200, body);
+  expect_request (connection, "/kv-watch?path_prefix=&after=41&");
+  wait_for_page ("/metrics", CORDONED);
+  send_response (connection, 200,
+                 "{\"events\":[{\"key\":\"op/evacuate/z\",\"revision\":42,"
+                 "\"deleted\":true}],\"as_of\":42}");
+  expect_request (connection, "/kv-watch?path_prefix=&after=42&");
   while (strstr (fixture_page (&fixture, "/metrics"), CORDONED) != NULL)
     continue;
-  close (link);
+  close (connection);
 }
 END_TEST
 
-START_TEST (a_zone_that_was_taken_back_unseen_is_found)
+START_TEST (new_listing_ends_an_evacuation)
 {
   char body[8192];
-  int link = list_all ();
+  int connection = answer_and_confirm_listing ();
 
-  await_call (link, "/kv-watch?");
+  expect_request (connection, "/kv-watch?");
   snprintf (body, sizeof body, "{\"events\":[%s],\"as_of\":41}",
-            item ("op/evacuate/z", 41, "{}"));
-  answer (link, 200, body);
-  await_page ("/metrics", CORDONED);
-  await_call (link, "/kv-watch?");
-  answer (link, 410, "{\"error\":\"compacted\"}");
-  close (link);
-  link = target_accept (store);
-  await_call (link, "/kv-range?path_prefix= ");
+            format_item ("op/evacuate/z", 41, "{}"));
+  send_response (connection, 200, body);
+  wait_for_page ("/metrics", CORDONED);
+  expect_request (connection, "/kv-watch?");
+  send_response (connection, 410, "{\"error\":\"compacted\"}");
+  close (connection);
+  connection = target_accept (store_socket);
+  expect_request (connection, "/kv-range?path_prefix= ");
   snprintf (body, sizeof body,
             "{\"items\":[%s],\"has_more\":false,\"as_of\":90}",
-            item ("op/config", 30, CONFIG ("7")));
-  answer (link, 200, body);
+            format_item ("op/config", 30, CONFIG ("7")));
+  send_response (connection, 200, body);
   while (strstr (fixture_page (&fixture, "/metrics"), CORDONED) != NULL)
     continue;
-  close (link);
+  close (connection);
 }
 END_TEST
 
-/* Keys that name no zone, between good ones, change nothing.  */
-START_TEST (evacuations_without_a_name_are_passed_over)
+/* Evacuation keys with an empty or too long zone name are ignored.  */
+START_TEST (evacuations_with_invalid_names_are_skipped)
 {
   char body[8192];
-  int link = list_all ();
-
-  await_call (link, "/kv-watch?");
-  snprintf (
-      body, sizeof body, "{\"events\":[%s,%s,%s],\"as_of\":44}",
-      item ("op/evacuate/", 41, "{}"),
-      item ("op/evacuate/"
-            "aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa"
-            "aaaa",
-            42, "{}"),
-      item ("servers/i-2", 43, SERVER ("ready")));
-  answer (link, 200, body);
-  await_page ("/metrics", "gateway_targets 2\n");
+  int connection = answer_and_confirm_listing ();
+
+  expect_request (connection, "/kv-watch?");
+  snprintf (body, sizeof body, "{\"events\":[%s,%s,%s],\"as_of\":44}",
+            format_item ("op/evacuate/", 41, "{}"),
+            format_item (
+                "op/evacuate/"
+                "aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa"
+                "aaaa",
+                42, "{}"),
+            format_item ("servers/i-2", 43, SERVER ("ready")));
+  send_response (connection, 200, body);
+  wait_for_page ("/metrics", "gateway_targets 2\n");
   ck_assert_ptr_null (
       strstr (fixture_page (&fixture, "/metrics"), "gateway_cordoned{"));
-  close (link);
+  close (connection);
 }
 END_TEST
 
@@ -432,19 +435,19 @@
 
   tcase_set_timeout (tcase, 60);
   tcase_add_checked_fixture (tcase, set_up, tear_down);
-  tcase_add_test (tcase, a_host_is_ready_when_it_has_read_the_store);
-  tcase_add_test (tcase, pages_follow_one_another);
-  tcase_add_test (tcase, changes_are_taken_and_an_older_version_is_not);
-  tcase_add_test (tcase, history_that_is_gone_makes_a_new_list);
-  tcase_add_loop_test (tcase, a_call_that_failed_is_made_again, 0,
-                       sizeof troubles / sizeof troubles[0]);
-  tcase_add_test (tcase, bad_items_are_passed_over);
-  tcase_add_loop_test (tcase, an_entry_that_turns_bad_names_no_server, 0,
-                       sizeof spoilt_values / sizeof spoilt_values[0]);
-  tcase_add_loop_test (tcase, a_zone_is_evacuated_and_taken_back, 0,
+  tcase_add_test (tcase, host_is_ready_once_its_listing_is_confirmed);
+  tcase_add_test (tcase, listing_of_two_pages_is_read);
+  tcase_add_test (tcase, newer_configuration_is_applied_and_older_is_ignored);
+  tcase_add_test (tcase, compacted_history_leads_to_a_new_listing);
+  tcase_add_loop_test (tcase, failed_watch_is_repeated, 0,
+                       sizeof failed_responses / sizeof failed_responses[0]);
+  tcase_add_test (tcase, invalid_items_are_skipped);
+  tcase_add_loop_test (tcase, invalid_entry_removes_its_server, 0,
+                       sizeof invalid_values / sizeof invalid_values[0]);
+  tcase_add_loop_test (tcase, zone_is_evacuated_and_restored, 0,
                        sizeof evacuation_values / sizeof evacuation_values[0]);
-  tcase_add_test (tcase, a_zone_that_was_taken_back_unseen_is_found);
-  tcase_add_test (tcase, evacuations_without_a_name_are_passed_over);
+  tcase_add_test (tcase, new_listing_ends_an_evacuation);
+  tcase_add_test (tcase, evacuations_with_invalid_names_are_skipped);
   suite_add_tcase (suite, tcase);
   return run_suite (suite);
 }
