--- a/include/cowslipspoke/metrics.h
+++ b/include/cowslipspoke/metrics.h
@@ -6,13 +6,14 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* Counters and histograms of one host, rendered as Prometheus text.  All
-   functions may be called from any thread; counting takes no lock.
-   docs/METRICS.md has names, buckets and how to read them.  */
+/* Counters, gauges and histograms of one host, rendered as Prometheus text.
+   All functions may be called from any thread; counting takes no lock.
+   docs/METRICS.md describes names, buckets and how to read them.  */
 typedef struct csp_metrics csp_metrics_t;
 
-/* The counters of one organisation or one class.  It lives as long as the
-   metrics, so a stream looks it up once and keeps it.  */
+/* The counters and histograms of one organisation or one class.  A series
+   lives as long as the metrics, so a stream may look it up once and keep the
+   pointer.  */
 typedef struct csp_series csp_series_t;
 
 /* Histograms, each for every organisation and every class.  */
@@ -20,11 +21,11 @@
 {
   CSP_TIME_TO_FIRST_TOKEN, /* from the request's arrival */
   CSP_TIME_BETWEEN_TOKENS, /* as the caller gets them */
-  CSP_TIME_STALLED,        /* over a whole answer: what each gap had beyond
-                              CSP_STALL_BEYOND_US; 0 where nothing stalled */
-  CSP_TIME_WAITING,        /* in the queue, until sent or turned away */
+  CSP_TIME_STALLED,        /* of a whole answer: the sum over its gaps of the
+                              time beyond CSP_STALL_THRESHOLD_US */
+  CSP_TIME_WAITING,        /* in the queue, until sent or rejected */
   CSP_TIME_COUNT
-} csp_time_t;
+} csp_histogram_id_t;
 
 /* Counters, each for every organisation and every class.  */
 typedef enum
@@ -38,9 +39,9 @@
   CSP_COUNT_SPILLS,
   CSP_COUNT_CANCELS,
   CSP_COUNT_COUNT
-} csp_count_t;
+} csp_counter_t;
 
-/* Values of the whole host that rise and fall.  */
+/* Gauges of the whole host.  */
 typedef enum
 {
   CSP_GAUGE_READY,
@@ -56,15 +57,16 @@
 
 enum
 {
-  /* Organisations and classes with a series of their own; all others share
-     the one named "other".  */
+  /* The most organisations, and the most classes, that get their own series;
+     all others share the series named "other".  */
   CSP_SERIES_MAX = 100,
-  /* A gap is a stall from here on: about five times the 42 ms between tokens
-     that the users plan for, and far above a scheduler's jitter.  */
-  CSP_STALL_BEYOND_US = 200000
+  /* Longer gaps count as stalls: about five times the planned 42 ms between
+     tokens, and far above the jitter of a scheduler.  */
+  CSP_STALL_THRESHOLD_US = 200000
 };
 
-/* Where a request's counts go; shard is the copy that they are added to.  */
+/* The series that a request is counted in; shard is the index of the copy of
+   each counter that is incremented.  */
 typedef struct
 {
   csp_series_t *organisation;
@@ -72,45 +74,52 @@
   uint32_t shard;
 } csp_labels_t;
 
-/* At most series_max organisations and as many classes get their own.  */
+/* Create metrics in which at most series_max organisations and as many classes
+   get their own series.  */
 csp_metrics_t *csp_create_metrics (size_t series_max);
 void csp_destroy_metrics (csp_metrics_t *metrics);
 
-/* The series of an organisation and a class; NULL names are "none".  Series
-   are given to names in the order in which they first come, so a host that
-   looks up its heaviest organisations at the start is sure to show them.  */
+/* Get the series of an organisation and a class; a NULL name counts as "none".
+   Names get their own series in the order of their first lookup, so a host
+   that looks up its busiest organisations at start-up reserves series for
+   them.  */
 csp_labels_t csp_get_labels (csp_metrics_t *metrics, const char *organisation,
                              const char *class_name);
 
-/* Count a time, in microseconds; negative ones count as 0.  */
-void csp_observe_time (csp_labels_t labels, csp_time_t time, int64_t time_us);
+/* Add a time to a histogram; negative times count as 0.  */
+void csp_observe_time (csp_labels_t labels, csp_histogram_id_t id,
+                       int64_t time_us);
 
-/* What a gap between two tokens adds to the stall time of its answer.  */
+/* The time that a gap between two tokens adds to the stall time of its
+   answer.  */
 int64_t csp_stall_of_gap_us (int64_t gap_us);
 
-/* Count on.  */
-void csp_count (csp_labels_t labels, csp_count_t counter, uint64_t count);
+/* Add to a counter.  */
+void csp_count (csp_labels_t labels, csp_counter_t counter, uint64_t count);
 
-/* Count an answer's end: its reason (CSP_REASON_NONE for a whole answer) and
-   verdict, and a refusal where it was not run.  */
+/* Count the end of a request by its reason (CSP_REASON_NONE for a complete
+   answer) and verdict; a request that failed and was not run also counts as
+   refused.  */
 void csp_count_end (csp_metrics_t *metrics, csp_labels_t labels,
                     csp_reason_t reason, csp_verdict_t verdict);
 
 void csp_set_gauge (csp_metrics_t *metrics, csp_gauge_t gauge, int64_t value);
-void csp_add_gauge (csp_metrics_t *metrics, csp_gauge_t gauge, int64_t change);
-
-/* Time in milliseconds below which a share (0 to 1) of a series' times lies,
-   read off its buckets; 0 where none was counted.  For status pages.  */
-double csp_estimate_quantile_ms (const csp_series_t *series, csp_time_t time,
-                                 double share);
-
-/* Write a name as the value of a label.  Names come from declarations, callers
-   and operators: a quote or line end in one would let it forge other lines,
-   and a byte that is no text spoils the whole scrape.  What doesn't fit is cut
-   off; twice the name's bytes and one more fit all.  */
-void csp_escape_label (const char *name, char *escaped, size_t room_bytes);
-
-/* All counters as Prometheus text (version 0.0.4); the caller frees it.  */
+void csp_add_gauge (csp_metrics_t *metrics, csp_gauge_t gauge, int64_t delta);
+
+/* Estimate a quantile (0 to 1) of a histogram in milliseconds from its
+   buckets; 0 where nothing was counted.  For status pages.  */
+double csp_estimate_quantile_ms (const csp_series_t *series,
+                                 csp_histogram_id_t id, double quantile);
+
+/* Escape a name for use as a label value.  Names come from declarations,
+   callers and operators: an unescaped quote or line end could forge other
+   lines, and a non-ASCII byte could make the whole scrape fail.  The result is
+   truncated to fit; twice the length of the name plus one byte always
+   suffices.  */
+void csp_escape_label (const char *name, char *escaped, size_t escaped_bytes);
+
+/* Render all metrics as Prometheus text (version 0.0.4); the caller frees
+   it.  */
 char *csp_render_metrics (const csp_metrics_t *metrics, size_t *size_bytes);
 
 #endif
--- a/source/metrics/metrics-imp.h
+++ b/source/metrics/metrics-imp.h
@@ -9,11 +9,12 @@
 
 enum
 {
-  /* Finite upper bounds of a histogram; one more bucket takes the rest.  */
-  CSP_BOUNDS = 14,
+  /* Finite upper bounds of a histogram; one more bucket counts values above
+     all of them.  */
+  CSP_BUCKET_BOUNDS = 14,
   CSP_SERIES_NAME_BYTES = 64,
-  /* Copies of each counter.  A stream counts on one of them, so that streams
-     seldom take a cache line from one another; a scrape adds them up.  */
+  /* Copies of each counter.  A stream uses one of them, so that streams seldom
+     contend for a cache line; a scrape sums all copies.  */
   CSP_SHARDS = 8,
   CSP_CACHE_LINE_BYTES = 64
 };
@@ -22,8 +23,8 @@
 {
   const char *name;
   const char *help;
-  uint32_t bounds_us[CSP_BOUNDS];
-} csp_time_row_t;
+  uint32_t bounds_us[CSP_BUCKET_BOUNDS];
+} csp_histogram_row_t;
 
 typedef struct
 {
@@ -31,20 +32,20 @@
   const char *help;
 } csp_metric_row_t;
 
-extern const csp_time_row_t csp_time_table[CSP_TIME_COUNT];
-extern const csp_metric_row_t csp_count_table[CSP_COUNT_COUNT];
+extern const csp_histogram_row_t csp_histogram_table[CSP_TIME_COUNT];
+extern const csp_metric_row_t csp_counter_table[CSP_COUNT_COUNT];
 extern const csp_metric_row_t csp_gauge_table[CSP_GAUGE_COUNT];
 
 typedef struct
 {
-  _Atomic uint64_t buckets[CSP_BOUNDS + 1];
+  _Atomic uint64_t buckets[CSP_BUCKET_BOUNDS + 1];
   _Atomic uint64_t sum_us;
 } csp_histogram_t;
 
 typedef struct
 {
-  _Alignas(CSP_CACHE_LINE_BYTES) csp_histogram_t times[CSP_TIME_COUNT];
-  _Atomic uint64_t counts[CSP_COUNT_COUNT];
+  _Alignas(CSP_CACHE_LINE_BYTES) csp_histogram_t histograms[CSP_TIME_COUNT];
+  _Atomic uint64_t counters[CSP_COUNT_COUNT];
 } csp_shard_t;
 
 struct csp_series
@@ -53,8 +54,8 @@
   csp_shard_t shards[CSP_SHARDS];
 };
 
-/* Series by name.  Looking up takes no lock: slots are filled once, under
-   the lock, and never emptied.  */
+/* Hash table of series by name.  A lookup takes no lock: slots are filled
+   once, under the lock, and never cleared.  */
 typedef struct
 {
   pthread_mutex_t lock;
@@ -71,7 +72,8 @@
   csp_series_table_t organisations;
   csp_series_table_t classes;
   atomic_uint next_shard;
-  _Atomic uint64_t ends[CSP_REASON_COUNT][CSP_VERDICT_MAY_HAVE_RUN + 1];
+  _Atomic uint64_t
+      request_ends[CSP_REASON_COUNT][CSP_VERDICT_MAY_HAVE_RUN + 1];
   _Atomic int64_t gauges[CSP_GAUGE_COUNT];
 };
 
--- a/source/metrics/metrics-render.c
+++ b/source/metrics/metrics-render.c
@@ -11,11 +11,11 @@
 {
   US_PER_MS = 1000,
   US_PER_S = 1000000,
-  /* Each byte of a name becomes two at most.  */
+  /* Each byte of a name becomes at most two.  */
   ESCAPED_BYTES = 2 * CSP_SERIES_NAME_BYTES
 };
 
-/* How the series of one table are labelled.  */
+/* A table of series and the label name that they are rendered with.  */
 typedef struct
 {
   const char *label;
@@ -23,70 +23,71 @@
 } family_t;
 
 void
-csp_escape_label (const char *name, char *escaped, size_t room_bytes)
+csp_escape_label (const char *name, char *escaped, size_t escaped_bytes)
 {
-  size_t used = 0;
+  size_t length = 0;
 
-  /* The last two bytes are for an escaped one and the end.  */
-  for (; *name != '\0' && used + 2 < room_bytes; name++)
+  /* Leaves space for an escaped byte and the terminating nul.  */
+  for (; *name != '\0' && length + 2 < escaped_bytes; name++)
     {
       if (*name == '\\' || *name == '"')
-        escaped[used++] = '\\';
-      escaped[used++] = *name < ' ' || *name > '~' ? '?' : *name;
+        escaped[length++] = '\\';
+      escaped[length++] = *name < ' ' || *name > '~' ? '?' : *name;
     }
-  escaped[used] = '\0';
+  escaped[length] = '\0';
 }
 
 static uint64_t
-load (const _Atomic uint64_t *counter)
+load_counter (const _Atomic uint64_t *counter)
 {
   return atomic_load_explicit (counter, memory_order_relaxed);
 }
 
-/* One histogram, added up over its shards.  */
+/* One histogram, summed over its shards.  */
 typedef struct
 {
-  uint64_t buckets[CSP_BOUNDS + 1];
+  uint64_t buckets[CSP_BUCKET_BOUNDS + 1];
   uint64_t total;
   uint64_t sum_us;
-} times_t;
+} histogram_sum_t;
 
 static void
-add_up_times (const csp_series_t *series, csp_time_t time, times_t *times)
+sum_histogram (const csp_series_t *series, csp_histogram_id_t id,
+               histogram_sum_t *sum)
 {
-  const csp_histogram_t *histogram;
+  const csp_histogram_t *shard_histogram;
   uint64_t count;
   int shard;
   int i;
 
-  memset (times, 0, sizeof *times);
+  memset (sum, 0, sizeof *sum);
   for (shard = 0; shard < CSP_SHARDS; shard++)
     {
-      histogram = &series->shards[shard].times[time];
-      times->sum_us += load (&histogram->sum_us);
-      for (i = 0; i <= CSP_BOUNDS; i++)
+      shard_histogram = &series->shards[shard].histograms[id];
+      sum->sum_us += load_counter (&shard_histogram->sum_us);
+      for (i = 0; i <= CSP_BUCKET_BOUNDS; i++)
         {
-          count = load (&histogram->buckets[i]);
-          times->buckets[i] += count;
-          times->total += count;
+          count = load_counter (&shard_histogram->buckets[i]);
+          sum->buckets[i] += count;
+          sum->total += count;
         }
     }
 }
 
 static uint64_t
-add_up_count (const csp_series_t *series, csp_count_t counter)
+sum_counter (const csp_series_t *series, csp_counter_t counter)
 {
   uint64_t total = 0;
   int shard;
 
   for (shard = 0; shard < CSP_SHARDS; shard++)
-    total += load (&series->shards[shard].counts[counter]);
+    total += load_counter (&series->shards[shard].counters[counter]);
   return total;
 }
 
-/* The series at a place, "other" behind the named ones.  */
+/* Returns the series at index; "other" comes after the named ones.  */
 static const csp_series_t *
-series_at (const csp_series_table_t *table, size_t index, size_t count)
+get_series_at (const csp_series_table_t *table, size_t index, size_t count)
 {
   return index < count ? table->series[index] : table->other;
 }
@@ -98,65 +99,65 @@
 }
 
 static void
-print_head (FILE *stream, const char *label, const char *name,
-            const char *suffix, const char *help, const char *type)
+print_metric_header (FILE *stream, const char *label, const char *name,
+                     const char *suffix, const char *help, const char *type)
 {
   fprintf (stream, "# HELP " PREFIX "%s%s%s %s\n", label, name, suffix, help);
   fprintf (stream, "# TYPE " PREFIX "%s%s%s %s\n", label, name, suffix, type);
 }
 
 static void
-print_histogram (FILE *stream, const family_t *family, csp_time_t time,
-                 const char *series_name, const times_t *times)
+print_histogram (FILE *stream, const family_t *family, csp_histogram_id_t id,
+                 const char *series_name, const histogram_sum_t *sum)
 {
-  const csp_time_row_t *row = &csp_time_table[time];
+  const csp_histogram_row_t *row = &csp_histogram_table[id];
   const char *label = family->label;
   char name[ESCAPED_BYTES];
   uint64_t below = 0;
   int i;
 
   csp_escape_label (series_name, name, sizeof name);
-  for (i = 0; i < CSP_BOUNDS; i++)
+  for (i = 0; i < CSP_BUCKET_BOUNDS; i++)
     {
-      below += times->buckets[i];
+      below += sum->buckets[i];
       fprintf (stream,
                PREFIX "%s_%s_bucket{%s=\"%s\",le=\"%g\"} %" PRIu64 "\n", label,
                row->name, label, name, (double)row->bounds_us[i] / US_PER_S,
                below);
     }
   fprintf (stream, PREFIX "%s_%s_bucket{%s=\"%s\",le=\"+Inf\"} %" PRIu64 "\n",
-           label, row->name, label, name, times->total);
+           label, row->name, label, name, sum->total);
   fprintf (stream, PREFIX "%s_%s_sum{%s=\"%s\"} %.6f\n", label, row->name,
-           label, name, (double)times->sum_us / US_PER_S);
+           label, name, (double)sum->sum_us / US_PER_S);
   fprintf (stream, PREFIX "%s_%s_count{%s=\"%s\"} %" PRIu64 "\n", label,
-           row->name, label, name, times->total);
+           row->name, label, name, sum->total);
 }
 
 static void
-print_times (FILE *stream, const family_t *family, csp_time_t time)
+print_histograms (FILE *stream, const family_t *family, csp_histogram_id_t id)
 {
-  const csp_time_row_t *row = &csp_time_table[time];
+  const csp_histogram_row_t *row = &csp_histogram_table[id];
   size_t count = count_series (family->table);
   const csp_series_t *series;
   char label[CSP_SERIES_NAME_BYTES];
-  times_t times;
+  histogram_sum_t sum;
   size_t i;
 
   snprintf (label, sizeof label, "%s_", family->label);
-  print_head (stream, label, row->name, "", row->help, "histogram");
+  print_metric_header (stream, label, row->name, "", row->help, "histogram");
   for (i = 0; i <= count; i++)
     {
-      series = series_at (family->table, i, count);
-      add_up_times (series, time, &times);
-      if (times.total > 0)
-        print_histogram (stream, family, time, series->name, &times);
+      series = get_series_at (family->table, i, count);
+      sum_histogram (series, id, &sum);
+      if (sum.total > 0)
+        print_histogram (stream, family, id, series->name, &sum);
     }
 }
 
 static void
-print_counts (FILE *stream, const family_t *family, csp_count_t counter)
+print_counters (FILE *stream, const family_t *family, csp_counter_t counter)
 {
-  const csp_metric_row_t *row = &csp_count_table[counter];
+  const csp_metric_row_t *row = &csp_counter_table[counter];
   size_t count = count_series (family->table);
   const csp_series_t *series;
   char label[CSP_SERIES_NAME_BYTES];
@@ -164,14 +165,15 @@
   size_t i;
 
   snprintf (label, sizeof label, "%s_", family->label);
-  print_head (stream, label, row->name, "_total", row->help, "counter");
+  print_metric_header (stream, label, row->name, "_total", row->help,
+                       "counter");
   for (i = 0; i <= count; i++)
     {
-      series = series_at (family->table, i, count);
+      series = get_series_at (family->table, i, count);
       csp_escape_label (series->name, name, sizeof name);
       fprintf (stream, PREFIX "%s_%s_total{%s=\"%s\"} %" PRIu64 "\n",
                family->label, row->name, family->label, name,
-               add_up_count (series, counter));
+               sum_counter (series, counter));
     }
 }
 
@@ -181,25 +183,25 @@
   int i;
 
   for (i = 0; i < CSP_TIME_COUNT; i++)
-    print_times (stream, family, i);
+    print_histograms (stream, family, i);
   for (i = 0; i < CSP_COUNT_COUNT; i++)
-    print_counts (stream, family, i);
+    print_counters (stream, family, i);
 }
 
 static void
-print_ends (FILE *stream, const csp_metrics_t *metrics)
+print_request_ends (FILE *stream, const csp_metrics_t *metrics)
 {
   uint64_t total;
   int reason;
   int verdict;
 
-  print_head (stream, "", "ends", "_total",
-              "answers by reason (none for a whole one) and verdict",
-              "counter");
+  print_metric_header (stream, "", "ends", "_total",
+                       "answers by reason (none for a whole one) and verdict",
+                       "counter");
   for (reason = 0; reason < CSP_REASON_COUNT; reason++)
     for (verdict = 0; verdict <= CSP_VERDICT_MAY_HAVE_RUN; verdict++)
       {
-        total = load (&metrics->ends[reason][verdict]);
+        total = load_counter (&metrics->request_ends[reason][verdict]);
         if (total != 0)
           fprintf (
               stream,
@@ -215,8 +217,8 @@
 
   for (i = 0; i < CSP_GAUGE_COUNT; i++)
     {
-      print_head (stream, "", csp_gauge_table[i].name, "",
-                  csp_gauge_table[i].help, "gauge");
+      print_metric_header (stream, "", csp_gauge_table[i].name, "",
+                           csp_gauge_table[i].help, "gauge");
       fprintf (
           stream, PREFIX "%s %" PRId64 "\n", csp_gauge_table[i].name,
           atomic_load_explicit (&metrics->gauges[i], memory_order_relaxed));
@@ -234,7 +236,7 @@
   if (stream == NULL)
     abort ();
   print_gauges (stream, metrics);
-  print_ends (stream, metrics);
+  print_request_ends (stream, metrics);
   print_family (stream, &organisations);
   print_family (stream, &classes);
   if (fclose (stream) != 0)
@@ -243,27 +245,29 @@
 }
 
 double
-csp_estimate_quantile_ms (const csp_series_t *series, csp_time_t time,
-                          double share)
+csp_estimate_quantile_ms (const csp_series_t *series, csp_histogram_id_t id,
+                          double quantile)
 {
-  const uint32_t *bounds_us = csp_time_table[time].bounds_us;
-  times_t times;
-  double wanted;
+  const uint32_t *bounds_us = csp_histogram_table[id].bounds_us;
+  histogram_sum_t sum;
+  double target_rank;
   double below = 0;
-  double low_us = 0;
-  double inside;
+  double lower_bound_us = 0;
+  double bucket_count;
   int i;
 
-  add_up_times (series, time, &times);
-  wanted = share * (double)times.total;
-  for (i = 0; i < CSP_BOUNDS && times.total > 0; i++)
+  sum_histogram (series, id, &sum);
+  target_rank = quantile * (double)sum.total;
+  for (i = 0; i < CSP_BUCKET_BOUNDS && sum.total > 0; i++)
     {
-      inside = (double)times.buckets[i];
-      if (inside > 0 && below + inside >= wanted)
-        return (low_us + (bounds_us[i] - low_us) * (wanted - below) / inside)
+      bucket_count = (double)sum.buckets[i];
+      if (bucket_count > 0 && below + bucket_count >= target_rank)
+        return (lower_bound_us
+                + (bounds_us[i] - lower_bound_us) * (target_rank - below)
+                      / bucket_count)
                / US_PER_MS;
-      below += inside;
-      low_us = bounds_us[i];
+      below += bucket_count;
+      lower_bound_us = bounds_us[i];
     }
-  return low_us / US_PER_MS;
+  return lower_bound_us / US_PER_MS;
 }
--- a/source/metrics/metrics-table.c
+++ b/source/metrics/metrics-table.c
@@ -1,8 +1,8 @@
 #include "metrics/metrics-imp.h"
 
-/* The bounds have an edge at each figure that the users plan with: 42 ms
-   between tokens, 0.91 s to the first token, so that the share within it is
-   read off exactly instead of estimated.  */
+/* The users' targets, 42 ms between tokens and 0.91 s to the first token, are
+   bucket bounds, so that the share of requests within a target is exact
+   instead of interpolated.  */
 
 enum
 {
@@ -10,7 +10,7 @@
   S = 1000 * MS
 };
 
-const csp_time_row_t csp_time_table[CSP_TIME_COUNT] = {
+const csp_histogram_row_t csp_histogram_table[CSP_TIME_COUNT] = {
   [CSP_TIME_TO_FIRST_TOKEN]
   = { "time_to_first_token_seconds",
       "time from a request's arrival to its first token",
@@ -33,7 +33,7 @@
         2 * S, 5 * S, 15 * S, 30 * S, 60 * S, 300 * S } },
 };
 
-const csp_metric_row_t csp_count_table[CSP_COUNT_COUNT] = {
+const csp_metric_row_t csp_counter_table[CSP_COUNT_COUNT] = {
   [CSP_COUNT_REQUESTS] = { "requests", "requests that arrived" },
   [CSP_COUNT_TOKENS] = { "tokens", "tokens sent to callers" },
   [CSP_COUNT_REFUSALS] = { "refusals", "requests answered with not run" },
--- a/source/metrics/metrics.c
+++ b/source/metrics/metrics.c
@@ -20,7 +20,7 @@
 }
 
 static void
-open_table (csp_series_table_t *table, size_t max)
+init_table (csp_series_table_t *table, size_t max)
 {
   pthread_mutex_init (&table->lock, NULL);
   table->max = max;
@@ -35,7 +35,7 @@
 }
 
 static void
-close_table (csp_series_table_t *table)
+destroy_table (csp_series_table_t *table)
 {
   size_t i;
 
@@ -54,8 +54,8 @@
 
   if (metrics == NULL)
     abort ();
-  open_table (&metrics->organisations, series_max);
-  open_table (&metrics->classes, series_max);
+  init_table (&metrics->organisations, series_max);
+  init_table (&metrics->classes, series_max);
   return metrics;
 }
 
@@ -64,13 +64,13 @@
 {
   if (metrics == NULL)
     return;
-  close_table (&metrics->organisations);
-  close_table (&metrics->classes);
+  destroy_table (&metrics->organisations);
+  destroy_table (&metrics->classes);
   free (metrics);
 }
 
 static size_t
-first_slot (const csp_series_table_t *table, const char *name)
+hash_to_slot (const csp_series_table_t *table, const char *name)
 {
   uint64_t hash = 14695981039346656037U;
 
@@ -79,13 +79,14 @@
   return hash & (table->slot_count - 1);
 }
 
-/* The series of a name, or NULL with the slot where it would stand.  */
+/* Returns the series of a name; NULL where there is none, and *slot is then
+   the free slot to store it in.  */
 static csp_series_t *
 find_series (const csp_series_table_t *table, const char *name, size_t *slot)
 {
   csp_series_t *series;
 
-  *slot = first_slot (table, name);
+  *slot = hash_to_slot (table, name);
   for (;;)
     {
       series
@@ -96,10 +97,11 @@
     }
 }
 
-/* Without a bound, callers who make up names could fill the memory of the host
-   and of whoever scrapes it; so what comes late is counted as "other".  */
+/* Adds a series unless the limit is reached.  Without a limit, callers that
+   invent names could exhaust the memory of the host and of the scraper, so
+   names beyond it share the series "other".  */
 static csp_series_t *
-claim_series (csp_series_table_t *table, const char *name)
+add_series (csp_series_table_t *table, const char *name)
 {
   csp_series_t *series;
   size_t count;
@@ -123,19 +125,20 @@
 static csp_series_t *
 get_series (csp_series_table_t *table, const char *name)
 {
-  char cut[CSP_SERIES_NAME_BYTES];
+  char truncated_name[CSP_SERIES_NAME_BYTES];
   csp_series_t *series;
   size_t slot;
 
-  snprintf (cut, sizeof cut, "%s", name == NULL ? none_name : name);
-  if (strcmp (cut, other_name) == 0)
+  snprintf (truncated_name, sizeof truncated_name, "%s",
+            name == NULL ? none_name : name);
+  if (strcmp (truncated_name, other_name) == 0)
     return table->other;
-  series = find_series (table, cut, &slot);
+  series = find_series (table, truncated_name, &slot);
   if (series != NULL)
     return series;
   if (atomic_load_explicit (&table->count, memory_order_acquire) >= table->max)
     return table->other;
-  return claim_series (table, cut);
+  return add_series (table, truncated_name);
 }
 
 csp_labels_t
@@ -153,48 +156,50 @@
 }
 
 static void
-add (_Atomic uint64_t *counter, uint64_t count)
+add_to_counter (_Atomic uint64_t *counter, uint64_t count)
 {
   atomic_fetch_add_explicit (counter, count, memory_order_relaxed);
 }
 
 static size_t
-find_bucket (const uint32_t bounds_us[CSP_BOUNDS], uint64_t time_us)
+find_bucket (const uint32_t bounds_us[CSP_BUCKET_BOUNDS], uint64_t time_us)
 {
   size_t i = 0;
 
-  while (i < CSP_BOUNDS && time_us > bounds_us[i])
+  while (i < CSP_BUCKET_BOUNDS && time_us > bounds_us[i])
     i++;
   return i;
 }
 
 void
-csp_observe_time (csp_labels_t labels, csp_time_t time, int64_t time_us)
+csp_observe_time (csp_labels_t labels, csp_histogram_id_t id, int64_t time_us)
 {
-  uint64_t counted_us = time_us < 0 ? 0 : (uint64_t)time_us;
-  size_t bucket = find_bucket (csp_time_table[time].bounds_us, counted_us);
+  uint64_t observed_us = time_us < 0 ? 0 : (uint64_t)time_us;
+  size_t bucket = find_bucket (csp_histogram_table[id].bounds_us, observed_us);
   csp_histogram_t *organisation
-      = &labels.organisation->shards[labels.shard].times[time];
-  csp_histogram_t *class_times
-      = &labels.class_series->shards[labels.shard].times[time];
+      = &labels.organisation->shards[labels.shard].histograms[id];
+  csp_histogram_t *class_histogram
+      = &labels.class_series->shards[labels.shard].histograms[id];
 
-  add (&organisation->buckets[bucket], 1);
-  add (&organisation->sum_us, counted_us);
-  add (&class_times->buckets[bucket], 1);
-  add (&class_times->sum_us, counted_us);
+  add_to_counter (&organisation->buckets[bucket], 1);
+  add_to_counter (&organisation->sum_us, observed_us);
+  add_to_counter (&class_histogram->buckets[bucket], 1);
+  add_to_counter (&class_histogram->sum_us, observed_us);
 }
 
 int64_t
 csp_stall_of_gap_us (int64_t gap_us)
 {
-  return gap_us > CSP_STALL_BEYOND_US ? gap_us - CSP_STALL_BEYOND_US : 0;
+  return gap_us > CSP_STALL_THRESHOLD_US ? gap_us - CSP_STALL_THRESHOLD_US : 0;
 }
 
 void
-csp_count (csp_labels_t labels, csp_count_t counter, uint64_t count)
+csp_count (csp_labels_t labels, csp_counter_t counter, uint64_t count)
 {
-  add (&labels.organisation->shards[labels.shard].counts[counter], count);
-  add (&labels.class_series->shards[labels.shard].counts[counter], count);
+  add_to_counter (&labels.organisation->shards[labels.shard].counters[counter],
+                  count);
+  add_to_counter (&labels.class_series->shards[labels.shard].counters[counter],
+                  count);
 }
 
 void
@@ -205,7 +210,7 @@
     reason = CSP_REASON_INTERNAL;
   if (verdict > CSP_VERDICT_MAY_HAVE_RUN)
     verdict = CSP_VERDICT_MAY_HAVE_RUN;
-  add (&metrics->ends[reason][verdict], 1);
+  add_to_counter (&metrics->request_ends[reason][verdict], 1);
   if (verdict == CSP_VERDICT_NOT_RUN && reason != CSP_REASON_NONE)
     csp_count (labels, CSP_COUNT_REFUSALS, 1);
 }
@@ -217,8 +222,8 @@
 }
 
 void
-csp_add_gauge (csp_metrics_t *metrics, csp_gauge_t gauge, int64_t change)
+csp_add_gauge (csp_metrics_t *metrics, csp_gauge_t gauge, int64_t delta)
 {
-  atomic_fetch_add_explicit (&metrics->gauges[gauge], change,
+  atomic_fetch_add_explicit (&metrics->gauges[gauge], delta,
                              memory_order_relaxed);
 }
--- a/tests/metrics/metrics-test.c
+++ b/tests/metrics/metrics-test.c
@@ -21,7 +21,7 @@
 #define LINE(text) "\ncowslipspoke_" text "\n"
 
 static void
-check_has (const csp_metrics_t *metrics, const char *line, bool expected)
+check_rendered (const csp_metrics_t *metrics, const char *line, bool expected)
 {
   size_t size_bytes;
   char *text = csp_render_metrics (metrics, &size_bytes);
@@ -32,10 +32,10 @@
   free (text);
 }
 
-/* Somebody sends requests under ever new names, and whoever reads the metrics
-   runs out of memory at the next scrape; what is beyond the bound is counted
-   together instead.  */
-START_TEST (names_beyond_the_bound_share_one_series)
+/* A caller sends requests under ever new names.  With a series for each, the
+   metrics would exhaust the scraper's memory, so names beyond the limit are
+   counted together.  */
+START_TEST (names_beyond_the_limit_share_one_series)
 {
   csp_metrics_t *metrics = csp_create_metrics (SERIES_SMALL);
   char name[CSP_SERIES_NAME_BYTES];
@@ -46,14 +46,15 @@
       snprintf (name, sizeof name, "n%d", i);
       csp_count (csp_get_labels (metrics, name, NULL), CSP_COUNT_REQUESTS, 2);
     }
-  check_has (metrics,
-             LINE ("organisation_requests_total{organisation=\"n2\"} 2"),
-             true);
-  check_has (metrics, "organisation=\"n3\"", false);
-  check_has (metrics,
-             LINE ("organisation_requests_total{organisation=\"other\"} 18"),
-             true);
-  check_has (metrics, LINE ("class_requests_total{class=\"none\"} 24"), true);
+  check_rendered (metrics,
+                  LINE ("organisation_requests_total{organisation=\"n2\"} 2"),
+                  true);
+  check_rendered (metrics, "organisation=\"n3\"", false);
+  check_rendered (
+      metrics, LINE ("organisation_requests_total{organisation=\"other\"} 18"),
+      true);
+  check_rendered (metrics, LINE ("class_requests_total{class=\"none\"} 24"),
+                  true);
   ck_assert_ptr_eq (csp_get_labels (metrics, "n1", NULL).organisation,
                     csp_get_labels (metrics, "n1", "c").organisation);
   csp_destroy_metrics (metrics);
@@ -74,20 +75,20 @@
   { "other", LINE ("organisation_tokens_total{organisation=\"other\"} 1") },
 };
 
-/* A name with a quote or a line end in it forges another line, or spoils the
-   scrape of the whole host.  */
+/* An unescaped quote or line end in a name would forge another line or make
+   the scrape of the whole host fail.  */
 START_TEST (names_are_escaped)
 {
   csp_metrics_t *metrics = csp_create_metrics (SERIES_SMALL);
 
   csp_count (csp_get_labels (metrics, name_cases[_i].name, NULL),
              CSP_COUNT_TOKENS, 1);
-  check_has (metrics, name_cases[_i].line, true);
+  check_rendered (metrics, name_cases[_i].line, true);
   csp_destroy_metrics (metrics);
 }
 END_TEST
 
-START_TEST (long_names_are_cut)
+START_TEST (long_names_are_truncated)
 {
   csp_metrics_t *metrics = csp_create_metrics (SERIES_SMALL);
   char name[4 * CSP_SERIES_NAME_BYTES];
@@ -95,17 +96,17 @@
   memset (name, '"', sizeof name);
   name[sizeof name - 1] = '\0';
   csp_count (csp_get_labels (metrics, name, name), CSP_COUNT_TOKENS, 1);
-  check_has (metrics, "tokens_total{class=\"\\\"", true);
+  check_rendered (metrics, "tokens_total{class=\"\\\"", true);
   csp_destroy_metrics (metrics);
 }
 END_TEST
 
 typedef struct
 {
-  csp_time_t time;
+  csp_histogram_id_t id;
   int64_t time_us;
-  const char *without;
-  const char *with;
+  const char *expected_line;
+  const char *other_expected_line;
 } bucket_case_t;
 
 #define GAP "class_time_between_tokens_seconds_"
@@ -134,20 +135,19 @@
     LINE ("class_wait_seconds_count{class=\"c\"} 1") },
 };
 
-START_TEST (times_fall_into_their_bucket)
+START_TEST (times_are_counted_in_their_bucket)
 {
   const bucket_case_t *row = &bucket_cases[_i];
   csp_metrics_t *metrics = csp_create_metrics (SERIES_SMALL);
 
-  csp_observe_time (csp_get_labels (metrics, "o", "c"), row->time,
-                    row->time_us);
-  check_has (metrics, row->without, true);
-  check_has (metrics, row->with, true);
+  csp_observe_time (csp_get_labels (metrics, "o", "c"), row->id, row->time_us);
+  check_rendered (metrics, row->expected_line, true);
+  check_rendered (metrics, row->other_expected_line, true);
   csp_destroy_metrics (metrics);
 }
 END_TEST
 
-START_TEST (ends_count_refusals_where_nothing_ran)
+START_TEST (request_ends_count_refusals_where_nothing_ran)
 {
   csp_metrics_t *metrics = csp_create_metrics (SERIES_SMALL);
   csp_labels_t labels = csp_get_labels (metrics, "o", "c");
@@ -156,24 +156,25 @@
   csp_count_end (metrics, labels, CSP_REASON_QUEUE_FULL, CSP_VERDICT_NOT_RUN);
   csp_count_end (metrics, labels, CSP_REASON_STREAM_CUT,
                  CSP_VERDICT_MAY_HAVE_RUN);
-  check_has (metrics, LINE ("ends_total{reason=\"none\",verdict=\"ran\"} 1"),
-             true);
-  check_has (metrics,
-             LINE ("ends_total{reason=\"stream_cut\","
-                   "verdict=\"may have run\"} 1"),
-             true);
-  check_has (metrics,
-             LINE ("organisation_refusals_total{organisation=\"o\"} 1"), true);
+  check_rendered (
+      metrics, LINE ("ends_total{reason=\"none\",verdict=\"ran\"} 1"), true);
+  check_rendered (metrics,
+                  LINE ("ends_total{reason=\"stream_cut\","
+                        "verdict=\"may have run\"} 1"),
+                  true);
+  check_rendered (metrics,
+                  LINE ("organisation_refusals_total{organisation=\"o\"} 1"),
+                  true);
   csp_set_gauge (metrics, CSP_GAUGE_READY, 1);
   csp_add_gauge (metrics, CSP_GAUGE_WAITING, 3);
   csp_add_gauge (metrics, CSP_GAUGE_WAITING, -1);
-  check_has (metrics, LINE ("ready 1"), true);
-  check_has (metrics, LINE ("waiting 2"), true);
+  check_rendered (metrics, LINE ("ready 1"), true);
+  check_rendered (metrics, LINE ("waiting 2"), true);
   csp_destroy_metrics (metrics);
 }
 END_TEST
 
-START_TEST (quantiles_are_read_off_the_buckets)
+START_TEST (quantiles_are_estimated_from_the_buckets)
 {
   csp_metrics_t *metrics = csp_create_metrics (SERIES_SMALL);
   csp_labels_t labels = csp_get_labels (metrics, "o", "c");
@@ -199,7 +200,7 @@
 END_TEST
 
 static void *
-count_much (void *context)
+count_repeatedly (void *context)
 {
   csp_metrics_t *metrics = context;
   char name[CSP_SERIES_NAME_BYTES];
@@ -219,9 +220,10 @@
   return NULL;
 }
 
-/* Threads that count at once lose counts, or make two series of one name, and
-   the sum over organisations no longer matches the sum over classes.  */
-START_TEST (threads_lose_no_count)
+/* A race between counting threads could lose counts or create two series for
+   one name; the sum over organisations would then differ from the sum over
+   classes.  */
+START_TEST (concurrent_counts_are_not_lost)
 {
   csp_metrics_t *metrics = csp_create_metrics (NAMES);
   pthread_t threads[THREADS];
@@ -229,41 +231,41 @@
   int i;
 
   for (i = 0; i < THREADS; i++)
-    pthread_create (&threads[i], NULL, count_much, metrics);
+    pthread_create (&threads[i], NULL, count_repeatedly, metrics);
   for (i = 0; i < THREADS; i++)
     pthread_join (threads[i], NULL);
   ck_assert_uint_eq (metrics->organisations.count, NAMES);
   snprintf (line, sizeof line, LINE ("class_tokens_total{class=\"c\"} %d"),
             THREADS * ROUNDS);
-  check_has (metrics, line, true);
+  check_rendered (metrics, line, true);
   snprintf (line, sizeof line,
             LINE ("class_time_between_tokens_seconds_count{class=\"c\"} %d"),
             THREADS * ROUNDS);
-  check_has (metrics, line, true);
+  check_rendered (metrics, line, true);
   snprintf (line, sizeof line,
             LINE ("organisation_tokens_total{organisation=\"n11\"} %d"),
             THREADS * (ROUNDS / NAMES));
-  check_has (metrics, line, true);
+  check_rendered (metrics, line, true);
   csp_destroy_metrics (metrics);
 }
 END_TEST
 
 static void
-check_page_line (const char *page, const char *form, const char *name,
-                 const char *help)
+check_page_row (const char *page, const char *prefix, const char *name,
+                const char *help)
 {
   char *line;
 
-  ck_assert_int_gt (asprintf (&line, "| `%s%s` | %s |\n", form, name, help),
+  ck_assert_int_gt (asprintf (&line, "| `%s%s` | %s |\n", prefix, name, help),
                     0);
   ck_assert_msg (strstr (page, line) != NULL, "docs/METRICS.md lacks: %s",
                  line);
   free (line);
 }
 
-/* An operator reads the page; a metric that it lacks is one that nobody
-   watches.  */
-START_TEST (the_page_has_every_metric)
+/* Operators find metrics by the page; a metric that is missing there stays
+   unwatched.  */
+START_TEST (metrics_page_lists_every_metric)
 {
   char *page = calloc (1, 65536);
   FILE *file = fopen ("docs/METRICS.md", "r");
@@ -273,13 +275,14 @@
   ck_assert_uint_gt (fread (page, 1, 65535, file), 0);
   fclose (file);
   for (i = 0; i < CSP_TIME_COUNT; i++)
-    check_page_line (page, "", csp_time_table[i].name, csp_time_table[i].help);
+    check_page_row (page, "", csp_histogram_table[i].name,
+                    csp_histogram_table[i].help);
   for (i = 0; i < CSP_COUNT_COUNT; i++)
-    check_page_line (page, "", csp_count_table[i].name,
-                     csp_count_table[i].help);
+    check_page_row (page, "", csp_counter_table[i].name,
+                    csp_counter_table[i].help);
   for (i = 0; i < CSP_GAUGE_COUNT; i++)
-    check_page_line (page, "cowslipspoke_", csp_gauge_table[i].name,
-                     csp_gauge_table[i].help);
+    check_page_row (page, "cowslipspoke_", csp_gauge_table[i].name,
+                    csp_gauge_table[i].help);
   free (page);
 }
 END_TEST
@@ -294,14 +297,14 @@
   TCase *tcase = tcase_create ("metrics");
 
   tcase_set_timeout (tcase, 60);
-  tcase_add_test (tcase, names_beyond_the_bound_share_one_series);
+  tcase_add_test (tcase, names_beyond_the_limit_share_one_series);
   ADD_LOOP (tcase, names_are_escaped, name_cases);
-  tcase_add_test (tcase, long_names_are_cut);
-  ADD_LOOP (tcase, times_fall_into_their_bucket, bucket_cases);
-  tcase_add_test (tcase, ends_count_refusals_where_nothing_ran);
-  tcase_add_test (tcase, quantiles_are_read_off_the_buckets);
-  tcase_add_test (tcase, threads_lose_no_count);
-  tcase_add_test (tcase, the_page_has_every_metric);
+  tcase_add_test (tcase, long_names_are_truncated);
+  ADD_LOOP (tcase, times_are_counted_in_their_bucket, bucket_cases);
+  tcase_add_test (tcase, request_ends_count_refusals_where_nothing_ran);
+  tcase_add_test (tcase, quantiles_are_estimated_from_the_buckets);
+  tcase_add_test (tcase, concurrent_counts_are_not_lost);
+  tcase_add_test (tcase, metrics_page_lists_every_metric);
   suite_add_tcase (suite, tcase);
   return run_suite (suite);
 }
