--- a/include/cowslipspoke/log.h
+++ b/include/cowslipspoke/log.h
@@ -6,9 +6,9 @@
 
 #include "cowslipspoke/clock.h"
 
-/* Numbered events.  A number is never used for anything else once it was
-   released; docs/EVENTS.md is the catalogue and a test compares it with the
-   table in source/log/event-table.c.  */
+/* Numbered events.  A released number is never reused for another event.
+   docs/EVENTS.md is the catalogue; a test compares it with the table in
+   source/log/event-table.c.  */
 typedef enum
 {
   CSP_EVENT_STARTED = 100,
@@ -81,7 +81,7 @@
   CSP_LEVEL_ERROR
 } csp_level_t;
 
-/* One row of the catalogue.  */
+/* One row of the event table.  */
 typedef struct
 {
   csp_event_t event;
@@ -110,42 +110,43 @@
 
 typedef struct csp_log csp_log_t;
 
-/* A log that writes one JSON object a line to standard error.  NULL when
-   memory or log4c fails.  host stands in every line.  */
-csp_log_t *csp_create_log (const char *host, csp_level_t least,
+/* Create a log that writes one JSON object per line to standard error.  host
+   is written in every line; events below min_level are dropped.  NULL when
+   memory runs out or log4c fails.  */
+csp_log_t *csp_create_log (const char *host, csp_level_t min_level,
                            const csp_clock_t *clock);
 
-/* Write to another stream than standard error, by whole lines.  */
+/* Write to a stream other than standard error, with line buffering.  */
 void csp_direct_log (csp_log_t *log, FILE *stream);
 
 /* Free a log; NULL is allowed.  */
 void csp_destroy_log (csp_log_t *log);
 
-/* A field with a text; NULL is written as null.  */
+/* A field with a string value; NULL is written as null.  */
 csp_field_t csp_text (const char *name, const char *text);
 
 /* A field with a whole number.  */
 csp_field_t csp_number (const char *name, int64_t number);
 
-/* Write one event, unless lines come faster than the log's bound: those below
-   a warning are then left out, and counted.  request_id may be NULL.  fields
-   ends with a field of kind CSP_FIELD_END.  Any thread may call it; log may be
-   NULL, which drops the event.  */
+/* Write one event.  Events below a warning are rate-limited: those beyond the
+   limit are dropped and counted.  request_id may be NULL.  fields ends with a
+   field of kind CSP_FIELD_END.  Any thread may call the function; the event is
+   dropped where log is NULL.  */
 void csp_log_fields (csp_log_t *log, csp_event_t event, const char *request_id,
                      const csp_field_t *fields);
 
-/* The same with the fields written one after another.  */
+/* Calls csp_log_fields with the fields given as arguments.  */
 #define CSP_LOG(log, event, request_id, ...)                                  \
   csp_log_fields (log, event, request_id,                                     \
                   (const csp_field_t[]){ __VA_ARGS__, { CSP_FIELD_END } })
 
-/* The row of an event; NULL where there is none.  */
+/* The row of an event; NULL for an unknown event.  */
 const csp_event_row_t *csp_find_event (csp_event_t event);
 
-/* All rows, in order of number.  */
+/* All rows, ordered by event number.  */
 const csp_event_row_t *csp_list_events (uint32_t *count);
 
-/* Level of a name such as "info"; -1 where there is none.  */
+/* Parse the name of a level such as "info"; -1 for an unknown name.  */
 int csp_parse_level (const char *name, csp_level_t *level);
 
 #endif
--- a/source/log/log.c
+++ b/source/log/log.c
@@ -10,10 +10,10 @@
 
 enum
 {
-  /* Lines a second, and how many may come at once.  A host of the planned size
-     ends 27 requests a second with a line or two each; a storm of refusals
-     would else take a small host's processor for its log.  Warnings and errors
-     are few and always written.  */
+  /* The rate limit of lines below a warning, and its burst.  A host of the
+     planned size finishes 27 requests a second and logs a line or two for
+     each.  Without a limit, logging a flood of refusals would use up a small
+     host's processor.  Warnings and errors are few and not limited.  */
   LINES_PER_S = 200,
   LINES_BURST = 1000,
   MS_PER_S = 1000
@@ -23,17 +23,18 @@
 {
   log4c_category_t *category;
   csp_clock_t clock;
-  csp_level_t least;
+  csp_level_t min_level;
   FILE *stream;
-  pthread_mutex_t lock; /* guards what follows */
-  int64_t allowed_lines;
-  int64_t counted_ms;
+  pthread_mutex_t lock; /* guards the members below, except host */
+  int64_t available_lines;
+  int64_t refilled_ms;
   int64_t dropped_lines;
   char host[64];
 };
 
-/* One write a line: lines of several threads then never mix, and a line that
-   the stream can't take is dropped and holds nobody up.  */
+/* Writes each line by one call, so that lines of several threads don't mix; a
+   line that the stream can't accept is dropped instead of blocking the
+   caller.  */
 static int
 append_line (log4c_appender_t *appender, const log4c_logging_event_t *event)
 {
@@ -58,7 +59,8 @@
                                   LOG4C_PRIORITY_WARN, LOG4C_PRIORITY_ERROR };
 
 csp_log_t *
-csp_create_log (const char *host, csp_level_t least, const csp_clock_t *clock)
+csp_create_log (const char *host, csp_level_t min_level,
+                const csp_clock_t *clock)
 {
   csp_log_t *log = calloc (1, sizeof *log);
   log4c_appender_t *appender;
@@ -68,11 +70,11 @@
     return NULL;
   log4c_init ();
   log->clock = *clock;
-  log->least = least;
+  log->min_level = min_level;
   log->stream = stderr;
   pthread_mutex_init (&log->lock, NULL);
-  log->allowed_lines = LINES_BURST;
-  log->counted_ms = csp_now_ms (clock);
+  log->available_lines = LINES_BURST;
+  log->refilled_ms = csp_now_ms (clock);
   snprintf (log->host, sizeof log->host, "%s", host);
   log->category = log4c_category_get ("cowslipspoke");
   appender = log4c_appender_get ("cowslipspoke");
@@ -87,7 +89,7 @@
   log4c_appender_set_layout (appender, layout);
   log4c_category_set_appender (log->category, appender);
   log4c_category_set_additivity (log->category, 0);
-  log4c_category_set_priority (log->category, priorities[least]);
+  log4c_category_set_priority (log->category, priorities[min_level]);
   return log;
 
 fail:
@@ -129,7 +131,7 @@
 }
 
 static json_object *
-field_value (const csp_field_t *field)
+create_json_value (const csp_field_t *field)
 {
   switch (field->kind)
     {
@@ -145,40 +147,41 @@
   return NULL;
 }
 
-/* Whether a line may be written now; *dropped tells how many were left out
-   since the last one that was.  */
+/* Applies the rate limit: returns whether a line may be written now.  *dropped
+   is the number of lines dropped since the last limited line was written; it
+   is 0 for warnings and errors.  */
 static bool
-may_write (csp_log_t *log, csp_level_t level, int64_t *dropped)
+may_log_line (csp_log_t *log, csp_level_t level, int64_t *dropped)
 {
-  bool may = true;
+  bool allowed = true;
   int64_t now_ms = csp_now_ms (&log->clock);
-  int64_t earned;
+  int64_t refill;
 
   *dropped = 0;
   if (level >= CSP_LEVEL_WARNING)
     return true;
   pthread_mutex_lock (&log->lock);
-  earned = (now_ms - log->counted_ms) * LINES_PER_S / MS_PER_S;
-  if (earned > 0)
+  refill = (now_ms - log->refilled_ms) * LINES_PER_S / MS_PER_S;
+  if (refill > 0)
     {
-      log->allowed_lines += earned;
-      log->counted_ms = now_ms;
+      log->available_lines += refill;
+      log->refilled_ms = now_ms;
     }
-  if (log->allowed_lines > LINES_BURST)
-    log->allowed_lines = LINES_BURST;
-  if (log->allowed_lines > 0)
+  if (log->available_lines > LINES_BURST)
+    log->available_lines = LINES_BURST;
+  if (log->available_lines > 0)
     {
-      log->allowed_lines--;
+      log->available_lines--;
       *dropped = log->dropped_lines;
       log->dropped_lines = 0;
     }
   else
     {
       log->dropped_lines++;
-      may = false;
+      allowed = false;
     }
   pthread_mutex_unlock (&log->lock);
-  return may;
+  return allowed;
 }
 
 static void
@@ -197,7 +200,7 @@
     json_object_object_add (line, "request_id",
                             json_object_new_string (request_id));
   for (; fields->kind != CSP_FIELD_END; fields++)
-    json_object_object_add (line, fields->name, field_value (fields));
+    json_object_object_add (line, fields->name, create_json_value (fields));
   log4c_category_log (
       log->category, priorities[row->level], "%s",
       json_object_to_json_string_ext (line, JSON_C_TO_STRING_PLAIN));
@@ -211,15 +214,16 @@
   const csp_event_row_t *row = csp_find_event (event);
   int64_t dropped;
 
-  if (log == NULL || row == NULL || row->level < log->least
-      || !may_write (log, row->level, &dropped))
+  if (log == NULL || row == NULL || row->level < log->min_level
+      || !may_log_line (log, row->level, &dropped))
     return;
   if (dropped > 0)
     {
-      const csp_field_t lost[]
+      const csp_field_t dropped_fields[]
           = { csp_number ("lines", dropped), { CSP_FIELD_END } };
 
-      write_fields (log, csp_find_event (CSP_EVENT_LINES_DROPPED), NULL, lost);
+      write_fields (log, csp_find_event (CSP_EVENT_LINES_DROPPED), NULL,
+                    dropped_fields);
     }
   write_fields (log, row, request_id, fields);
 }
--- a/tests/log/events-test.c
+++ b/tests/log/events-test.c
@@ -15,9 +15,9 @@
 
 static const char *const levels[] = { "debug", "info", "warning", "error" };
 
-/* Operators search the catalogue by number; a row that the code does not have,
-   or has under another name, sends them the wrong way.  */
-START_TEST (the_catalogue_lists_what_the_code_writes)
+/* Operators look up events by number in docs/EVENTS.md; a row that the code
+   lacks or names differently would mislead them.  */
+START_TEST (events_page_matches_the_event_table)
 {
   FILE *page = fopen ("docs/EVENTS.md", "r");
   char line[LINE_BYTES];
@@ -45,7 +45,7 @@
 }
 END_TEST
 
-START_TEST (numbers_and_names_are_used_once)
+START_TEST (event_numbers_and_names_are_unique)
 {
   uint32_t count;
   const csp_event_row_t *rows = csp_list_events (&count);
@@ -67,8 +67,8 @@
   Suite *suite = suite_create ("log");
   TCase *tcase = tcase_create ("log");
 
-  tcase_add_test (tcase, the_catalogue_lists_what_the_code_writes);
-  tcase_add_test (tcase, numbers_and_names_are_used_once);
+  tcase_add_test (tcase, events_page_matches_the_event_table);
+  tcase_add_test (tcase, event_numbers_and_names_are_unique);
   suite_add_tcase (suite, tcase);
   return run_suite (suite);
 }
--- a/tests/log/log-test.c
+++ b/tests/log/log-test.c
@@ -7,12 +7,12 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Lines as they come out, on a clock that the test moves.  */
+/* Tests of the written lines, with a fake clock.  */
 
-static csp_fake_clock_t fake;
+static csp_fake_clock_t fake_clock;
 static csp_log_t *log_under_test;
-static char *text;
-static size_t text_bytes;
+static char *output;
+static size_t output_bytes;
 static FILE *stream;
 
 static void
@@ -20,12 +20,12 @@
 {
   csp_clock_t clock;
 
-  fake.steady_ms = 1000;
-  fake.wall_ms = 5000;
-  clock = csp_clock_of_fake (&fake);
+  fake_clock.steady_ms = 1000;
+  fake_clock.wall_ms = 5000;
+  clock = csp_clock_of_fake (&fake_clock);
   log_under_test = csp_create_log ("host-a", CSP_LEVEL_INFO, &clock);
   ck_assert_ptr_nonnull (log_under_test);
-  stream = open_memstream (&text, &text_bytes);
+  stream = open_memstream (&output, &output_bytes);
   csp_direct_log (log_under_test, stream);
 }
 
@@ -34,37 +34,38 @@
 {
   csp_destroy_log (log_under_test);
   fclose (stream);
-  free (text);
+  free (output);
 }
 
 static size_t
-count (const char *what)
+count_matches (const char *pattern)
 {
-  const char *at;
-  size_t found = 0;
+  const char *match;
+  size_t matches = 0;
 
   fflush (stream);
-  for (at = text; (at = strstr (at, what)) != NULL; at++)
-    found++;
-  return found;
+  for (match = output; (match = strstr (match, pattern)) != NULL; match++)
+    matches++;
+  return matches;
 }
 
-START_TEST (a_line_is_one_object)
+START_TEST (line_is_one_json_object)
 {
   CSP_LOG (log_under_test, CSP_EVENT_FORWARD_ENDED, "r1",
            csp_text ("route", "a\nb"), csp_number ("status", 200));
   fflush (stream);
-  ck_assert_str_eq (text, "{\"at_ms\":5000,\"event\":210,"
-                          "\"name\":\"forward-ended\",\"host\":\"host-a\","
-                          "\"request_id\":\"r1\",\"route\":\"a\\nb\","
-                          "\"status\":200}\n");
+  ck_assert_str_eq (output, "{\"at_ms\":5000,\"event\":210,"
+                            "\"name\":\"forward-ended\",\"host\":\"host-a\","
+                            "\"request_id\":\"r1\",\"route\":\"a\\nb\","
+                            "\"status\":200}\n");
 }
 END_TEST
 
-/* Callers that come back at once by the thousand make a line each.  A small
-   host would spend its processor on them while it should turn them away; so
-   lines are bounded, and what was left out is told.  Warnings still come.  */
-START_TEST (a_storm_of_lines_is_bounded_and_told)
+/* Thousands of callers that retry at once cause a line each.  A small host
+   would spend its processor on logging instead of on refusing them.  So lines
+   are rate-limited and the number of dropped lines is logged; warnings are
+   still written.  */
+START_TEST (line_rate_is_limited_and_dropped_lines_are_reported)
 {
   int i;
 
@@ -73,15 +74,15 @@
              csp_number ("status", 401));
   CSP_LOG (log_under_test, CSP_EVENT_STREAM_LOST, "r2",
            csp_number ("status", 200));
-  ck_assert_uint_eq (count ("forward-turned-away"), 1000);
-  ck_assert_uint_eq (count ("stream-lost"), 1);
-  ck_assert_uint_eq (count ("lines-dropped"), 0);
-  csp_advance_fake_clock (&fake, 1000);
+  ck_assert_uint_eq (count_matches ("forward-turned-away"), 1000);
+  ck_assert_uint_eq (count_matches ("stream-lost"), 1);
+  ck_assert_uint_eq (count_matches ("lines-dropped"), 0);
+  csp_advance_fake_clock (&fake_clock, 1000);
   for (i = 0; i < 5000; i++)
     CSP_LOG (log_under_test, CSP_EVENT_FORWARD_TURNED_AWAY, "r1",
              csp_number ("status", 401));
-  ck_assert_uint_eq (count ("forward-turned-away"), 1200);
-  ck_assert_uint_eq (count ("\"lines\":4000"), 1);
+  ck_assert_uint_eq (count_matches ("forward-turned-away"), 1200);
+  ck_assert_uint_eq (count_matches ("\"lines\":4000"), 1);
 }
 END_TEST
 
@@ -92,8 +93,8 @@
   TCase *tcase = tcase_create ("log");
 
   tcase_add_checked_fixture (tcase, set_up, tear_down);
-  tcase_add_test (tcase, a_line_is_one_object);
-  tcase_add_test (tcase, a_storm_of_lines_is_bounded_and_told);
+  tcase_add_test (tcase, line_is_one_json_object);
+  tcase_add_test (tcase, line_rate_is_limited_and_dropped_lines_are_reported);
   suite_add_tcase (suite, tcase);
   return run_suite (suite);
 }
