--- a/include/cowslipspoke/fetcher.h
+++ b/include/cowslipspoke/fetcher.h
@@ -18,9 +18,9 @@
    can't be had.  */
 csp_fetcher_t *csp_create_fetcher (uint32_t thread_count);
 
-/* Stop and free a fetcher.  Queued requests end without being sent, requests
-   in flight are aborted, and the callback of each is called.  NULL is
-   allowed.  */
+/* Stop and free a fetcher.  Queued requests end without being sent; requests
+   in flight are aborted, which takes at most their timeout.  The callback of
+   each is called first.  NULL is allowed.  */
 void csp_destroy_fetcher (csp_fetcher_t *fetcher);
 
 /* Queue a GET, or a POST where post_body is not NULL.  done is called exactly
