--- a/tests/gateway/cordon-test.c
+++ b/tests/gateway/cordon-test.c
@@ -7,7 +7,7 @@
 #include <string.h>
 #include <unistd.h>
 
-/* A data centre that operators cordon while callers are served from it.  */
+/* Operators cordon a data centre while it serves callers.  */
 
 static void
 cordon (const char *data_centre, bool on)
@@ -17,28 +17,28 @@
   snprintf (update.value.cordon.data_centre,
             sizeof update.value.cordon.data_centre, "%s", data_centre);
   ck_assert (csp_update_gateway (stream.fixture.gateway, &update));
-  fixture_settle (&stream.fixture);
+  fixture_await_updates (&stream.fixture);
 }
 
 static int
-second_data_centre_target (const char *id, const char *service)
+add_target_in_second_data_centre (const char *id, const char *service)
 {
   int listener;
 
-  stream.fixture.targets_in = "dc-b";
-  listener = fixture_target (&stream.fixture, id, service);
-  stream.fixture.targets_in = NULL;
+  stream.fixture.target_data_centre = "dc-b";
+  listener = fixture_add_target (&stream.fixture, id, service);
+  stream.fixture.target_data_centre = NULL;
   return listener;
 }
 
-/* The only server of the host's own data centre is to get nothing more.
-   Requests that still go there are lost with its power; there is another one
-   elsewhere.  */
+/* The only target in the host's own data centre must get no more requests;
+   they would be lost when its power is cut.  A target in another data centre
+   gets them.  */
 START_TEST (requests_go_to_another_data_centre)
 {
-  int near = fixture_target (&stream.fixture, "p-a", "plain");
-  int far = second_data_centre_target ("p-b", "plain");
-  int caller = caller_open (&stream.fixture);
+  int near = fixture_add_target (&stream.fixture, "p-a", "plain");
+  int far = add_target_in_second_data_centre ("p-b", "plain");
+  int caller = open_caller (&stream.fixture);
   int link;
 
   cordon ("dc-a", true);
@@ -57,9 +57,10 @@
 }
 END_TEST
 
-/* All data centres of a service are cordoned.  Nobody may serve the request,
-   and a caller that isn't told so at once waits until its time is over; one
-   that is told comes back, and is served when a data centre is taken back.  */
+/* All data centres of a service are cordoned.  No target may serve the
+   request, and a caller that isn't told so at once waits until its deadline.
+   A caller that is refused with Retry-After comes back, and is served once a
+   cordon is lifted.  */
 static const struct
 {
   const char *request;
@@ -70,10 +71,10 @@
   { REQUEST ("/stream/", "r1"), "engines" },
 };
 
-START_TEST (what_nobody_may_serve_is_refused_at_once)
+START_TEST (requests_are_refused_at_once_when_all_data_centres_are_cordoned)
 {
-  int server = fixture_target (&stream.fixture, "p-a", "plain");
-  int caller = caller_open (&stream.fixture);
+  int server = fixture_add_target (&stream.fixture, "p-a", "plain");
+  int caller = open_caller (&stream.fixture);
   const char *text;
   int link;
 
@@ -84,7 +85,7 @@
   ck_assert_ptr_nonnull (strstr (text, "Retry-After: 1"));
   cordon ("dc-a", false);
   close (caller);
-  caller = caller_open (&stream.fixture);
+  caller = open_caller (&stream.fixture);
   send_text (caller, refusals[_i].request);
   link = target_accept (strcmp (refusals[_i].service, "plain") == 0
                             ? server
@@ -96,86 +97,88 @@
 }
 END_TEST
 
-/* A text runs in the data centre when its cordon comes.  It ends there, whole:
-   operators wait for what runs.  */
-START_TEST (a_stream_ends_where_it_runs)
+/* A data centre is cordoned while a stream runs there.  The stream finishes
+   there completely: operators wait for running streams.  */
+START_TEST (a_running_stream_finishes_in_a_cordoned_data_centre)
 {
   start_stream (false);
-  add_second ();
+  add_second_engine ();
   cordon ("dc-a", true);
-  send_chunk (stream.link_from, EVENT ("2", "two"));
+  send_chunk (stream.source_link, EVENT ("2", "two"));
   read_until (stream.caller, "two\n\n");
-  finish_at (stream.link_from);
-  close (stream.link_from);
+  finish_stream (stream.source_link);
+  close (stream.source_link);
 }
 END_TEST
 
-/* The engine leaves, and its run is being copied to one whose data centre is
-   cordoned in that moment.  Sent there the stream ends with the power; it is
-   copied to another data centre instead.  */
-START_TEST (a_copy_into_a_cordoned_data_centre_is_given_up)
+/* The engine leaves, and while its run is copied to another engine the data
+   centre of that engine is cordoned.  A stream that continued there would be
+   lost when the power is cut; the run is copied to another data centre
+   instead.  */
+START_TEST (a_copy_to_a_cordoned_data_centre_is_given_up)
 {
-  char awaited[64];
+  char expected[64];
   int third;
-  int copy;
+  int move_link;
 
   start_stream (false);
-  stream.fixture.targets_in = "dc-b";
-  add_second ();
-  stream.fixture.targets_in = NULL;
-  fixture_leave (&stream.fixture, stream.listeners[0], stream_ids[0],
-                 "engines");
-  copy = target_accept (stream.listeners[0]);
-  target_read (copy, 0);
-  stream.fixture.targets_in = "dc-c";
-  third = fixture_target (&stream.fixture, "t-2", "engines");
-  stream.fixture.targets_in = NULL;
+  stream.fixture.target_data_centre = "dc-b";
+  add_second_engine ();
+  stream.fixture.target_data_centre = NULL;
+  fixture_mark_leaving (&stream.fixture, stream.listeners[0],
+                        stream_engine_ids[0], "engines");
+  move_link = target_accept (stream.listeners[0]);
+  target_read (move_link, 0);
+  stream.fixture.target_data_centre = "dc-c";
+  third = fixture_add_target (&stream.fixture, "t-2", "engines");
+  stream.fixture.target_data_centre = NULL;
   cordon ("dc-b", true);
-  ck_assert (is_closed (copy));
-  close (copy);
-  csp_advance_fake_clock (&stream.fixture.fake, 120);
-  copy = target_accept (stream.listeners[0]);
-  snprintf (awaited, sizeof awaited, "&to=127.0.0.1:%u&last=0",
-            port_of (third));
-  ck_assert_ptr_nonnull (strstr (target_read (copy, 0), awaited));
-  close (copy);
+  ck_assert (await_close (move_link));
+  close (move_link);
+  csp_advance_fake_clock (&stream.fixture.fake_clock, 120);
+  move_link = target_accept (stream.listeners[0]);
+  snprintf (expected, sizeof expected, "&to=127.0.0.1:%u&last=0",
+            get_port (third));
+  ck_assert_ptr_nonnull (strstr (target_read (move_link, 0), expected));
+  close (move_link);
   close (third);
-  close (stream.link_from);
+  close (stream.source_link);
 }
 END_TEST
 
-/* A run was stopped to be moved, and the other engine had no room for its
-   rest, so that its memory lies in a cordoned data centre alone.  Within a
-   moment of the cordon it goes on there; later nothing may be sent there any
-   more, and the caller hears that its stream is cut.  */
+/* A run was stopped for a move, and the destination refused the rest of its
+   memory, so the only copy is in a cordoned data centre.  Within a second
+   after the cordon the run resumes there; later nothing may be sent there, and
+   the caller's stream is cut off.  */
 static const struct
 {
-  int passed_ms;
-  bool goes_on;
-} late_stops[] = { { 500, true }, { 1500, false } };
+  int elapsed_ms;
+  bool continues;
+} stop_delays[] = { { 500, true }, { 1500, false } };
 
-START_TEST (a_stopped_run_goes_on_in_a_cordoned_data_centre_for_a_moment)
+START_TEST (a_stopped_run_may_resume_in_a_cordoned_data_centre_for_a_second)
 {
   bool reset = false;
   int second;
-  int copy;
+  int move_link;
   int link;
 
   start_stream (false);
-  second = second_data_centre_target (stream_ids[1], "engines");
+  second = add_target_in_second_data_centre (stream_engine_ids[1], "engines");
   cordon ("dc-a", true);
-  fixture_leave (&stream.fixture, stream.listeners[0], stream_ids[0],
-                 "engines");
-  copy = target_accept (stream.listeners[0]);
-  target_read (copy, 0);
-  send_text (copy, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nh1");
-  close (copy);
-  copy = target_accept (stream.listeners[0]);
-  target_read (copy, 0);
-  close (stream.link_from);
-  csp_advance_fake_clock (&stream.fixture.fake, late_stops[_i].passed_ms);
-  send_text (copy, "HTTP/1.1 503 No\r\nContent-Length: 2\r\n\r\nh1");
-  if (late_stops[_i].goes_on)
+  fixture_mark_leaving (&stream.fixture, stream.listeners[0],
+                        stream_engine_ids[0], "engines");
+  move_link = target_accept (stream.listeners[0]);
+  target_read (move_link, 0);
+  send_text (move_link, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nh1");
+  close (move_link);
+  move_link = target_accept (stream.listeners[0]);
+  target_read (move_link, 0);
+  close (stream.source_link);
+  csp_advance_fake_clock (&stream.fixture.fake_clock,
+                          stop_delays[_i].elapsed_ms);
+  send_text (move_link, "HTTP/1.1 503 No\r\nContent-Length: 2\r\n\r\nh1");
+  if (stop_delays[_i].continues)
     {
       link = target_accept (stream.listeners[0]);
       ck_assert_ptr_nonnull (
@@ -184,14 +187,14 @@
     }
   else
     read_to_end (stream.caller, &reset);
-  close (copy);
+  close (move_link);
   close (second);
 }
 END_TEST
 
-/* Somebody cordons what is no data centre, by a name that would forge a line
-   of the metrics.  */
-START_TEST (a_strange_name_forges_no_metrics)
+/* A cordon is set for a name that is no data centre and that would forge a
+   line of the metrics unless it is escaped.  */
+START_TEST (a_cordon_name_is_escaped_in_metrics)
 {
   cordon ("x\"} 7\nforged 1", true);
   ck_assert_ptr_nonnull (strstr (fixture_page (&stream.fixture, "/metrics"),
@@ -210,14 +213,15 @@
   tcase_set_timeout (tcase, 60);
   tcase_add_checked_fixture (tcase, stream_set_up, stream_tear_down);
   tcase_add_test (tcase, requests_go_to_another_data_centre);
-  tcase_add_loop_test (tcase, what_nobody_may_serve_is_refused_at_once, 0,
-                       sizeof refusals / sizeof refusals[0]);
-  tcase_add_test (tcase, a_stream_ends_where_it_runs);
-  tcase_add_test (tcase, a_copy_into_a_cordoned_data_centre_is_given_up);
   tcase_add_loop_test (
-      tcase, a_stopped_run_goes_on_in_a_cordoned_data_centre_for_a_moment, 0,
-      sizeof late_stops / sizeof late_stops[0]);
-  tcase_add_test (tcase, a_strange_name_forges_no_metrics);
+      tcase, requests_are_refused_at_once_when_all_data_centres_are_cordoned,
+      0, sizeof refusals / sizeof refusals[0]);
+  tcase_add_test (tcase, a_running_stream_finishes_in_a_cordoned_data_centre);
+  tcase_add_test (tcase, a_copy_to_a_cordoned_data_centre_is_given_up);
+  tcase_add_loop_test (
+      tcase, a_stopped_run_may_resume_in_a_cordoned_data_centre_for_a_second,
+      0, sizeof stop_delays / sizeof stop_delays[0]);
+  tcase_add_test (tcase, a_cordon_name_is_escaped_in_metrics);
   suite_add_tcase (suite, tcase);
   return run_suite (suite);
 }
--- a/tests/gateway/gateway-fixture.c
+++ b/tests/gateway/gateway-fixture.c
@@ -40,9 +40,9 @@
 
 static void
 write_copy (const char *address, const char *handle, char *text,
-            size_t room_bytes)
+            size_t text_bytes)
 {
-  snprintf (text, room_bytes, "%s/%s", address, handle);
+  snprintf (text, text_bytes, "%s/%s", address, handle);
 }
 
 static bool
@@ -85,7 +85,7 @@
         .write_copy = write_copy };
 
 static void *
-run (void *state)
+run_gateway (void *state)
 {
   fixture_t *fixture = state;
 
@@ -112,21 +112,23 @@
 }
 
 void
-fixture_open_at (fixture_t *fixture, const struct sockaddr_in *peers)
+fixture_open_at (fixture_t *fixture,
+                 const struct sockaddr_in *datagram_address)
 {
   csp_gateway_settings_t settings = { .host = "host-a",
                                       .data_centre = "dc-a",
                                       .front = loopback (0),
                                       .ready = loopback (0),
-                                      .peers = *peers,
-                                      /* Hosts that tests play have none, so
-                                         that this one decides.  */
+                                      .peers = *datagram_address,
+                                      /* Hosts that tests simulate have no
+                                         capacity, so that this host becomes
+                                         the decider.  */
                                       .capacity = 1000,
                                       .stop_limit_ms = STOP_LIMIT_MS,
                                       .retry_share = 0.2,
                                       .retry_saved_max = 4,
                                       .retry_start = 4 };
-  uint32_t lent_retries = fixture->lent_retries;
+  uint32_t fleet_retry_limit = fixture->fleet_retry_limit;
   const struct sockaddr_in *seed = fixture->seed;
   csp_clock_t clock;
   char message[256];
@@ -135,29 +137,30 @@
   memset (fixture, 0, sizeof *fixture);
   if (seed != NULL)
     settings.seeds[settings.seed_count++] = *seed;
-  if (lent_retries > 0)
+  if (fleet_retry_limit > 0)
     {
       settings.retry_share = 0;
       settings.retry_start = 0;
-      settings.retry_extra = lent_retries;
+      settings.retry_extra = fleet_retry_limit;
       settings.retry_window_ms = 10000;
     }
-  fixture->fake.steady_ms = 1000000;
-  fixture->fake.wall_ms = 1000000;
-  clock = csp_clock_of_fake (&fixture->fake);
+  fixture->fake_clock.steady_ms = 1000000;
+  fixture->fake_clock.wall_ms = 1000000;
+  clock = csp_clock_of_fake (&fixture->fake_clock);
   fixture->gateway = csp_create_gateway (&settings, &dialect, &clock, NULL,
                                          message, sizeof message);
   ck_assert_msg (fixture->gateway != NULL, "%s", message);
-  ck_assert_int_eq (pthread_create (&fixture->thread, NULL, run, fixture), 0);
+  ck_assert_int_eq (
+      pthread_create (&fixture->thread, NULL, run_gateway, fixture), 0);
   fixture->running = true;
 }
 
-/* A stop whose limit has passed ends the run at the next tick.  */
+/* The run ends at the first tick after the stop's time limit.  */
 void
 fixture_close (fixture_t *fixture)
 {
-  fixture_update (fixture, CSP_UPDATE_STOP);
-  csp_advance_fake_clock (&fixture->fake, STOP_LIMIT_MS);
+  fixture_send_update (fixture, CSP_UPDATE_STOP);
+  csp_advance_fake_clock (&fixture->fake_clock, STOP_LIMIT_MS);
   while (fixture->running)
     {
       struct timespec limit;
@@ -171,16 +174,16 @@
         }
       if (pthread_timedjoin_np (fixture->thread, NULL, &limit) == 0)
         fixture->running = false;
-      csp_advance_fake_clock (&fixture->fake, STOP_LIMIT_MS);
+      csp_advance_fake_clock (&fixture->fake_clock, STOP_LIMIT_MS);
     }
-  if (fixture->ended != NULL)
-    fixture->ended ();
+  if (fixture->after_run != NULL)
+    fixture->after_run ();
   csp_destroy_gateway (fixture->gateway);
 }
 
 static void
 add_route (csp_routes_t *routes, const char *prefix, csp_route_kind_t kind,
-           uint32_t attempts, const char *service, bool open)
+           uint32_t attempts, const char *service, bool open_to_all)
 {
   csp_route_t route = { .name = prefix,
                         .host = "h",
@@ -189,7 +192,7 @@
                         .timeout_ms = 4000,
                         .attempts_max = attempts,
                         .urgency = 2,
-                        .open_to_all = open,
+                        .open_to_all = open_to_all,
                         .share_count = 1,
                         .shares = { { service, 1 } } };
 
@@ -197,7 +200,7 @@
 }
 
 void
-fixture_publish (fixture_t *fixture, bool with_key)
+fixture_publish_routes (fixture_t *fixture, bool with_key)
 {
   csp_caller_limits_t limits = { .head_max_bytes = 2000,
                                  .body_max_bytes = 300000,
@@ -210,7 +213,7 @@
                                   .moves_runs = true,
                                   .memory_tokens = 100000,
                                   .copy_ms_per_token = 0.05 };
-  csp_routes_t *routes = csp_create_routes (++fixture->version, limits);
+  csp_routes_t *routes = csp_create_routes (++fixture->routes_version, limits);
   csp_update_t update
       = { .kind = CSP_UPDATE_ROUTES, .value = { .routes = routes } };
 
@@ -228,7 +231,7 @@
 }
 
 void
-fixture_update (fixture_t *fixture, csp_update_kind_t kind)
+fixture_send_update (fixture_t *fixture, csp_update_kind_t kind)
 {
   csp_update_t update = { .kind = kind };
 
@@ -236,8 +239,8 @@
 }
 
 static void
-list_target (fixture_t *fixture, int listener, const char *id,
-             const char *service, bool leaving)
+send_target_row (fixture_t *fixture, int listener, const char *id,
+                 const char *service, bool leaving)
 {
   csp_update_t update = { .kind = CSP_UPDATE_TARGET };
   csp_fleet_row_t *row = &update.value.target;
@@ -246,7 +249,8 @@
   snprintf (row->id, sizeof row->id, "%s", id);
   snprintf (row->service, sizeof row->service, "%s", service);
   snprintf (row->data_centre, sizeof row->data_centre, "%s",
-            fixture->targets_in == NULL ? "dc-a" : fixture->targets_in);
+            fixture->target_data_centre == NULL ? "dc-a"
+                                                : fixture->target_data_centre);
   row->slots = 8;
   row->leaving = leaving;
   getsockname (listener, (struct sockaddr *)&row->address, &size_bytes);
@@ -254,7 +258,7 @@
 }
 
 int
-fixture_target (fixture_t *fixture, const char *id, const char *service)
+fixture_add_target (fixture_t *fixture, const char *id, const char *service)
 {
   int listener = socket (AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   struct sockaddr_in address = loopback (0);
@@ -264,28 +268,28 @@
       bind (listener, (struct sockaddr *)&address, sizeof address), 0);
   ck_assert_int_eq (listen (listener, 16), 0);
   setsockopt (listener, SOL_SOCKET, SO_RCVTIMEO, &wait, sizeof wait);
-  list_target (fixture, listener, id, service, false);
-  fixture_update (fixture, CSP_UPDATE_LISTED);
-  fixture_settle (fixture);
+  send_target_row (fixture, listener, id, service, false);
+  fixture_send_update (fixture, CSP_UPDATE_LISTED);
+  fixture_await_updates (fixture);
   return listener;
 }
 
 void
-fixture_list (fixture_t *fixture, int listener, const char *id,
-              const char *service)
+fixture_list_target (fixture_t *fixture, int listener, const char *id,
+                     const char *service)
 {
-  list_target (fixture, listener, id, service, false);
+  send_target_row (fixture, listener, id, service, false);
 }
 
 void
-fixture_leave (fixture_t *fixture, int listener, const char *id,
-               const char *service)
+fixture_mark_leaving (fixture_t *fixture, int listener, const char *id,
+                      const char *service)
 {
-  list_target (fixture, listener, id, service, true);
+  send_target_row (fixture, listener, id, service, true);
 }
 
 void
-fixture_remove (fixture_t *fixture, const char *id)
+fixture_remove_target (fixture_t *fixture, const char *id)
 {
   csp_update_t update = { .kind = CSP_UPDATE_TARGET_REMOVED };
 
@@ -307,7 +311,7 @@
 }
 
 int
-caller_open (fixture_t *fixture)
+open_caller (fixture_t *fixture)
 {
   return connect_to (csp_gateway_front_port (fixture->gateway));
 }
@@ -328,19 +332,19 @@
   return answer;
 }
 
-/* Updates are taken in order, so once a new version of the routes shows, what
-   was told before it is in force.  */
+/* Updates are handled in order, so once a new version of the routes shows in
+   the metrics, all updates sent before it are in force.  */
 void
-fixture_settle (fixture_t *fixture)
+fixture_await_updates (fixture_t *fixture)
 {
-  char awaited[64];
+  char expected[64];
 
-  if (fixture->version == 0)
+  if (fixture->routes_version == 0)
     return;
-  fixture_publish (fixture, true);
-  snprintf (awaited, sizeof awaited, "routes_version %llu",
-            (unsigned long long)fixture->version);
-  while (strstr (fixture_page (fixture, "/metrics"), awaited) == NULL)
+  fixture_publish_routes (fixture, true);
+  snprintf (expected, sizeof expected, "routes_version %llu",
+            (unsigned long long)fixture->routes_version);
+  while (strstr (fixture_page (fixture, "/metrics"), expected) == NULL)
     continue;
 }
 
@@ -363,25 +367,25 @@
   send_bytes (socket, text, strlen (text));
 }
 
-static char text_room[FIXTURE_TEXT_BYTES];
+static char text_buffer[FIXTURE_TEXT_BYTES];
 
 const char *
-read_until (int socket, const char *awaited)
+read_until (int socket, const char *expected)
 {
   size_t size_bytes = 0;
 
-  text_room[0] = '\0';
-  while (strstr (text_room, awaited) == NULL)
+  text_buffer[0] = '\0';
+  while (strstr (text_buffer, expected) == NULL)
     {
-      ssize_t got = recv (socket, text_room + size_bytes,
-                          sizeof text_room - size_bytes - 1, 0);
+      ssize_t got = recv (socket, text_buffer + size_bytes,
+                          sizeof text_buffer - size_bytes - 1, 0);
 
-      ck_assert_msg (got > 0, "awaited \"%s\" behind \"%s\": %s", awaited,
-                     text_room, got == 0 ? "closed" : strerror (errno));
+      ck_assert_msg (got > 0, "expected \"%s\" after \"%s\": %s", expected,
+                     text_buffer, got == 0 ? "closed" : strerror (errno));
       size_bytes += (size_t)got;
-      text_room[size_bytes] = '\0';
+      text_buffer[size_bytes] = '\0';
     }
-  return text_room;
+  return text_buffer;
 }
 
 const char *
@@ -390,19 +394,19 @@
   size_t size_bytes = 0;
   ssize_t got;
 
-  while ((got = recv (socket, text_room + size_bytes,
-                      sizeof text_room - size_bytes - 1, 0))
+  while ((got = recv (socket, text_buffer + size_bytes,
+                      sizeof text_buffer - size_bytes - 1, 0))
          > 0)
     size_bytes += (size_t)got;
-  ck_assert_msg (got == 0 || errno == ECONNRESET, "no end behind \"%.200s\"",
-                 text_room);
+  ck_assert_msg (got == 0 || errno == ECONNRESET, "no end after \"%.200s\"",
+                 text_buffer);
   *reset = got < 0;
-  text_room[size_bytes] = '\0';
-  return text_room;
+  text_buffer[size_bytes] = '\0';
+  return text_buffer;
 }
 
 bool
-is_closed (int socket)
+await_close (int socket)
 {
   char byte;
   ssize_t got = recv (socket, &byte, 1, 0);
@@ -427,19 +431,19 @@
   size_t size_bytes = 0;
   const char *end = NULL;
 
-  text_room[0] = '\0';
+  text_buffer[0] = '\0';
   while (end == NULL
-         || size_bytes < (size_t)(end - text_room) + 4 + body_bytes)
+         || size_bytes < (size_t)(end - text_buffer) + 4 + body_bytes)
     {
-      ssize_t got = recv (socket, text_room + size_bytes,
-                          sizeof text_room - size_bytes - 1, 0);
+      ssize_t got = recv (socket, text_buffer + size_bytes,
+                          sizeof text_buffer - size_bytes - 1, 0);
 
-      ck_assert_msg (got > 0, "the request ends at \"%.300s\"", text_room);
+      ck_assert_msg (got > 0, "the request ends at \"%.300s\"", text_buffer);
       size_bytes += (size_t)got;
-      text_room[size_bytes] = '\0';
-      end = strstr (text_room, "\r\n\r\n");
+      text_buffer[size_bytes] = '\0';
+      end = strstr (text_buffer, "\r\n\r\n");
     }
-  return text_room;
+  return text_buffer;
 }
 
 void
--- a/tests/gateway/gateway-test.c
+++ b/tests/gateway/gateway-test.c
@@ -14,7 +14,7 @@
 set_up (void)
 {
   fixture_open (&fixture);
-  fixture_publish (&fixture, true);
+  fixture_publish_routes (&fixture, true);
 }
 
 static void
@@ -23,10 +23,10 @@
   fixture_close (&fixture);
 }
 
-START_TEST (a_request_goes_on_unchanged_and_its_answer_comes_back)
+START_TEST (a_request_and_its_answer_are_forwarded_unchanged)
 {
-  int target = fixture_target (&fixture, "t-1", "plain");
-  int caller = caller_open (&fixture);
+  int target = fixture_add_target (&fixture, "t-1", "plain");
+  int caller = open_caller (&fixture);
   const char *text;
   int link;
 
@@ -65,12 +65,12 @@
 }
 END_TEST
 
-/* Requests that no route or key allows, and what the caller is told.  */
+/* Requests that no route or key allows, and the status of the answer.  */
 static const struct
 {
   const char *request;
   const char *status;
-} turned_away[] = {
+} refused_requests[] = {
   { "GET /none/ HTTP/1.1\r\nHost: h\r\nKey: key-a\r\n\r\n", " 404 " },
   { "GET /once/ HTTP/1.1\r\nHost: other\r\nKey: key-a\r\n\r\n", " 404 " },
   { "GET /once/ HTTP/1.1\r\nHost: h\r\nKey: key-b\r\n\r\n", " 401 " },
@@ -82,22 +82,22 @@
     " 413 " },
 };
 
-START_TEST (what_cannot_be_served_is_refused)
+START_TEST (a_request_that_cannot_be_served_is_refused)
 {
-  int caller = caller_open (&fixture);
+  int caller = open_caller (&fixture);
 
-  /* Nothing is listed, so what is allowed has no target yet.  */
-  fixture_settle (&fixture);
-  send_text (caller, turned_away[_i].request);
+  /* No target is listed, so requests that are allowed have no target yet.  */
+  fixture_await_updates (&fixture);
+  send_text (caller, refused_requests[_i].request);
   ck_assert_ptr_nonnull (
-      strstr (read_until (caller, "\r\n\r\n"), turned_away[_i].status));
+      strstr (read_until (caller, "\r\n\r\n"), refused_requests[_i].status));
   close (caller);
 }
 END_TEST
 
-/* A host that has just started knows no configuration.  Answering 404 or 401
-   then would tell callers that their route or key is gone.  */
-START_TEST (a_host_without_configuration_promises_nothing_ran)
+/* A host that has just started has no configuration.  If it answered 404 or
+   401, callers would conclude that their route or key was removed.  */
+START_TEST (a_host_without_configuration_answers_503)
 {
   fixture_t fresh = { .seed = NULL };
   const char *text;
@@ -105,7 +105,7 @@
 
   fixture_open (&fresh);
   ck_assert_ptr_nonnull (strstr (fixture_page (&fresh, "/readyz"), " 503 "));
-  caller = caller_open (&fresh);
+  caller = open_caller (&fresh);
   send_text (caller, REQUEST ("/once/", "r1"));
   text = read_until (caller, "\r\n\r\n");
   ck_assert_ptr_nonnull (strstr (text, " 503 "));
@@ -117,8 +117,8 @@
 
 START_TEST (requests_of_one_connection_are_answered_in_order)
 {
-  int target = fixture_target (&fixture, "t-1", "plain");
-  int caller = caller_open (&fixture);
+  int target = fixture_add_target (&fixture, "t-1", "plain");
+  int caller = open_caller (&fixture);
   int link;
 
   send_text (caller, REQUEST ("/once/", "r1") REQUEST ("/once/", "r2"));
@@ -126,7 +126,7 @@
   ck_assert_ptr_nonnull (strstr (target_read (link, 0), "Request-Id: r1"));
   send_text (link, ANSWER ("r1", "one", "3"));
   read_until (caller, "one");
-  /* The second comes on the kept connection.  */
+  /* The second request uses the kept connection.  */
   ck_assert_ptr_nonnull (strstr (target_read (link, 0), "Request-Id: r2"));
   send_text (link, ANSWER ("r2", "two", "3"));
   read_until (caller, "two");
@@ -136,15 +136,15 @@
 }
 END_TEST
 
-START_TEST (a_long_body_in_chunks_is_passed_on_as_it_comes)
+START_TEST (a_long_chunked_body_is_forwarded_as_it_arrives)
 {
   enum
   {
     PIECE_BYTES = 50000
   };
   static char piece[PIECE_BYTES + 1];
-  int target = fixture_target (&fixture, "t-1", "plain");
-  int caller = caller_open (&fixture);
+  int target = fixture_add_target (&fixture, "t-1", "plain");
+  int caller = open_caller (&fixture);
   size_t got_bytes = 0;
   const char *text;
   int link;
@@ -159,7 +159,7 @@
       send_bytes (caller, piece, PIECE_BYTES);
       send_text (caller, "\r\n");
     }
-  /* The target gets the beginning while the rest isn't sent yet.  */
+  /* The target gets the first part before the rest is sent.  */
   link = target_accept (target);
   text = target_read (link, PIECE_BYTES);
   ck_assert_ptr_nonnull (strstr (text, "Transfer-Encoding: chunked\r\n"));
@@ -168,7 +168,7 @@
   send_text (caller, "0\r\n\r\n");
   for (text = read_until (link, "0\r\n\r\n"); *text != '\0'; text++)
     got_bytes += *text == 'p';
-  /* "http" and "Prio" hold none of these letters but the head's one p.  */
+  /* The head may contain this letter too, so the count is a lower bound.  */
   ck_assert_uint_ge (got_bytes, 2 * PIECE_BYTES);
   send_text (link, ANSWER ("r1", "ok", "2"));
   read_until (caller, "ok");
@@ -178,23 +178,24 @@
 }
 END_TEST
 
-/* How one attempt ends, and what the caller of a request that may run once
-   may be told: 503 promises that it hasn't run and won't.  */
+/* How one attempt ends, and the status that the caller of a request that may
+   run once may get: 503 promises that the request hasn't run and won't
+   run.  */
 static const struct
 {
-  const char *what;
+  const char *name;
   const char *answer;
-  const char *told;
-} endings[] = {
-  { "the target says that it didn't run it",
+  const char *status;
+} attempt_endings[] = {
+  { "a 503 with Not-Run",
     "HTTP/1.1 503 Full\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n", " 503 " },
   { "another target has the address",
     "HTTP/1.1 421 Other\r\nContent-Length: 0\r\n\r\n", " 503 " },
-  { "a 503 that doesn't say so",
+  { "a 503 without Not-Run",
     "HTTP/1.1 503 Busy\r\nRequest-Id: r1\r\nSignature: s\r\n"
     "Content-Length: 0\r\n\r\n",
     " 502 " },
-  { "a 429 that doesn't say so",
+  { "a 429 without Not-Run",
     "HTTP/1.1 429 Busy\r\nRequest-Id: r1\r\nContent-Length: 0\r\n\r\n",
     " 502 " },
   { "closed without an answer", "", " 502 " },
@@ -220,33 +221,33 @@
     " 200 " },
 };
 
-START_TEST (a_request_that_may_run_once_is_told_the_truth)
+START_TEST (a_503_is_sent_only_if_the_request_has_not_run)
 {
-  int target = fixture_target (&fixture, "t-1", "plain");
-  int caller = caller_open (&fixture);
+  int target = fixture_add_target (&fixture, "t-1", "plain");
+  int caller = open_caller (&fixture);
   const char *text;
   int link;
 
   send_text (caller, REQUEST ("/once/", "r1"));
   link = target_accept (target);
   target_read (link, 0);
-  send_text (link, endings[_i].answer);
+  send_text (link, attempt_endings[_i].answer);
   close (link);
   text = read_until (caller, "\r\n\r\n");
-  ck_assert_msg (strstr (text, endings[_i].told) != NULL, "%s: %s",
-                 endings[_i].what, text);
+  ck_assert_msg (strstr (text, attempt_endings[_i].status) != NULL, "%s: %s",
+                 attempt_endings[_i].name, text);
   close (caller);
   close (target);
 }
 END_TEST
 
-/* The server crashes while it writes an answer that has no length.  The event
-   loop tells the reset that comes right behind the bytes as an orderly end,
-   and the caller would get half of the answer as a whole one.  */
-START_TEST (a_reset_behind_the_last_bytes_is_no_end)
+/* The target crashes while it writes an answer without a length.  The event
+   loop reports a reset that follows right after the bytes as an orderly end,
+   so the caller would get half of the answer as a complete one.  */
+START_TEST (a_reset_after_the_last_bytes_is_not_an_orderly_end)
 {
-  int target = fixture_target (&fixture, "t-1", "plain");
-  int caller = caller_open (&fixture);
+  int target = fixture_add_target (&fixture, "t-1", "plain");
+  int caller = open_caller (&fixture);
   const char *text;
   int link;
 
@@ -263,12 +264,13 @@
 }
 END_TEST
 
-/* A second answer to the request before arrives late, where the next one's
-   answer is due.  Passed on it would tell a caller somebody else's lines.  */
-START_TEST (a_late_second_answer_belongs_to_nobody)
+/* A second answer to the previous request arrives late, when the answer to the
+   next one is due.  If it were forwarded, a caller would get the content of
+   somebody else's answer.  */
+START_TEST (a_duplicate_answer_is_not_sent_to_the_next_request)
 {
-  int target = fixture_target (&fixture, "t-1", "plain");
-  int caller = caller_open (&fixture);
+  int target = fixture_add_target (&fixture, "t-1", "plain");
+  int caller = open_caller (&fixture);
   int link;
 
   send_text (caller, REQUEST ("/once/", "r1"));
@@ -280,19 +282,19 @@
   target_read (link, 0);
   send_text (link, ANSWER ("r1", "one", "3") ANSWER ("r2", "two", "3"));
   ck_assert_ptr_nonnull (strstr (read_until (caller, "\r\n\r\n"), " 502 "));
-  ck_assert (is_closed (link));
+  ck_assert (await_close (link));
   close (caller);
   close (link);
   close (target);
 }
 END_TEST
 
-/* An idempotent request is sent once more when its target fails it, and the
+/* An idempotent request is sent once more when its target fails, and the
    caller sees only the second answer.  */
-START_TEST (an_idempotent_request_is_sent_again)
+START_TEST (an_idempotent_request_is_retried)
 {
-  int first = fixture_target (&fixture, "t-1", "plain");
-  int caller = caller_open (&fixture);
+  int first = fixture_add_target (&fixture, "t-1", "plain");
+  int caller = open_caller (&fixture);
   const char *text;
   int second;
   int link;
@@ -300,7 +302,7 @@
   send_text (caller, REQUEST ("/safe/", "r1"));
   link = target_accept (first);
   target_read (link, 0);
-  second = fixture_target (&fixture, "t-2", "plain");
+  second = fixture_add_target (&fixture, "t-2", "plain");
   send_text (link, "HTTP/1.1 500 Oops\r\nRequest-Id: r1\r\n"
                    "Signature: s\r\nContent-Length: 0\r\n\r\n");
   close (link);
@@ -316,36 +318,36 @@
 }
 END_TEST
 
-/* The caller hangs up while its request is at a target, which would go on
-   working for nobody.  */
-START_TEST (a_caller_that_leaves_stops_its_request)
+/* The caller disconnects while its request is at a target, which would
+   otherwise go on working for nobody.  */
+START_TEST (a_disconnected_caller_cancels_its_request)
 {
-  int target = fixture_target (&fixture, "t-1", "engines");
-  int caller = caller_open (&fixture);
+  int target = fixture_add_target (&fixture, "t-1", "engines");
+  int caller = open_caller (&fixture);
   int link;
 
   send_text (caller, REQUEST ("/stream/", "r1"));
   link = target_accept (target);
   target_read (link, 0);
   close (caller);
-  ck_assert (is_closed (link));
+  ck_assert (await_close (link));
   close (link);
   close (target);
 }
 END_TEST
 
-/* A key that the operator took away is refused on a connection that is open
-   already, from the request behind the change on.  */
-START_TEST (a_key_that_is_taken_away_is_refused)
+/* A key that the operator removed is refused on a connection that is already
+   open, from the first request after the change.  */
+START_TEST (a_removed_key_is_refused)
 {
-  int target = fixture_target (&fixture, "t-1", "plain");
-  int caller = caller_open (&fixture);
+  int target = fixture_add_target (&fixture, "t-1", "plain");
+  int caller = open_caller (&fixture);
   int link;
 
   send_text (caller, REQUEST ("/once/", "r1"));
   link = target_accept (target);
   target_read (link, 0);
-  fixture_publish (&fixture, false);
+  fixture_publish_routes (&fixture, false);
   while (strstr (fixture_page (&fixture, "/metrics"), "routes_version 3")
          == NULL)
     continue;
@@ -359,20 +361,20 @@
 }
 END_TEST
 
-/* An older version of the routes comes behind a newer one, by a host that
-   lags. Were it taken, a key that is allowed would be refused, and one that
-   was taken away would be served again.  */
-START_TEST (an_older_configuration_is_not_taken)
+/* An older version of the routes arrives after a newer one, from a host that
+   lags.  If it were applied, a key that is allowed would be refused, and a
+   removed one would be served again.  */
+START_TEST (an_older_configuration_is_ignored)
 {
-  int target = fixture_target (&fixture, "t-1", "plain");
-  int caller = caller_open (&fixture);
+  int target = fixture_add_target (&fixture, "t-1", "plain");
+  int caller = open_caller (&fixture);
   int link;
 
-  fixture_publish (&fixture, true);
-  fixture.version -= 2;
-  fixture_publish (&fixture, false);
-  /* Updates are taken in order.  */
-  fixture_list (&fixture, target, "t-2", "engines");
+  fixture_publish_routes (&fixture, true);
+  fixture.routes_version -= 2;
+  fixture_publish_routes (&fixture, false);
+  /* Updates are handled in order.  */
+  fixture_list_target (&fixture, target, "t-2", "engines");
   while (strstr (fixture_page (&fixture, "/metrics"),
                  "cowslipspoke_gateway_targets 2\n")
          == NULL)
@@ -395,21 +397,20 @@
 
   tcase_set_timeout (tcase, 60);
   tcase_add_checked_fixture (tcase, set_up, tear_down);
-  tcase_add_test (tcase,
-                  a_request_goes_on_unchanged_and_its_answer_comes_back);
-  tcase_add_loop_test (tcase, what_cannot_be_served_is_refused, 0,
-                       sizeof turned_away / sizeof turned_away[0]);
-  tcase_add_test (tcase, a_host_without_configuration_promises_nothing_ran);
+  tcase_add_test (tcase, a_request_and_its_answer_are_forwarded_unchanged);
+  tcase_add_loop_test (tcase, a_request_that_cannot_be_served_is_refused, 0,
+                       sizeof refused_requests / sizeof refused_requests[0]);
+  tcase_add_test (tcase, a_host_without_configuration_answers_503);
   tcase_add_test (tcase, requests_of_one_connection_are_answered_in_order);
-  tcase_add_test (tcase, a_long_body_in_chunks_is_passed_on_as_it_comes);
-  tcase_add_loop_test (tcase, a_request_that_may_run_once_is_told_the_truth, 0,
-                       sizeof endings / sizeof endings[0]);
-  tcase_add_test (tcase, a_reset_behind_the_last_bytes_is_no_end);
-  tcase_add_test (tcase, a_late_second_answer_belongs_to_nobody);
-  tcase_add_test (tcase, an_idempotent_request_is_sent_again);
-  tcase_add_test (tcase, a_caller_that_leaves_stops_its_request);
-  tcase_add_test (tcase, a_key_that_is_taken_away_is_refused);
-  tcase_add_test (tcase, an_older_configuration_is_not_taken);
+  tcase_add_test (tcase, a_long_chunked_body_is_forwarded_as_it_arrives);
+  tcase_add_loop_test (tcase, a_503_is_sent_only_if_the_request_has_not_run, 0,
+                       sizeof attempt_endings / sizeof attempt_endings[0]);
+  tcase_add_test (tcase, a_reset_after_the_last_bytes_is_not_an_orderly_end);
+  tcase_add_test (tcase, a_duplicate_answer_is_not_sent_to_the_next_request);
+  tcase_add_test (tcase, an_idempotent_request_is_retried);
+  tcase_add_test (tcase, a_disconnected_caller_cancels_its_request);
+  tcase_add_test (tcase, a_removed_key_is_refused);
+  tcase_add_test (tcase, an_older_configuration_is_ignored);
   suite_add_tcase (suite, tcase);
   return run_suite (suite);
 }
--- a/tests/gateway/leave-test.c
+++ b/tests/gateway/leave-test.c
@@ -12,118 +12,120 @@
 
 /* Streams whose engine is told to leave.  */
 
-/* The engine will be taken away in a second and a half.  The run's memory is
-   copied while it goes on, then the run is stopped for the rest, and only when
-   the stop is confirmed it goes on elsewhere: never do two work at once, and
-   events that cross the stop still reach the caller.  */
-START_TEST (a_stream_leaves_its_target_by_two_copies)
+/* The engine is taken away in a second and a half.  The run's memory is copied
+   while the run goes on; then the run is stopped and the rest is copied.  It
+   continues elsewhere only after the stop is confirmed, so that two engines
+   never work at once.  Events sent while the stop is requested still reach the
+   caller.  */
+START_TEST (a_stream_is_moved_by_two_copies)
 {
-  char awaited[64];
+  char expected[64];
   const char *text;
-  int copy;
+  int move_link;
   int link;
 
   start_stream (false);
-  add_second ();
-  fixture_leave (&stream.fixture, stream.listeners[0], stream_ids[0],
-                 "engines");
-  copy = target_accept (stream.listeners[0]);
-  text = target_read (copy, 0);
-  snprintf (awaited, sizeof awaited, "/move?id=r1&to=127.0.0.1:%u&last=0",
-            port_of (stream.listeners[1]));
-  ck_assert_msg (strstr (text, awaited) != NULL, "%s", text);
-  send_chunk (stream.link_from, EVENT ("2", "two"));
+  add_second_engine ();
+  fixture_mark_leaving (&stream.fixture, stream.listeners[0],
+                        stream_engine_ids[0], "engines");
+  move_link = target_accept (stream.listeners[0]);
+  text = target_read (move_link, 0);
+  snprintf (expected, sizeof expected, "/move?id=r1&to=127.0.0.1:%u&last=0",
+            get_port (stream.listeners[1]));
+  ck_assert_msg (strstr (text, expected) != NULL, "%s", text);
+  send_chunk (stream.source_link, EVENT ("2", "two"));
   read_until (stream.caller, "two\n\n");
-  send_text (copy, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nh1");
-  close (copy);
-  copy = target_accept (stream.listeners[0]);
-  ck_assert_ptr_nonnull (strstr (target_read (copy, 0), "last=1"));
-  send_chunk (stream.link_from, EVENT ("3", "three"));
-  close (stream.link_from);
+  send_text (move_link, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nh1");
+  close (move_link);
+  move_link = target_accept (stream.listeners[0]);
+  ck_assert_ptr_nonnull (strstr (target_read (move_link, 0), "last=1"));
+  send_chunk (stream.source_link, EVENT ("3", "three"));
+  close (stream.source_link);
   read_until (stream.caller, "three\n\n");
-  send_text (copy, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nh1");
+  send_text (move_link, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nh1");
   link = target_accept (stream.listeners[1]);
   text = target_read (link, 2);
-  snprintf (awaited, sizeof awaited, "Go-On-From: 127.0.0.1:%u/h1\r\n",
-            port_of (stream.listeners[0]));
-  ck_assert_msg (strstr (text, awaited) != NULL, "%s", text);
+  snprintf (expected, sizeof expected, "Go-On-From: 127.0.0.1:%u/h1\r\n",
+            get_port (stream.listeners[0]));
+  ck_assert_msg (strstr (text, expected) != NULL, "%s", text);
   ck_assert_ptr_nonnull (strstr (text, "Last-Event-Id: 3\r\n"));
   ck_assert_ptr_nonnull (strstr (text, "Target-Id: t-1\r\n"));
   send_text (link, STREAM_HEAD);
   send_chunk (link, EVENT ("4", "four"));
   read_until (stream.caller, "four\n\n");
-  finish_at (link);
+  finish_stream (link);
   close (link);
-  close (copy);
+  close (move_link);
 }
 END_TEST
 
-/* A stream leaves its engine, which has made the first copy and is asked for
-   the last one.  Returns the connection of that question.  */
+/* Start a stream whose engine leaves, has made the first copy and is asked for
+   the last one.  Returns the connection of that last request.  */
 static int
-reach_the_stop (void)
+start_final_copy (void)
 {
-  int copy;
+  int move_link;
 
   start_stream (false);
-  add_second ();
-  fixture_leave (&stream.fixture, stream.listeners[0], stream_ids[0],
-                 "engines");
-  copy = target_accept (stream.listeners[0]);
-  target_read (copy, 0);
-  send_text (copy, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nh1");
-  close (copy);
-  copy = target_accept (stream.listeners[0]);
-  target_read (copy, 0);
-  return copy;
+  add_second_engine ();
+  fixture_mark_leaving (&stream.fixture, stream.listeners[0],
+                        stream_engine_ids[0], "engines");
+  move_link = target_accept (stream.listeners[0]);
+  target_read (move_link, 0);
+  send_text (move_link, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nh1");
+  close (move_link);
+  move_link = target_accept (stream.listeners[0]);
+  target_read (move_link, 0);
+  return move_link;
 }
 
-/* The other engine has no room for the rest.  The source still holds all of
-   the run, which goes on there, by the handle of its own answer.  */
-START_TEST (a_stopped_stream_without_room_goes_on_at_its_source)
+/* The destination refuses the rest of the memory.  The source still has all of
+   the run, which continues there, by the handle in the source's answer.  */
+START_TEST (a_stopped_stream_continues_at_its_source_when_the_copy_is_refused)
 {
-  int copy = reach_the_stop ();
+  int move_link = start_final_copy ();
   int link;
 
-  close (stream.link_from);
-  send_text (copy, "HTTP/1.1 503 No\r\nContent-Length: 2\r\n\r\nh1");
+  close (stream.source_link);
+  send_text (move_link, "HTTP/1.1 503 No\r\nContent-Length: 2\r\n\r\nh1");
   link = target_accept (stream.listeners[0]);
   ck_assert_ptr_nonnull (strstr (target_read (link, 2), "Target-Id: t-0\r\n"));
   send_text (link, STREAM_HEAD);
   send_chunk (link, EVENT ("2", "two"));
   read_until (stream.caller, "two\n\n");
-  finish_at (link);
+  finish_stream (link);
   close (link);
-  close (copy);
+  close (move_link);
 }
 END_TEST
 
-/* The engine that the run was copied to has crashed by the time the run is
-   stopped, and its entry is gone.  A stream that is sent there ends; the
-   source still holds all of the run.  */
-START_TEST (a_stopped_stream_whose_destination_is_gone_stays_at_its_source)
+/* The destination has crashed by the time the run is stopped, and it was
+   removed from the list.  A stream sent there would be lost; the source still
+   has all of the run.  */
+START_TEST (
+    a_stopped_stream_continues_at_its_source_when_the_destination_is_gone)
 {
-  int copy = reach_the_stop ();
+  int move_link = start_final_copy ();
   int link;
 
-  fixture_remove (&stream.fixture, stream_ids[1]);
-  fixture_settle (&stream.fixture);
-  close (stream.link_from);
-  send_text (copy, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nh1");
+  fixture_remove_target (&stream.fixture, stream_engine_ids[1]);
+  fixture_await_updates (&stream.fixture);
+  close (stream.source_link);
+  send_text (move_link, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nh1");
   link = target_accept (stream.listeners[0]);
   ck_assert_ptr_nonnull (strstr (target_read (link, 2), "Target-Id: t-0\r\n"));
   close (link);
-  close (copy);
+  close (move_link);
 }
 END_TEST
 
-/* Guards against a run that goes on at an engine that has asked for a wait
-   while the run was copied there; its source still holds it.  */
+/* Guards against a run that continues at an engine that has asked for a
+   backoff while the run was copied there; its source still has the run.  */
 START_TEST (
-    a_stopped_stream_whose_destination_wants_a_wait_stays_at_its_source)
+    a_stopped_stream_continues_at_its_source_when_the_destination_backs_off)
 {
-  int copy = reach_the_stop ();
-  int caller = caller_open (&stream.fixture);
+  int move_link = start_final_copy ();
+  int caller = open_caller (&stream.fixture);
   int link;
 
   send_text (caller, REQUEST ("/stream/", "r2"));
@@ -134,57 +136,59 @@
   read_until (caller, " 503 ");
   close (link);
   close (caller);
-  close (stream.link_from);
-  send_text (copy, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nh1");
+  close (stream.source_link);
+  send_text (move_link, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nh1");
   link = target_accept (stream.listeners[0]);
   ck_assert_ptr_nonnull (strstr (target_read (link, 2), "Target-Id: t-0\r\n"));
   close (link);
-  close (copy);
+  close (move_link);
 }
 END_TEST
 
-/* The second engine gets its notice while the run is still being copied there.
-   Stopped for it, the run would have to move once more with half of the time
-   gone; it goes on where it is and is copied to a third one.  */
+/* The destination is told to leave while the run is still being copied there.
+   If the run were stopped for it, the run would have to move once more with
+   half of the time used; it goes on where it is and is copied to a third
+   engine.  */
 START_TEST (a_copy_to_an_engine_that_leaves_too_is_given_up)
 {
-  char awaited[64];
+  char expected[64];
   int third;
-  int copy;
+  int move_link;
 
   start_stream (false);
-  add_second ();
-  fixture_leave (&stream.fixture, stream.listeners[0], stream_ids[0],
-                 "engines");
-  copy = target_accept (stream.listeners[0]);
-  target_read (copy, 0);
-  third = fixture_target (&stream.fixture, "t-2", "engines");
-  fixture_leave (&stream.fixture, stream.listeners[1], stream_ids[1],
-                 "engines");
-  ck_assert (is_closed (copy));
-  close (copy);
-  csp_advance_fake_clock (&stream.fixture.fake, 120);
-  copy = target_accept (stream.listeners[0]);
-  snprintf (awaited, sizeof awaited, "&to=127.0.0.1:%u&last=0",
-            port_of (third));
-  ck_assert_ptr_nonnull (strstr (target_read (copy, 0), awaited));
-  close (copy);
+  add_second_engine ();
+  fixture_mark_leaving (&stream.fixture, stream.listeners[0],
+                        stream_engine_ids[0], "engines");
+  move_link = target_accept (stream.listeners[0]);
+  target_read (move_link, 0);
+  third = fixture_add_target (&stream.fixture, "t-2", "engines");
+  fixture_mark_leaving (&stream.fixture, stream.listeners[1],
+                        stream_engine_ids[1], "engines");
+  ck_assert (await_close (move_link));
+  close (move_link);
+  csp_advance_fake_clock (&stream.fixture.fake_clock, 120);
+  move_link = target_accept (stream.listeners[0]);
+  snprintf (expected, sizeof expected, "&to=127.0.0.1:%u&last=0",
+            get_port (third));
+  ck_assert_ptr_nonnull (strstr (target_read (move_link, 0), expected));
+  close (move_link);
   close (third);
-  close (stream.link_from);
+  close (stream.source_link);
 }
 END_TEST
 
-/* The stop is refused and the run goes on where it is: so does the stream.  */
-START_TEST (a_stream_that_was_not_stopped_goes_on)
+/* The engine refuses to stop the run, which goes on there, and so does the
+   stream.  */
+START_TEST (a_stream_continues_when_its_stop_is_refused)
 {
-  int copy = reach_the_stop ();
+  int move_link = start_final_copy ();
 
-  send_text (copy, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
-  close (copy);
-  send_chunk (stream.link_from, EVENT ("2", "two"));
+  send_text (move_link, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
+  close (move_link);
+  send_chunk (stream.source_link, EVENT ("2", "two"));
   read_until (stream.caller, "two\n\n");
-  finish_at (stream.link_from);
-  close (stream.link_from);
+  finish_stream (stream.source_link);
+  close (stream.source_link);
   ck_assert_ptr_nonnull (
       strstr (fixture_page (&stream.fixture, "/metrics"),
               "cowslipspoke_organisation_time_to_first_token_seconds_count{"
@@ -192,160 +196,163 @@
 }
 END_TEST
 
-/* A run that is too young has no whole copy at its backup yet.  Giving it up
-   for that copy loses it, so it is moved as if it had none.  */
-START_TEST (a_young_run_is_not_given_up_for_its_backup)
+/* A run that has just started has no complete copy at its backup yet.  Stopped
+   in favour of that copy it would be lost, so it is moved as if it had no
+   backup.  */
+START_TEST (a_run_with_an_incomplete_backup_is_moved)
 {
-  int copy;
+  int move_link;
 
   start_stream (true);
-  fixture_leave (&stream.fixture, stream.listeners[stream.from],
-                 stream_ids[stream.from], "engines");
-  copy = target_accept (stream.listeners[stream.from]);
-  ck_assert_ptr_nonnull (strstr (target_read (copy, 0), "last=0"));
-  close (copy);
-  close (stream.link_from);
+  fixture_mark_leaving (&stream.fixture, stream.listeners[stream.source],
+                        stream_engine_ids[stream.source], "engines");
+  move_link = target_accept (stream.listeners[stream.source]);
+  ck_assert_ptr_nonnull (strstr (target_read (move_link, 0), "last=0"));
+  close (move_link);
+  close (stream.source_link);
 }
 END_TEST
 
-START_TEST (a_run_with_a_whole_backup_goes_on_there_at_once)
+START_TEST (a_run_with_a_complete_backup_continues_there_at_once)
 {
   int link;
 
   start_stream (true);
-  csp_advance_fake_clock (&stream.fixture.fake, 2000);
-  fixture_leave (&stream.fixture, stream.listeners[stream.from],
-                 stream_ids[stream.from], "engines");
-  ck_assert (is_closed (stream.link_from));
-  close (stream.link_from);
-  link = target_accept (stream.listeners[1 - stream.from]);
+  csp_advance_fake_clock (&stream.fixture.fake_clock, 2000);
+  fixture_mark_leaving (&stream.fixture, stream.listeners[stream.source],
+                        stream_engine_ids[stream.source], "engines");
+  ck_assert (await_close (stream.source_link));
+  close (stream.source_link);
+  link = target_accept (stream.listeners[1 - stream.source]);
   ck_assert_ptr_nonnull (strstr (target_read (link, 2), "Go-On-From: "));
   send_text (link, STREAM_HEAD);
   send_chunk (link, EVENT ("2", "two"));
   read_until (stream.caller, "two\n\n");
-  finish_at (link);
+  finish_stream (link);
   close (link);
 }
 END_TEST
 
-/* Guesses of the length are far off in the tails.  A run that has outlived its
-   guess many times over is not about to end: left where it is, it is lost with
-   its engine.  */
-START_TEST (a_run_past_its_guess_is_not_taken_for_nearly_done)
+/* Estimates of the output length are sometimes far too low.  A run many times
+   longer than its estimate must not be assumed to end soon: if it isn't moved
+   it is lost with its engine.  */
+START_TEST (a_run_past_its_estimate_is_not_assumed_nearly_done)
 {
   int link;
 
-  start_guessed_stream (true, 10);
-  csp_advance_fake_clock (&stream.fixture.fake, 800);
-  send_chunk (stream.link_from, EVENT ("2", "two"));
+  start_stream_with_hint (true, 10);
+  csp_advance_fake_clock (&stream.fixture.fake_clock, 800);
+  send_chunk (stream.source_link, EVENT ("2", "two"));
   read_until (stream.caller, "two\n\n");
-  csp_advance_fake_clock (&stream.fixture.fake, 800);
-  send_chunk (stream.link_from, EVENT ("3", "three"));
+  csp_advance_fake_clock (&stream.fixture.fake_clock, 800);
+  send_chunk (stream.source_link, EVENT ("3", "three"));
   read_until (stream.caller, "three\n\n");
-  fixture_leave (&stream.fixture, stream.listeners[stream.from],
-                 stream_ids[stream.from], "engines");
-  ck_assert (is_closed (stream.link_from));
-  close (stream.link_from);
-  link = target_accept (stream.listeners[1 - stream.from]);
+  fixture_mark_leaving (&stream.fixture, stream.listeners[stream.source],
+                        stream_engine_ids[stream.source], "engines");
+  ck_assert (await_close (stream.source_link));
+  close (stream.source_link);
+  link = target_accept (stream.listeners[1 - stream.source]);
   ck_assert_ptr_nonnull (strstr (target_read (link, 2), "Go-On-From: "));
   close (link);
 }
 END_TEST
 
-/* A run looked nearly done when its engine's notice came, and is left where it
-   is.  It writes on, with no other stream there that would make the host look
-   again; the engine ends and the text is cut.  */
-START_TEST (a_run_that_does_not_end_in_time_is_moved_after_all)
+/* A run looks nearly done when its engine is told to leave, so it isn't moved
+   at once.  It goes on past its estimate, and no other stream there makes the
+   host check again.  Unless the host checks by itself, the engine ends and the
+   stream is cut off.  */
+START_TEST (a_nearly_done_run_that_does_not_end_in_time_is_moved)
 {
-  int copy;
-
-  start_guessed_stream (false, 40);
-  add_second ();
-  fixture_leave (&stream.fixture, stream.listeners[0], stream_ids[0],
-                 "engines");
-  fixture_settle (&stream.fixture);
-  csp_advance_fake_clock (&stream.fixture.fake, 600);
-  copy = target_accept (stream.listeners[0]);
-  ck_assert_ptr_nonnull (strstr (target_read (copy, 0), "last=0"));
-  close (copy);
-  close (stream.link_from);
+  int move_link;
+
+  start_stream_with_hint (false, 40);
+  add_second_engine ();
+  fixture_mark_leaving (&stream.fixture, stream.listeners[0],
+                        stream_engine_ids[0], "engines");
+  fixture_await_updates (&stream.fixture);
+  csp_advance_fake_clock (&stream.fixture.fake_clock, 600);
+  move_link = target_accept (stream.listeners[0]);
+  ck_assert_ptr_nonnull (strstr (target_read (move_link, 0), "last=0"));
+  close (move_link);
+  close (stream.source_link);
 }
 END_TEST
 
-/* The platform has been heard, and then for so long not.  */
+/* Report that the platform was read, and let this much time pass without
+   another read.  */
 static void
-hear_nothing_for (int64_t silent_ms)
+silence_platform (int64_t silent_ms)
 {
-  fixture_update (&stream.fixture, CSP_UPDATE_PLATFORM_HEARD);
-  fixture_settle (&stream.fixture);
-  csp_advance_fake_clock (&stream.fixture.fake, silent_ms);
+  fixture_send_update (&stream.fixture, CSP_UPDATE_PLATFORM_HEARD);
+  fixture_await_updates (&stream.fixture);
+  csp_advance_fake_clock (&stream.fixture.fake_clock, silent_ms);
 }
 
 static bool
-has_asked (int questions)
+has_query_count (int query_count)
 {
   char text[80];
 
   snprintf (text, sizeof text,
-            "cowslipspoke_gateway_target_reports_total %d\n", questions);
+            "cowslipspoke_gateway_target_reports_total %d\n", query_count);
   return strstr (fixture_page (&stream.fixture, "/metrics"), text) != NULL;
 }
 
-/* The platform's store is down, and the engine is told to leave meanwhile: the
-   list of targets can't say so.  Without asking the engine the text is cut
-   when it goes.  */
-START_TEST (a_target_is_asked_when_the_platform_says_nothing)
+/* The platform's store is down while the engine is told to leave, so the list
+   of targets doesn't show it.  Unless the engine is queried, the stream is cut
+   off when the engine ends.  */
+START_TEST (a_target_is_queried_while_the_platform_is_silent)
 {
   int report;
 
   start_stream (false);
-  hear_nothing_for (500);
-  fixture_settle (&stream.fixture);
-  ck_assert (has_asked (0));
-  csp_advance_fake_clock (&stream.fixture.fake, 300);
+  silence_platform (500);
+  fixture_await_updates (&stream.fixture);
+  ck_assert (has_query_count (0));
+  csp_advance_fake_clock (&stream.fixture.fake_clock, 300);
   report = target_accept (stream.listeners[0]);
   ck_assert_ptr_nonnull (strstr (target_read (report, 0), "GET /report"));
-  add_second ();
+  add_second_engine ();
   send_text (report, "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\nleaving");
-  /* The same connection, as nothing about it is in doubt.  */
+  /* The connection is used again, as its state is known.  */
   ck_assert_ptr_nonnull (strstr (target_read (report, 0), "last=0"));
   close (report);
-  close (stream.link_from);
+  close (stream.source_link);
 }
 END_TEST
 
-/* The engine that was asked is well: nothing moves.  It is asked again later,
-   on the same connection; and also for some seconds behind the platform's
-   return, as engines that are gone stay in the list for so long.  They look
-   empty, and streams that leave others would be sent there.  */
-START_TEST (engines_are_asked_until_the_list_is_sure_again)
+/* The queried engine doesn't leave, so nothing moves.  It is queried again
+   later on the same connection, also for some seconds after the platform is
+   read again: engines that are gone stay in the list that long and look empty,
+   so leaving streams would be sent there.  */
+START_TEST (engines_are_queried_until_the_target_list_is_reliable)
 {
   int report;
 
   start_stream (false);
-  hear_nothing_for (800);
+  silence_platform (800);
   report = target_accept (stream.listeners[0]);
   target_read (report, 0);
   send_text (report, "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=9\r\n"
                      "Content-Length: 2\r\n\r\nok");
-  fixture_update (&stream.fixture, CSP_UPDATE_PLATFORM_HEARD);
-  fixture_settle (&stream.fixture);
-  csp_advance_fake_clock (&stream.fixture.fake, 450);
+  fixture_send_update (&stream.fixture, CSP_UPDATE_PLATFORM_HEARD);
+  fixture_await_updates (&stream.fixture);
+  csp_advance_fake_clock (&stream.fixture.fake_clock, 450);
   ck_assert_ptr_nonnull (strstr (target_read (report, 0), "GET /report"));
   send_text (report, "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=9\r\n"
                      "Content-Length: 2\r\n\r\nok");
-  send_chunk (stream.link_from, EVENT ("2", "two"));
+  send_chunk (stream.source_link, EVENT ("2", "two"));
   read_until (stream.caller, "two\n\n");
-  finish_at (stream.link_from);
+  finish_stream (stream.source_link);
   close (report);
-  close (stream.link_from);
+  close (stream.source_link);
 }
 END_TEST
 
-/* Thousands of engines can't all be asked at once: the host that decides would
-   answer no ask for a place meanwhile.  They are asked in turns, and each
-   one's comes.  */
-START_TEST (many_engines_are_asked_in_turns)
+/* Thousands of engines can't all be queried at once: the decider would answer
+   no ask meanwhile.  They are queried in batches, and each engine is
+   reached.  */
+START_TEST (many_engines_are_queried_in_batches)
 {
   char id[16];
   int i;
@@ -353,35 +360,36 @@
   for (i = 1; i < 100; i++)
     {
       snprintf (id, sizeof id, "many-%d", i);
-      fixture_list (&stream.fixture, stream.listeners[0], id, "engines");
+      fixture_list_target (&stream.fixture, stream.listeners[0], id,
+                           "engines");
     }
-  fixture_settle (&stream.fixture);
-  hear_nothing_for (800);
-  while (!has_asked (100))
+  fixture_await_updates (&stream.fixture);
+  silence_platform (800);
+  while (!has_query_count (100))
     continue;
 }
 END_TEST
 
-/* Send the gateway what another host tells.  */
+/* Send the gateway a datagram of another host.  */
 static void
-tell (const csp_hello_t *hello)
+send_hello (const csp_hello_t *hello)
 {
   int sender = socket (AF_INET, SOCK_DGRAM, 0);
   csp_buffer_t bytes = { 0 };
 
   ck_assert (csp_encode_hello (hello, &bytes));
   ck_assert_int_eq (sendto (sender, bytes.data, bytes.size_bytes, 0,
-                            (struct sockaddr *)&stream.peers,
-                            sizeof stream.peers),
+                            (struct sockaddr *)&stream.datagram_address,
+                            sizeof stream.datagram_address),
                     (int)bytes.size_bytes);
   csp_clear_buffer (&bytes);
   close (sender);
 }
 
-/* Another host fills an engine that has just come, and tells so before this
-   host has read of the engine.  Were that forgotten, this host would take the
-   full engine for an idle one.  */
-START_TEST (a_load_that_is_told_before_its_target_is_listed_counts)
+/* Another host fills a new engine and reports the load before this host has
+   read the engine from the list.  If the report were lost, this host would
+   take the full engine for an idle one.  */
+START_TEST (a_load_reported_before_its_target_is_listed_counts)
 {
   csp_hello_t hello = { .boot = 1,
                         .sequence = 1,
@@ -394,15 +402,15 @@
   int links[2];
   size_t i;
 
-  tell (&hello);
+  send_hello (&hello);
   while (strstr (fixture_page (&stream.fixture, "/metrics"),
                  "cowslipspoke_gateway_peers 1\n")
          == NULL)
     continue;
-  add_second ();
+  add_second_engine ();
   for (i = 0; i < 2; i++)
     {
-      callers[i] = caller_open (&stream.fixture);
+      callers[i] = open_caller (&stream.fixture);
       send_text (callers[i], "GET /stream/ HTTP/1.1\r\nHost: h\r\n"
                              "Key: key-a\r\nRequest-Id: r1\r\n"
                              "Tokens: 100,2000\r\n\r\n");
@@ -417,150 +425,151 @@
 }
 END_TEST
 
-/* The next load that the gateway tells another host.  */
+/* Receive the next load that the gateway reports to another host.  */
 static csp_peer_load_t
-await_load (int host)
+receive_load (int peer_socket)
 {
-  char room[CSP_HELLO_MAX_BYTES];
+  char datagram[CSP_HELLO_MAX_BYTES];
   csp_hello_t hello;
 
   for (;;)
     {
-      ssize_t size_bytes = recv (host, room, sizeof room, 0);
+      ssize_t size_bytes = recv (peer_socket, datagram, sizeof datagram, 0);
 
       ck_assert_int_gt (size_bytes, 0);
-      ck_assert (csp_decode_hello (room, (size_t)size_bytes, &hello));
+      ck_assert (csp_decode_hello (datagram, (size_t)size_bytes, &hello));
       if (hello.load_count > 0)
         return hello.loads[0];
     }
 }
 
-/* Read what the gateway tells another host until it tells of a stream that
-   would have to be moved; how many tokens.  */
+/* Receive the gateway's reports to another host until one shows tokens of a
+   stream that would have to be moved.  Returns their number.  */
 static uint32_t
-await_movable (int host)
+await_movable_tokens (int peer_socket)
 {
   csp_peer_load_t load;
 
   do
-    load = await_load (host);
+    load = receive_load (peer_socket);
   while (load.movable_tokens == 0);
   return load.movable_tokens;
 }
 
 static void
-await_no_request (int host)
+await_no_requests (int peer_socket)
 {
-  while (await_load (host).requests > 0)
+  while (receive_load (peer_socket).requests > 0)
     continue;
 }
 
-/* A host that would decide next, and so is told the gateway's loads.  */
+/* Open a host that would be the next decider and therefore gets the gateway's
+   loads.  */
 static int
-open_other_host (void)
+open_peer_host (void)
 {
   csp_hello_t hello = { .boot = 1, .sequence = 1 };
   struct timeval wait = { .tv_sec = 5 };
   csp_buffer_t bytes = { 0 };
-  int host = socket (AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0);
+  int peer_socket = socket (AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0);
 
-  setsockopt (host, SOL_SOCKET, SO_RCVTIMEO, &wait, sizeof wait);
+  setsockopt (peer_socket, SOL_SOCKET, SO_RCVTIMEO, &wait, sizeof wait);
   ck_assert (csp_encode_hello (&hello, &bytes));
-  ck_assert_int_eq (sendto (host, bytes.data, bytes.size_bytes, 0,
-                            (struct sockaddr *)&stream.peers,
-                            sizeof stream.peers),
+  ck_assert_int_eq (sendto (peer_socket, bytes.data, bytes.size_bytes, 0,
+                            (struct sockaddr *)&stream.datagram_address,
+                            sizeof stream.datagram_address),
                     (int)bytes.size_bytes);
   csp_clear_buffer (&bytes);
   while (strstr (fixture_page (&stream.fixture, "/metrics"),
                  "cowslipspoke_gateway_peers 1\n")
          == NULL)
     continue;
-  return host;
+  return peer_socket;
 }
 
-/* Where nobody decides hosts move their streams from an engine in turns, by
-   what each told that it has to move there.  Streams that had ended stayed
-   counted, so after some minutes every other host waited for a turn that came
-   after the engine was gone, and its texts were cut.  */
-START_TEST (a_stream_that_has_ended_is_not_told_as_one_to_move)
+/* Without a decider, hosts take turns to move their streams from an engine, by
+   the tokens that each reported as movable there.  Streams that had ended
+   stayed counted, so after some minutes every other host waited for a turn
+   that came after the engine was gone, and its streams were cut off.  */
+START_TEST (an_ended_stream_is_not_reported_as_movable)
 {
-  int host = open_other_host ();
+  int peer_socket = open_peer_host ();
   uint32_t tokens;
 
   start_stream (false);
-  tokens = await_movable (host);
-  finish_at (stream.link_from);
-  close (stream.link_from);
+  tokens = await_movable_tokens (peer_socket);
+  finish_stream (stream.source_link);
+  close (stream.source_link);
   close (stream.caller);
-  /* An end and a start within the moment in which changes are told together
-     are none.  */
-  await_no_request (host);
+  /* An end and a start within the interval in which changes are reported
+     together would not show.  */
+  await_no_requests (peer_socket);
   start_stream (false);
-  ck_assert_uint_eq (await_movable (host), tokens);
-  finish_at (stream.link_from);
-  close (stream.link_from);
-  close (host);
+  ck_assert_uint_eq (await_movable_tokens (peer_socket), tokens);
+  finish_stream (stream.source_link);
+  close (stream.source_link);
+  close (peer_socket);
 }
 END_TEST
 
-/* The platform says nothing, and the host that decides has asked an engine and
-   heard that it leaves.  The others move their streams by its word.  */
-START_TEST (another_host_tells_that_a_target_leaves)
+/* The platform is silent, and the decider has queried an engine that leaves.
+   The other hosts move their streams when they get its notice.  */
+START_TEST (a_leaving_notice_of_another_host_moves_streams)
 {
   csp_hello_t hello = { .boot = 1,
                         .sequence = 1,
                         .leaving = true,
                         .left_count = 2,
                         .left = { 77, csp_hash_pair ("target", "t-0") } };
-  int copy;
+  int move_link;
 
   start_stream (false);
-  add_second ();
-  tell (&hello);
-  copy = target_accept (stream.listeners[0]);
-  ck_assert_ptr_nonnull (strstr (target_read (copy, 0), "last=0"));
-  close (copy);
-  close (stream.link_from);
+  add_second_engine ();
+  send_hello (&hello);
+  move_link = target_accept (stream.listeners[0]);
+  ck_assert_ptr_nonnull (strstr (target_read (move_link, 0), "last=0"));
+  close (move_link);
+  close (stream.source_link);
 }
 END_TEST
 
-/* Wait until the gateway has noticed so many failures of moves.  */
+/* Wait until the gateway has counted this many failed moves.  */
 static void
 await_failed_moves (int count)
 {
-  char awaited[80];
+  char expected[80];
 
-  snprintf (awaited, sizeof awaited,
+  snprintf (expected, sizeof expected,
             "cowslipspoke_gateway_stream_moves_failed_total %d\n", count);
-  while (strstr (fixture_page (&stream.fixture, "/metrics"), awaited) == NULL)
+  while (strstr (fixture_page (&stream.fixture, "/metrics"), expected) == NULL)
     usleep (1000);
 }
 
-/* The engine chosen for a stream has no room.  There is some a moment later,
-   with each run that ends; a host that gives up after a few refusals loses the
-   text with its engine.  */
+/* The engine chosen for a stream has no free memory.  Memory becomes free
+   shortly after, with each run that ends; a host that gave up after a few
+   refusals would lose the stream with its engine.  */
 START_TEST (a_refused_move_is_tried_again)
 {
   int tries;
-  int copy;
+  int move_link;
 
   start_stream (false);
-  add_second ();
-  fixture_leave (&stream.fixture, stream.listeners[0], stream_ids[0],
-                 "engines");
+  add_second_engine ();
+  fixture_mark_leaving (&stream.fixture, stream.listeners[0],
+                        stream_engine_ids[0], "engines");
   for (tries = 0; tries < 8; tries++)
     {
-      copy = target_accept (stream.listeners[0]);
-      ck_assert_ptr_nonnull (strstr (target_read (copy, 0), "last=0"));
-      send_text (copy, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
-      close (copy);
+      move_link = target_accept (stream.listeners[0]);
+      ck_assert_ptr_nonnull (strstr (target_read (move_link, 0), "last=0"));
+      send_text (move_link, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
+      close (move_link);
       await_failed_moves (tries + 1);
-      csp_advance_fake_clock (&stream.fixture.fake, 120);
+      csp_advance_fake_clock (&stream.fixture.fake_clock, 120);
     }
-  send_chunk (stream.link_from, EVENT ("2", "two"));
+  send_chunk (stream.source_link, EVENT ("2", "two"));
   read_until (stream.caller, "two\n\n");
-  finish_at (stream.link_from);
-  close (stream.link_from);
+  finish_stream (stream.source_link);
+  close (stream.source_link);
 }
 END_TEST
 
@@ -572,27 +581,30 @@
 
   tcase_set_timeout (tcase, 60);
   tcase_add_checked_fixture (tcase, stream_set_up, stream_tear_down);
-  tcase_add_test (tcase, a_stream_leaves_its_target_by_two_copies);
-  tcase_add_test (tcase, a_stopped_stream_without_room_goes_on_at_its_source);
+  tcase_add_test (tcase, a_stream_is_moved_by_two_copies);
+  tcase_add_test (
+      tcase,
+      a_stopped_stream_continues_at_its_source_when_the_copy_is_refused);
   tcase_add_test (
-      tcase, a_stopped_stream_whose_destination_is_gone_stays_at_its_source);
+      tcase,
+      a_stopped_stream_continues_at_its_source_when_the_destination_is_gone);
   tcase_add_test (
       tcase,
-      a_stopped_stream_whose_destination_wants_a_wait_stays_at_its_source);
+      a_stopped_stream_continues_at_its_source_when_the_destination_backs_off);
   tcase_add_test (tcase, a_copy_to_an_engine_that_leaves_too_is_given_up);
-  tcase_add_test (tcase, a_stream_that_was_not_stopped_goes_on);
-  tcase_add_test (tcase, a_young_run_is_not_given_up_for_its_backup);
-  tcase_add_test (tcase, a_run_with_a_whole_backup_goes_on_there_at_once);
-  tcase_add_test (tcase, a_run_past_its_guess_is_not_taken_for_nearly_done);
-  tcase_add_test (tcase, a_run_that_does_not_end_in_time_is_moved_after_all);
-  tcase_add_test (tcase, a_target_is_asked_when_the_platform_says_nothing);
-  tcase_add_test (tcase, engines_are_asked_until_the_list_is_sure_again);
+  tcase_add_test (tcase, a_stream_continues_when_its_stop_is_refused);
+  tcase_add_test (tcase, a_run_with_an_incomplete_backup_is_moved);
+  tcase_add_test (tcase, a_run_with_a_complete_backup_continues_there_at_once);
+  tcase_add_test (tcase, a_run_past_its_estimate_is_not_assumed_nearly_done);
+  tcase_add_test (tcase, a_nearly_done_run_that_does_not_end_in_time_is_moved);
+  tcase_add_test (tcase, a_target_is_queried_while_the_platform_is_silent);
   tcase_add_test (tcase,
-                  a_load_that_is_told_before_its_target_is_listed_counts);
-  tcase_add_test (tcase, a_stream_that_has_ended_is_not_told_as_one_to_move);
-  tcase_add_test (tcase, another_host_tells_that_a_target_leaves);
+                  engines_are_queried_until_the_target_list_is_reliable);
+  tcase_add_test (tcase, a_load_reported_before_its_target_is_listed_counts);
+  tcase_add_test (tcase, an_ended_stream_is_not_reported_as_movable);
+  tcase_add_test (tcase, a_leaving_notice_of_another_host_moves_streams);
   tcase_add_test (tcase, a_refused_move_is_tried_again);
-  tcase_add_test (tcase, many_engines_are_asked_in_turns);
+  tcase_add_test (tcase, many_engines_are_queried_in_batches);
   suite_add_tcase (suite, tcase);
   return run_suite (suite);
 }
--- a/tests/gateway/quarantine-test.c
+++ b/tests/gateway/quarantine-test.c
@@ -9,8 +9,8 @@
 #include <string.h>
 #include <unistd.h>
 
-/* A request under which targets end comes again and again, through any host.
- */
+/* A request that makes targets end is sent again and again, through any
+   host.  */
 
 enum
 {
@@ -19,7 +19,7 @@
 };
 
 static fixture_t hosts[HOSTS];
-static struct sockaddr_in peers[HOSTS];
+static struct sockaddr_in datagram_addresses[HOSTS];
 
 static void
 set_up (void)
@@ -28,17 +28,18 @@
 
   for (i = 0; i < HOSTS; i++)
     {
-      peers[i] = (struct sockaddr_in){ .sin_family = AF_INET,
-                                       .sin_port = htons (8748 + i) };
-      /* A loopback address of this process.  */
-      peers[i].sin_addr.s_addr
+      datagram_addresses[i]
+          = (struct sockaddr_in){ .sin_family = AF_INET,
+                                  .sin_port = htons (8748 + i) };
+      /* A loopback address that no other test process uses.  */
+      datagram_addresses[i].sin_addr.s_addr
           = htonl (0x7f400000U | ((uint32_t)getpid () & 0x1fffff));
     }
   for (i = 0; i < HOSTS; i++)
     {
-      hosts[i].seed = &peers[HOSTS - 1 - i];
-      fixture_open_at (&hosts[i], &peers[i]);
-      fixture_publish (&hosts[i], true);
+      hosts[i].seed = &datagram_addresses[HOSTS - 1 - i];
+      fixture_open_at (&hosts[i], &datagram_addresses[i]);
+      fixture_publish_routes (&hosts[i], true);
     }
 }
 
@@ -64,12 +65,14 @@
   send_text (caller, request);
 }
 
-/* Send a request through a host whose only target ends under it.  */
+/* Send a request through a host whose only target ends while it runs the
+   request.  */
 static void
-end_target (fixture_t *host, const char *target_id, const char *body)
+end_target_during_request (fixture_t *host, const char *target_id,
+                           const char *body)
 {
-  int listener = fixture_target (host, target_id, "plain");
-  int caller = caller_open (host);
+  int listener = fixture_add_target (host, target_id, "plain");
+  int caller = open_caller (host);
   int link;
 
   send_request (caller, target_id, body);
@@ -79,19 +82,18 @@
   close (link);
   ck_assert_ptr_nonnull (strstr (read_until (caller, "\r\n\r\n"), " 502 "));
   close (caller);
-  fixture_remove (host, target_id);
-  fixture_settle (host);
+  fixture_remove_target (host, target_id);
+  fixture_await_updates (host);
 }
 
-static char answer[1000]; /* to what was refused */
+static char refusal[1000]; /* to the last refused request */
 
-/* Whether a request reaches a host's next target rather than being refused.
- */
+/* Whether a request reaches a host's next target and isn't refused.  */
 static bool
 reaches_target (fixture_t *host, const char *body)
 {
-  int listener = fixture_target (host, "t-next", "plain");
-  int caller = caller_open (host);
+  int listener = fixture_add_target (host, "t-next", "plain");
+  int caller = open_caller (host);
   struct pollfd ready[] = { { .fd = listener, .events = POLLIN },
                             { .fd = caller, .events = POLLIN } };
   bool reached;
@@ -100,15 +102,15 @@
   ck_assert_int_gt (poll (ready, 2, WAIT_MS), 0);
   reached = ready[0].revents != 0;
   if (!reached)
-    snprintf (answer, sizeof answer, "%s", read_until (caller, "\r\n\r\n"));
+    snprintf (refusal, sizeof refusal, "%s", read_until (caller, "\r\n\r\n"));
   close (caller);
   close (listener);
-  fixture_remove (host, "t-next");
-  fixture_settle (host);
+  fixture_remove_target (host, "t-next");
+  fixture_await_updates (host);
   return reached;
 }
 
-/* Words between hosts take a moment.  */
+/* Strikes reach other hosts after a short delay.  */
 static void
 await_quarantine (fixture_t *host)
 {
@@ -116,48 +118,49 @@
     continue;
 }
 
-/* Guards against a request that ends one target after another.  */
-START_TEST (a_request_under_which_three_targets_ended_reaches_no_other)
+/* Guards against a request that makes one target after another end.  */
+START_TEST (a_request_that_ended_three_targets_reaches_no_other)
 {
-  end_target (&hosts[0], "t-1", "poison");
-  end_target (&hosts[0], "t-2", "poison");
-  end_target (&hosts[0], "t-3", "poison");
+  end_target_during_request (&hosts[0], "t-1", "poison");
+  end_target_during_request (&hosts[0], "t-2", "poison");
+  end_target_during_request (&hosts[0], "t-3", "poison");
   ck_assert (!reaches_target (&hosts[0], "poison"));
-  ck_assert_ptr_nonnull (strstr (answer, " 503 "));
-  ck_assert_ptr_nonnull (strstr (answer, "Retry-After: "));
+  ck_assert_ptr_nonnull (strstr (refusal, " 503 "));
+  ck_assert_ptr_nonnull (strstr (refusal, "Retry-After: "));
 }
 END_TEST
 
-/* Guards against hosts that each count only what they met themselves.  */
-START_TEST (targets_that_ended_through_several_hosts_count_together)
+/* Guards against hosts that each count only the strikes that they saw
+   themselves.  */
+START_TEST (strikes_of_several_hosts_are_added_up)
 {
-  end_target (&hosts[0], "t-1", "poison");
-  end_target (&hosts[1], "t-2", "poison");
-  end_target (&hosts[0], "t-3", "poison");
+  end_target_during_request (&hosts[0], "t-1", "poison");
+  end_target_during_request (&hosts[1], "t-2", "poison");
+  end_target_during_request (&hosts[0], "t-3", "poison");
   await_quarantine (&hosts[0]);
   await_quarantine (&hosts[1]);
   ck_assert (!reaches_target (&hosts[1], "poison"));
-  ck_assert_ptr_nonnull (strstr (answer, " 503 "));
+  ck_assert_ptr_nonnull (strstr (refusal, " 503 "));
 }
 END_TEST
 
-/* Guards against a target that has the request in its queue, and ends when its
-   turn comes.  */
-START_TEST (what_waits_at_a_target_ends_with_the_third_strike)
+/* Guards against a request that is already queued at a target and would make
+   it end as soon as it runs.  */
+START_TEST (a_pending_attempt_ends_at_the_third_strike)
 {
-  int listener = fixture_target (&hosts[0], "t-4", "plain");
-  int caller = caller_open (&hosts[0]);
+  int listener = fixture_add_target (&hosts[0], "t-4", "plain");
+  int caller = open_caller (&hosts[0]);
   int link;
 
   send_request (caller, "waits", "poison");
   link = target_accept (listener);
   target_read (link, strlen ("poison"));
-  fixture_remove (&hosts[0], "t-4");
-  end_target (&hosts[0], "t-1", "poison");
-  end_target (&hosts[0], "t-2", "poison");
-  end_target (&hosts[0], "t-3", "poison");
+  fixture_remove_target (&hosts[0], "t-4");
+  end_target_during_request (&hosts[0], "t-1", "poison");
+  end_target_during_request (&hosts[0], "t-2", "poison");
+  end_target_during_request (&hosts[0], "t-3", "poison");
   ck_assert_ptr_nonnull (strstr (read_until (caller, "\r\n\r\n"), " 502 "));
-  ck_assert (is_closed (link));
+  ck_assert (await_close (link));
   close (link);
   close (listener);
   close (caller);
@@ -166,58 +169,62 @@
 
 /* Let a host's only target answer a request.  */
 static void
-answer_target (fixture_t *host, const char *id, const char *body,
-               const char *status)
+answer_at_target (fixture_t *host, const char *id, const char *body,
+                  const char *status)
 {
-  int listener = fixture_target (host, id, "plain");
-  int caller = caller_open (host);
-  char answer_text[200];
+  int listener = fixture_add_target (host, id, "plain");
+  int caller = open_caller (host);
+  char answer[200];
   int link;
 
   send_request (caller, id, body);
   link = target_accept (listener);
   target_read (link, strlen (body));
-  snprintf (answer_text, sizeof answer_text,
+  snprintf (answer, sizeof answer,
             "HTTP/1.1 %s\r\nRequest-Id: %s\r\nSignature: s\r\n"
             "Content-Length: 2\r\n\r\nok",
             status, id);
-  send_text (link, answer_text);
+  send_text (link, answer);
   read_until (caller, "ok");
   close (caller);
   close (listener);
   close (link);
-  fixture_remove (host, id);
-  fixture_settle (host);
+  fixture_remove_target (host, id);
+  fixture_await_updates (host);
 }
 
 static const struct
 {
   const char *status;
-  bool held;
-} answers_between[] = {
+  bool quarantined;
+} intervening_answers[] = {
   { "200 OK", false },
-  /* A failing target answers so without running anything.  */
+  /* A failing target may answer this without running anything.  */
   { "500 Error", true },
   { "504 Timeout", true },
 };
 
-/* Guards against a failing target whose error is taken for a sound run.  */
-START_TEST (only_a_success_takes_strikes_back)
+/* Guards against an error of a failing target that counts as a successful
+   run.  */
+START_TEST (only_a_success_clears_strikes)
 {
-  end_target (&hosts[0], "t-1", "poison");
-  end_target (&hosts[0], "t-2", "poison");
-  answer_target (&hosts[0], "t-3", "poison", answers_between[_i].status);
-  end_target (&hosts[0], "t-4", "poison");
-  ck_assert (reaches_target (&hosts[0], "poison") != answers_between[_i].held);
+  end_target_during_request (&hosts[0], "t-1", "poison");
+  end_target_during_request (&hosts[0], "t-2", "poison");
+  answer_at_target (&hosts[0], "t-3", "poison",
+                    intervening_answers[_i].status);
+  end_target_during_request (&hosts[0], "t-4", "poison");
+  ck_assert (reaches_target (&hosts[0], "poison")
+             != intervening_answers[_i].quarantined);
 }
 END_TEST
 
-/* Guards against refusing what was merely beside it.  */
-START_TEST (other_requests_are_served_all_the_same)
+/* Guards against refusing requests other than the one that made targets
+   end.  */
+START_TEST (other_requests_are_still_served)
 {
-  end_target (&hosts[0], "t-1", "poison");
-  end_target (&hosts[0], "t-2", "poison");
-  end_target (&hosts[0], "t-3", "poison");
+  end_target_during_request (&hosts[0], "t-1", "poison");
+  end_target_during_request (&hosts[0], "t-2", "poison");
+  end_target_during_request (&hosts[0], "t-3", "poison");
   ck_assert (reaches_target (&hosts[0], "another"));
 }
 END_TEST
@@ -230,14 +237,13 @@
 
   tcase_add_checked_fixture (tests, set_up, tear_down);
   tcase_set_timeout (tests, 60);
-  tcase_add_test (tests,
-                  a_request_under_which_three_targets_ended_reaches_no_other);
-  tcase_add_test (tests,
-                  targets_that_ended_through_several_hosts_count_together);
-  tcase_add_test (tests, what_waits_at_a_target_ends_with_the_third_strike);
-  tcase_add_loop_test (tests, only_a_success_takes_strikes_back, 0,
-                       sizeof answers_between / sizeof answers_between[0]);
-  tcase_add_test (tests, other_requests_are_served_all_the_same);
+  tcase_add_test (tests, a_request_that_ended_three_targets_reaches_no_other);
+  tcase_add_test (tests, strikes_of_several_hosts_are_added_up);
+  tcase_add_test (tests, a_pending_attempt_ends_at_the_third_strike);
+  tcase_add_loop_test (tests, only_a_success_clears_strikes, 0,
+                       sizeof intervening_answers
+                           / sizeof intervening_answers[0]);
+  tcase_add_test (tests, other_requests_are_still_served);
   suite_add_tcase (suite, tests);
   return run_suite (suite);
 }
--- a/tests/gateway/reach-test.c
+++ b/tests/gateway/reach-test.c
@@ -14,7 +14,7 @@
 set_up (void)
 {
   fixture_open (&fixture);
-  fixture_publish (&fixture, true);
+  fixture_publish_routes (&fixture, true);
 }
 
 static void
@@ -34,48 +34,51 @@
     continue;
 }
 
-/* The host's own engines were just taken away when its links to the other data
-   centre begin to break: the request that meets the cut may have run and is
-   lost.  Before, all that came behind it met the same, and the balancer went
-   on sending callers here, though hosts elsewhere could serve them.  */
-START_TEST (a_host_without_engines_sends_its_callers_elsewhere)
+/* The host's own engines were just taken away when its connections to the
+   other data centre begin to break.  The first request that fails this way may
+   have run and is lost.  Requests after it failed in the same way, and the
+   balancer still sent callers here, although hosts elsewhere could serve
+   them.  */
+START_TEST (a_host_without_reachable_engines_is_not_ready)
 {
-  int caller = caller_open (&fixture);
-  int second = caller_open (&fixture);
+  int caller = open_caller (&fixture);
+  int second = open_caller (&fixture);
   const char *text;
   int engine;
   int link;
 
-  fixture.targets_in = "dc-b";
-  engine = fixture_target (&fixture, "t-1", "engines");
+  fixture.target_data_centre = "dc-b";
+  engine = fixture_add_target (&fixture, "t-1", "engines");
   await_readiness (" 200 ");
   send_text (caller, STREAM_REQUEST ("r1"));
   link = target_accept (engine);
   target_read (link, 2);
   reset_socket (link);
   ck_assert_ptr_nonnull (strstr (read_until (caller, "\r\n\r\n"), " 502 "));
-  /* A question that may be repeated goes there, and nothing else.  */
+  /* Only a status query, which may be repeated, is sent there.  */
   link = target_accept (engine);
   ck_assert_ptr_nonnull (strstr (target_read (link, 0), "GET /report"));
   send_text (second, STREAM_REQUEST ("r2"));
   text = read_until (second, "can take it");
   ck_assert_ptr_nonnull (strstr (text, " 503 "));
   ck_assert_ptr_nonnull (strstr (text, "Retry-After: 2."));
-  /* The answer is written before its connection is set for the next request;
-     the time must not pass in between.  */
-  fixture_settle (&fixture);
-  csp_advance_fake_clock (&fixture.fake, 350);
+  /* The gateway writes the answer before it prepares the connection for the
+     next request; the clock must not advance in between.  */
+  fixture_await_updates (&fixture);
+  csp_advance_fake_clock (&fixture.fake_clock, 350);
   await_readiness (" 503 ");
   send_text (second, STREAM_REQUEST ("r3"));
   text = read_until (second, "can take it");
   ck_assert_ptr_nonnull (strstr (text, "Connection: close\r\n"));
-  /* Behind the balancer's notice connections that were kept go as well.  */
-  csp_advance_fake_clock (&fixture.fake, 2300);
-  ck_assert (is_closed (caller));
+  /* After the time that the balancer needs to notice, kept connections are
+     closed as well.  */
+  csp_advance_fake_clock (&fixture.fake_clock, 2300);
+  ck_assert (await_close (caller));
   close (caller);
   close (second);
   close (link);
-  /* The cut has healed, and the next question is answered.  */
+  /* The other data centre is reachable again, and the next status query is
+     answered.  */
   link = target_accept (engine);
   target_read (link, 0);
   send_text (link, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
@@ -85,33 +88,33 @@
 }
 END_TEST
 
-/* The host still has an engine of its own: it stays ready, and all that comes
-   goes there.  */
-START_TEST (a_host_with_an_engine_of_its_own_stays_ready)
+/* The host has an engine in its own data centre: it stays ready, and new
+   requests go to that engine.  */
+START_TEST (a_host_with_a_local_engine_stays_ready)
 {
-  int caller = caller_open (&fixture);
-  int home;
-  int away;
+  int caller = open_caller (&fixture);
+  int local_target;
+  int remote_target;
   int link;
 
-  fixture.targets_in = "dc-b";
-  away = fixture_target (&fixture, "t-1", "engines");
+  fixture.target_data_centre = "dc-b";
+  remote_target = fixture_add_target (&fixture, "t-1", "engines");
   send_text (caller, STREAM_REQUEST ("r1"));
-  link = target_accept (away);
+  link = target_accept (remote_target);
   target_read (link, 2);
-  fixture.targets_in = NULL;
-  home = fixture_target (&fixture, "t-2", "engines");
+  fixture.target_data_centre = NULL;
+  local_target = fixture_add_target (&fixture, "t-2", "engines");
   reset_socket (link);
   read_until (caller, "}");
-  csp_advance_fake_clock (&fixture.fake, 400);
+  csp_advance_fake_clock (&fixture.fake_clock, 400);
   await_readiness (" 200 ");
   send_text (caller, STREAM_REQUEST ("r2"));
-  link = target_accept (home);
+  link = target_accept (local_target);
   ck_assert_ptr_nonnull (strstr (target_read (link, 2), "Request-Id: r2"));
   close (link);
   close (caller);
-  close (home);
-  close (away);
+  close (local_target);
+  close (remote_target);
 }
 END_TEST
 
@@ -123,8 +126,8 @@
 
   tcase_set_timeout (tcase, 60);
   tcase_add_checked_fixture (tcase, set_up, tear_down);
-  tcase_add_test (tcase, a_host_without_engines_sends_its_callers_elsewhere);
-  tcase_add_test (tcase, a_host_with_an_engine_of_its_own_stays_ready);
+  tcase_add_test (tcase, a_host_without_reachable_engines_is_not_ready);
+  tcase_add_test (tcase, a_host_with_a_local_engine_stays_ready);
   suite_add_tcase (suite, tcase);
   return run_suite (suite);
 }
--- a/tests/gateway/stop-test.c
+++ b/tests/gateway/stop-test.c
@@ -17,7 +17,7 @@
 set_up (void)
 {
   fixture_open (&fixture);
-  fixture_publish (&fixture, true);
+  fixture_publish_routes (&fixture, true);
 }
 
 static void
@@ -26,38 +26,39 @@
   fixture_close (&fixture);
 }
 
-/* A host is told to stop while callers are connected.  The balancer sees it at
-   once; requests on open connections are still answered, and say that the
-   connection closes; a stream that comes when the balancer has turned away
-   would be cut at the end, so it is refused with a promise.  */
-START_TEST (a_stop_answers_what_it_can_and_refuses_the_rest)
+/* A host is told to stop while callers are connected.  Its readiness page
+   shows it at once.  Requests on open connections are still answered, with
+   Connection: close.  A stream that arrives after the balancer has dropped the
+   host would be cut off at the end, so it is refused with 503, which promises
+   that it hasn't run.  */
+START_TEST (a_stop_answers_running_requests_and_refuses_late_streams)
 {
-  int target = fixture_target (&fixture, "t-1", "plain");
-  int engine = fixture_target (&fixture, "t-2", "engines");
-  int caller = caller_open (&fixture);
-  int late = caller_open (&fixture);
+  int target = fixture_add_target (&fixture, "t-1", "plain");
+  int engine = fixture_add_target (&fixture, "t-2", "engines");
+  int caller = open_caller (&fixture);
+  int late_caller = open_caller (&fixture);
   const char *text;
   int link;
 
   ck_assert_ptr_nonnull (strstr (fixture_page (&fixture, "/readyz"), " 200 "));
-  fixture_update (&fixture, CSP_UPDATE_STOP);
+  fixture_send_update (&fixture, CSP_UPDATE_STOP);
   while (strstr (fixture_page (&fixture, "/readyz"), " 503 ") == NULL)
     continue;
   send_text (caller, REQUEST ("/once/", "r1"));
   link = target_accept (target);
   target_read (link, 0);
-  send_text (late, "GET /stream/ HTTP/1.1\r\n");
-  csp_advance_fake_clock (&fixture.fake, 2600);
+  send_text (late_caller, "GET /stream/ HTTP/1.1\r\n");
+  csp_advance_fake_clock (&fixture.fake_clock, 2600);
   send_text (link, ANSWER ("r1", "ok", "2"));
   text = read_until (caller, "ok");
   ck_assert_ptr_nonnull (strstr (text, " 200 "));
   ck_assert_ptr_nonnull (strstr (text, "Connection: close\r\n"));
-  ck_assert (is_closed (caller));
-  send_text (late, "Host: h\r\nKey: key-a\r\nRequest-Id: r2\r\n\r\n");
-  text = read_until (late, "\r\n\r\n");
+  ck_assert (await_close (caller));
+  send_text (late_caller, "Host: h\r\nKey: key-a\r\nRequest-Id: r2\r\n\r\n");
+  text = read_until (late_caller, "\r\n\r\n");
   ck_assert_ptr_nonnull (strstr (text, " 503 "));
   ck_assert_ptr_nonnull (strstr (text, "Retry-After: "));
-  close (late);
+  close (late_caller);
   close (caller);
   close (link);
   close (engine);
@@ -65,41 +66,41 @@
 }
 END_TEST
 
-/* A host is told to stop, and some callers still come to it.  A long text that
-   it begins is cut when its process ends, though another host could have
-   written it whole; a short one ends in time.  */
-START_TEST (a_stop_leaves_long_streams_to_other_hosts)
+/* A host is told to stop, and some callers still connect to it.  A long stream
+   that starts here would be cut off when the process ends, though another host
+   could complete it; a short one ends in time.  */
+START_TEST (a_stopping_host_refuses_long_streams)
 {
-  int engine = fixture_target (&fixture, "t-2", "engines");
-  int long_one = caller_open (&fixture);
-  int short_one = caller_open (&fixture);
+  int engine = fixture_add_target (&fixture, "t-2", "engines");
+  int long_caller = open_caller (&fixture);
+  int short_caller = open_caller (&fixture);
   const char *text;
   int link;
 
-  fixture_update (&fixture, CSP_UPDATE_STOP);
-  fixture_settle (&fixture);
-  send_text (long_one, "GET /stream/ HTTP/1.1\r\nHost: h\r\nKey: key-a\r\n"
-                       "Request-Id: r1\r\nTokens: 100,2000\r\n"
-                       "Output-Hint: 900\r\n\r\n");
-  text = read_until (long_one, "\r\n\r\n");
+  fixture_send_update (&fixture, CSP_UPDATE_STOP);
+  fixture_await_updates (&fixture);
+  send_text (long_caller, "GET /stream/ HTTP/1.1\r\nHost: h\r\nKey: key-a\r\n"
+                          "Request-Id: r1\r\nTokens: 100,2000\r\n"
+                          "Output-Hint: 900\r\n\r\n");
+  text = read_until (long_caller, "\r\n\r\n");
   ck_assert_ptr_nonnull (strstr (text, " 503 "));
   ck_assert_ptr_nonnull (strstr (text, "Retry-After: 0.05"));
-  send_text (short_one, "GET /stream/ HTTP/1.1\r\nHost: h\r\nKey: key-a\r\n"
-                        "Request-Id: r2\r\nTokens: 100,2000\r\n"
-                        "Output-Hint: 200\r\n\r\n");
+  send_text (short_caller, "GET /stream/ HTTP/1.1\r\nHost: h\r\nKey: key-a\r\n"
+                           "Request-Id: r2\r\nTokens: 100,2000\r\n"
+                           "Output-Hint: 200\r\n\r\n");
   link = target_accept (engine);
   ck_assert_ptr_nonnull (strstr (target_read (link, 0), "Request-Id: r2\r\n"));
-  close (long_one);
-  close (short_one);
+  close (long_caller);
+  close (short_caller);
   close (link);
   close (engine);
 }
 END_TEST
 
-static struct sockaddr_in own_peers;
+static struct sockaddr_in datagram_address;
 
-/* Tell the gateway of loads, as another host would, and more often than it
-   hears in one turn of its loop.  */
+/* Send the gateway loads, as another host would, in more datagrams than it
+   reads in one iteration of its event loop.  */
 static void
 send_datagrams (void)
 {
@@ -112,30 +113,30 @@
 
       ck_assert (csp_encode_hello (&hello, &bytes));
       ck_assert_int_eq (sendto (sender, bytes.data, bytes.size_bytes, 0,
-                                (struct sockaddr *)&own_peers,
-                                sizeof own_peers),
+                                (struct sockaddr *)&datagram_address,
+                                sizeof datagram_address),
                         (int)bytes.size_bytes);
       csp_clear_buffer (&bytes);
     }
   close (sender);
 }
 
-/* A host is stopped in order, and its connections are being closed, while
-   others go on telling it their loads.  It crashed there: its process ended
-   with a fault instead of in order.  */
-START_TEST (a_datagram_at_the_end_of_a_stop_is_not_heard)
+/* Other hosts still send a host their loads while it closes its connections at
+   the end of a stop.  Its process crashed there instead of ending in
+   order.  */
+START_TEST (a_datagram_at_the_end_of_a_stop_is_ignored)
 {
-  fixture_t own = { .seed = NULL };
+  fixture_t stopped_host = { .seed = NULL };
 
-  own_peers = (struct sockaddr_in){ .sin_family = AF_INET,
-                                    .sin_port = htons (8748) };
-  /* A loopback address of this process.  */
-  own_peers.sin_addr.s_addr
+  datagram_address = (struct sockaddr_in){ .sin_family = AF_INET,
+                                           .sin_port = htons (8748) };
+  /* A loopback address that no other test process uses.  */
+  datagram_address.sin_addr.s_addr
       = htonl (0x7f400000U | ((uint32_t)getpid () & 0x1fffff));
-  fixture_open_at (&own, &own_peers);
-  own.ended = send_datagrams;
-  close (fixture_target (&own, "t-9", "engines"));
-  fixture_close (&own);
+  fixture_open_at (&stopped_host, &datagram_address);
+  stopped_host.after_run = send_datagrams;
+  close (fixture_add_target (&stopped_host, "t-9", "engines"));
+  fixture_close (&stopped_host);
 }
 END_TEST
 
@@ -147,9 +148,10 @@
 
   tcase_set_timeout (tcase, 60);
   tcase_add_checked_fixture (tcase, set_up, tear_down);
-  tcase_add_test (tcase, a_stop_answers_what_it_can_and_refuses_the_rest);
-  tcase_add_test (tcase, a_stop_leaves_long_streams_to_other_hosts);
-  tcase_add_test (tcase, a_datagram_at_the_end_of_a_stop_is_not_heard);
+  tcase_add_test (tcase,
+                  a_stop_answers_running_requests_and_refuses_late_streams);
+  tcase_add_test (tcase, a_stopping_host_refuses_long_streams);
+  tcase_add_test (tcase, a_datagram_at_the_end_of_a_stop_is_ignored);
   suite_add_tcase (suite, tcase);
   return run_suite (suite);
 }
--- a/tests/gateway/stream-fixture.c
+++ b/tests/gateway/stream-fixture.c
@@ -8,20 +8,20 @@
 #include <unistd.h>
 
 stream_fixture_t stream;
-const char *const stream_ids[2] = { "t-0", "t-1" };
+const char *const stream_engine_ids[2] = { "t-0", "t-1" };
 
 void
 stream_set_up (void)
 {
-  /* A loopback address of this process.  */
-  stream.peers = (struct sockaddr_in){ .sin_family = AF_INET,
-                                       .sin_port = htons (8748) };
-  stream.peers.sin_addr.s_addr
+  /* A loopback address that no other test process uses.  */
+  stream.datagram_address = (struct sockaddr_in){ .sin_family = AF_INET,
+                                                  .sin_port = htons (8748) };
+  stream.datagram_address.sin_addr.s_addr
       = htonl (0x7f600000U | ((uint32_t)getpid () & 0x1fffff));
-  fixture_open_at (&stream.fixture, &stream.peers);
-  fixture_publish (&stream.fixture, true);
+  fixture_open_at (&stream.fixture, &stream.datagram_address);
+  fixture_publish_routes (&stream.fixture, true);
   stream.listeners[0]
-      = fixture_target (&stream.fixture, stream_ids[0], "engines");
+      = fixture_add_target (&stream.fixture, stream_engine_ids[0], "engines");
 }
 
 void
@@ -43,22 +43,22 @@
 }
 
 void
-start_guessed_stream (bool with_backup, int hint)
+start_stream_with_hint (bool with_backup, int output_hint)
 {
   const char *text;
   char request[256];
 
   if (with_backup)
-    stream.listeners[1]
-        = fixture_target (&stream.fixture, stream_ids[1], "engines");
-  stream.caller = caller_open (&stream.fixture);
+    stream.listeners[1] = fixture_add_target (&stream.fixture,
+                                              stream_engine_ids[1], "engines");
+  stream.caller = open_caller (&stream.fixture);
   snprintf (request, sizeof request,
             "POST /stream/ HTTP/1.1\r\nHost: h\r\nKey: key-a\r\n"
             "Request-Id: r1\r\nTime-Left: 30000\r\nTokens: 100,2000\r\n"
             "Output-Hint: %d\r\nContent-Length: 2\r\n\r\nhi",
-            hint);
+            output_hint);
   send_text (stream.caller, request);
-  stream.from = 0;
+  stream.source = 0;
   if (with_backup)
     {
       fd_set ready;
@@ -71,31 +71,31 @@
                                     : stream.listeners[1] + 1,
                                 &ready, NULL, NULL, NULL),
                         1);
-      stream.from = FD_ISSET (stream.listeners[1], &ready);
+      stream.source = FD_ISSET (stream.listeners[1], &ready);
     }
-  stream.link_from = target_accept (stream.listeners[stream.from]);
-  text = target_read (stream.link_from, 2);
+  stream.source_link = target_accept (stream.listeners[stream.source]);
+  text = target_read (stream.source_link, 2);
   ck_assert_int_eq (strstr (text, "Backup: ") != NULL, with_backup);
-  send_text (stream.link_from, STREAM_HEAD);
-  send_chunk (stream.link_from, EVENT ("1", "one"));
+  send_text (stream.source_link, STREAM_HEAD);
+  send_chunk (stream.source_link, EVENT ("1", "one"));
   read_until (stream.caller, "one\n\n");
 }
 
 void
 start_stream (bool with_backup)
 {
-  start_guessed_stream (with_backup, 1000);
+  start_stream_with_hint (with_backup, 1000);
 }
 
 void
-add_second (void)
+add_second_engine (void)
 {
   stream.listeners[1]
-      = fixture_target (&stream.fixture, stream_ids[1], "engines");
+      = fixture_add_target (&stream.fixture, stream_engine_ids[1], "engines");
 }
 
 unsigned
-port_of (int listener)
+get_port (int listener)
 {
   struct sockaddr_in address = { 0 };
   socklen_t size_bytes = sizeof address;
@@ -105,7 +105,7 @@
 }
 
 void
-finish_at (int link)
+finish_stream (int link)
 {
   send_text (link, "0\r\n\r\n");
   read_until (stream.caller, "0\r\n\r\n");
--- a/tests/gateway/stream-fixture.h
+++ b/tests/gateway/stream-fixture.h
@@ -5,21 +5,22 @@
 
 #include <stdbool.h>
 
-/* One stream through a gateway, and two engines; the one that gets the request
-   is "from", the other the one that it may go on at.  */
+/* One stream through a gateway, and two engines.  The engine that gets the
+   request is the source; the stream may continue at the other one.  */
 
 typedef struct
 {
   fixture_t fixture;
   int listeners[2];
-  int from;      /* index of the engine that got the request */
-  int link_from; /* its connection */
+  int source;      /* index of the engine that got the request */
+  int source_link; /* the gateway's connection to it */
   int caller;
-  struct sockaddr_in peers; /* where the gateway hears other hosts */
+  struct sockaddr_in datagram_address; /* where the gateway receives datagrams
+                                          of other hosts */
 } stream_fixture_t;
 
 extern stream_fixture_t stream;
-extern const char *const stream_ids[2];
+extern const char *const stream_engine_ids[2];
 
 #define STREAM_HEAD                                                           \
   "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nSignature: s\r\n"                     \
@@ -31,17 +32,19 @@
 
 void send_chunk (int socket, const char *text);
 
-/* Ask for a stream; one engine gets it, with or without a second one that its
-   run is backed up to.  hint: the caller's guess of the output's tokens.  */
-void start_guessed_stream (bool with_backup, int hint);
+/* Request a stream, which one engine gets.  with_backup: a second engine is
+   listed before, to which the run is backed up.  output_hint: the caller's
+   estimate of the output tokens.  */
+void start_stream_with_hint (bool with_backup, int output_hint);
 void start_stream (bool with_backup);
 
-/* The second engine joins once the stream runs.  */
-void add_second (void);
+/* List the second engine, once the stream runs.  */
+void add_second_engine (void);
 
-unsigned port_of (int listener);
+unsigned get_port (int listener);
 
-/* The engine ends the stream, and so it ends for the caller.  */
-void finish_at (int link);
+/* Let the engine end the stream, and wait until the caller has received the
+   end.  */
+void finish_stream (int link);
 
 #endif
--- a/tests/gateway/target-says-test.c
+++ b/tests/gateway/target-says-test.c
@@ -10,8 +10,8 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* What targets say of themselves in their answers: that they leave, and that
-   they want nothing for a while.  */
+/* State that targets report in their answers: that they leave, and that they
+   want no requests for a while (backoff).  */
 
 enum
 {
@@ -22,13 +22,13 @@
 static fixture_t fixture;
 static int first;
 static int second;
-static int link_to_first; /* of the first request; may be kept for the next */
+static int first_link; /* of the first request; may be reused for the next */
 
 static void
 set_up (void)
 {
   fixture_open (&fixture);
-  fixture_publish (&fixture, true);
+  fixture_publish_routes (&fixture, true);
   first = -1;
   second = -1;
 }
@@ -38,33 +38,33 @@
 {
   close (first);
   close (second);
-  close (link_to_first);
+  close (first_link);
   fixture_close (&fixture);
 }
 
-/* Send a request to which the first target gives an answer.  */
+/* Add the first target, and send a request to which it gives an answer.  */
 static void
-ask_first (const char *service, const char *path, const char *answer)
+send_to_first (const char *service, const char *path, const char *answer)
 {
   char request[200];
-  int caller = caller_open (&fixture);
+  int caller = open_caller (&fixture);
 
-  first = fixture_target (&fixture, "t-1", service);
+  first = fixture_add_target (&fixture, "t-1", service);
   snprintf (request, sizeof request,
             "GET %s HTTP/1.1\r\nHost: h\r\nKey: key-a\r\n"
             "Request-Id: r1\r\nTime-Left: 3000\r\n\r\n",
             path);
   send_text (caller, request);
-  link_to_first = target_accept (first);
-  target_read (link_to_first, 0);
-  send_text (link_to_first, answer);
+  first_link = target_accept (first);
+  target_read (first_link, 0);
+  send_text (first_link, answer);
   read_until (caller, "\r\n\r\n");
   close (caller);
 }
 
-/* Whether the gateway has let go of a connection.  */
+/* Whether the gateway has closed a connection, without waiting.  */
 static bool
-is_closed_now (int link)
+has_been_closed (int link)
 {
   char byte;
 
@@ -73,15 +73,15 @@
 
 static char refusal[1000];
 
-/* Send a request and see where it goes: 0 to the first target, 1 to the
-   second, -1 where it is refused.  */
+/* Send a request.  Returns where it goes: 0 to the first target, 1 to the
+   second, -1 when it is refused.  */
 static int
 send_next (const char *path)
 {
   char request[200];
-  int caller = caller_open (&fixture);
+  int caller = open_caller (&fixture);
   struct pollfd ready[] = { { .fd = first, .events = POLLIN },
-                            { .fd = link_to_first, .events = POLLIN },
+                            { .fd = first_link, .events = POLLIN },
                             { .fd = second, .events = POLLIN },
                             { .fd = caller, .events = POLLIN } };
 
@@ -91,7 +91,7 @@
             path);
   send_text (caller, request);
   ck_assert_int_gt (poll (ready, 4, WAIT_MS), 0);
-  if (ready[1].revents != 0 && is_closed_now (link_to_first))
+  if (ready[1].revents != 0 && has_been_closed (first_link))
     {
       ready[1].fd = -1;
       ck_assert_int_gt (poll (ready, 4, WAIT_MS), 0);
@@ -107,11 +107,11 @@
 }
 
 static void
-nothing_reaches_first (const char *service, const char *path)
+check_first_gets_nothing (const char *service, const char *path)
 {
   int i;
 
-  second = fixture_target (&fixture, "t-2", service);
+  second = fixture_add_target (&fixture, "t-2", service);
   for (i = 0; i < TRIES; i++)
     ck_assert_int_eq (send_next (path), 1);
 }
@@ -137,40 +137,40 @@
     "Transfer-Encoding: chunked\r\n\r\nc\r\nid: 1\ndata: \n\n\r\n" },
 };
 
-/* Guards against a host that goes on sending to a target that has told it of
-   its leaving, while the list says nothing.  */
-START_TEST (a_target_whose_answer_says_that_it_leaves_gets_nothing_new)
+/* Guards against a host that still sends requests to a target that has
+   announced that it leaves, while the list doesn't show it yet.  */
+START_TEST (a_target_that_announces_leaving_gets_no_new_requests)
 {
-  ask_first (leaving_answers[_i].service, leaving_answers[_i].path,
-             leaving_answers[_i].answer);
+  send_to_first (leaving_answers[_i].service, leaving_answers[_i].path,
+                 leaving_answers[_i].answer);
 
-  nothing_reaches_first (leaving_answers[_i].service,
-                         leaving_answers[_i].path);
+  check_first_gets_nothing (leaving_answers[_i].service,
+                            leaving_answers[_i].path);
 }
 END_TEST
 
-/* Guards against a list that knows it later than the target, and takes it back
-   each time that it is read.  */
-START_TEST (the_list_does_not_take_back_what_the_target_said)
+/* Guards against a list that shows the target's leaving later than the target
+   itself, so that each read of the list would clear the announcement.  */
+START_TEST (a_list_update_does_not_clear_a_leaving_announcement)
 {
-  ask_first ("plain", "/once/", leaving_answers[0].answer);
+  send_to_first ("plain", "/once/", leaving_answers[0].answer);
 
-  fixture_list (&fixture, first, "t-1", "plain");
-  fixture_settle (&fixture);
-  nothing_reaches_first ("plain", "/once/");
+  fixture_list_target (&fixture, first, "t-1", "plain");
+  fixture_await_updates (&fixture);
+  check_first_gets_nothing ("plain", "/once/");
 }
 END_TEST
 
-/* Guards against a row that lapses and comes back, as in an outage of the
+/* Guards against a row that lapses and returns, as in an outage of the
    store.  */
-START_TEST (a_row_that_comes_back_does_not_take_back_what_the_target_said)
+START_TEST (a_returning_row_does_not_clear_a_leaving_announcement)
 {
-  ask_first ("plain", "/once/", leaving_answers[0].answer);
+  send_to_first ("plain", "/once/", leaving_answers[0].answer);
 
-  fixture_remove (&fixture, "t-1");
-  fixture_list (&fixture, first, "t-1", "plain");
-  fixture_settle (&fixture);
-  nothing_reaches_first ("plain", "/once/");
+  fixture_remove_target (&fixture, "t-1");
+  fixture_list_target (&fixture, first, "t-1", "plain");
+  fixture_await_updates (&fixture);
+  check_first_gets_nothing ("plain", "/once/");
 }
 END_TEST
 
@@ -182,32 +182,32 @@
 {
   const char *service;
   const char *path;
-} asked[] = { { "plain", "/once/" }, { "engines", "/stream/" } };
+} services[] = { { "plain", "/once/" }, { "engines", "/stream/" } };
 
-/* Guards against a host that goes on sending to a target that has asked it to
-   wait.  */
-START_TEST (a_target_that_asks_for_a_wait_gets_nothing_until_then)
+/* Guards against a host that still sends requests to a target that has asked
+   for a backoff.  */
+START_TEST (a_target_that_asks_for_a_backoff_gets_no_requests_until_its_end)
 {
-  ask_first (asked[_i].service, asked[_i].path, BUSY ("2.5"));
+  send_to_first (services[_i].service, services[_i].path, BUSY ("2.5"));
 
-  csp_advance_fake_clock (&fixture.fake, 2400);
-  nothing_reaches_first (asked[_i].service, asked[_i].path);
-  fixture_remove (&fixture, "t-2");
-  fixture_settle (&fixture);
-  csp_advance_fake_clock (&fixture.fake, 200);
-  ck_assert_int_eq (send_next (asked[_i].path), 0);
+  csp_advance_fake_clock (&fixture.fake_clock, 2400);
+  check_first_gets_nothing (services[_i].service, services[_i].path);
+  fixture_remove_target (&fixture, "t-2");
+  fixture_await_updates (&fixture);
+  csp_advance_fake_clock (&fixture.fake_clock, 200);
+  ck_assert_int_eq (send_next (services[_i].path), 0);
 }
 END_TEST
 
-/* Guards against callers who wait where nobody may serve them.  */
-START_TEST (where_all_targets_ask_for_a_wait_callers_are_told_how_long)
+/* Guards against callers that wait although no target may serve them.  */
+START_TEST (callers_get_retry_after_when_all_targets_back_off)
 {
   const char *retry_after;
 
-  ask_first (asked[_i].service, asked[_i].path, BUSY ("20"));
+  send_to_first (services[_i].service, services[_i].path, BUSY ("20"));
 
-  csp_advance_fake_clock (&fixture.fake, 1000);
-  ck_assert_int_eq (send_next (asked[_i].path), -1);
+  csp_advance_fake_clock (&fixture.fake_clock, 1000);
+  ck_assert_int_eq (send_next (services[_i].path), -1);
   ck_assert_ptr_nonnull (strstr (refusal, " 503 "));
   retry_after = strstr (refusal, "Retry-After: ");
   ck_assert_ptr_nonnull (retry_after);
@@ -215,15 +215,15 @@
 }
 END_TEST
 
-/* Guards against taking another target's word for this one's: its address is
-   used again.  */
-START_TEST (another_target_at_the_address_says_nothing_of_this_one)
+/* Guards against applying the headers of another target, at an address that
+   was reused, to this one.  */
+START_TEST (headers_of_another_target_at_the_address_are_ignored)
 {
-  ask_first ("plain", "/once/",
-             "HTTP/1.1 421 Other\r\nLeaving: 1\r\nRetry-After: 20\r\n"
-             "Content-Length: 0\r\n\r\n");
+  send_to_first ("plain", "/once/",
+                 "HTTP/1.1 421 Other\r\nLeaving: 1\r\nRetry-After: 20\r\n"
+                 "Content-Length: 0\r\n\r\n");
 
-  csp_advance_fake_clock (&fixture.fake, 5000);
+  csp_advance_fake_clock (&fixture.fake_clock, 5000);
   ck_assert_int_eq (send_next ("/once/"), 0);
 }
 END_TEST
@@ -236,20 +236,19 @@
 
   tcase_add_checked_fixture (tests, set_up, tear_down);
   tcase_set_timeout (tests, 60);
-  tcase_add_loop_test (
-      tests, a_target_whose_answer_says_that_it_leaves_gets_nothing_new, 0,
-      sizeof leaving_answers / sizeof leaving_answers[0]);
-  tcase_add_test (tests, the_list_does_not_take_back_what_the_target_said);
-  tcase_add_test (
-      tests, a_row_that_comes_back_does_not_take_back_what_the_target_said);
   tcase_add_loop_test (tests,
-                       a_target_that_asks_for_a_wait_gets_nothing_until_then,
-                       0, sizeof asked / sizeof asked[0]);
-  tcase_add_loop_test (
-      tests, where_all_targets_ask_for_a_wait_callers_are_told_how_long, 0,
-      sizeof asked / sizeof asked[0]);
+                       a_target_that_announces_leaving_gets_no_new_requests, 0,
+                       sizeof leaving_answers / sizeof leaving_answers[0]);
+  tcase_add_test (tests, a_list_update_does_not_clear_a_leaving_announcement);
   tcase_add_test (tests,
-                  another_target_at_the_address_says_nothing_of_this_one);
+                  a_returning_row_does_not_clear_a_leaving_announcement);
+  tcase_add_loop_test (
+      tests, a_target_that_asks_for_a_backoff_gets_no_requests_until_its_end,
+      0, sizeof services / sizeof services[0]);
+  tcase_add_loop_test (tests,
+                       callers_get_retry_after_when_all_targets_back_off, 0,
+                       sizeof services / sizeof services[0]);
+  tcase_add_test (tests, headers_of_another_target_at_the_address_are_ignored);
   suite_add_tcase (suite, tests);
   return run_suite (suite);
 }
