--- a/tests/support/declared.c
+++ b/tests/support/declared.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A declaration in order, over which the cases lay their own values.  */
+/* A valid declaration, of which the cases override values.  */
 static const pair_t base[] = {
   { "organisation/a", "{\"key_sha256\":\"" KEY_A "\",\"weight\":3,"
                       "\"limits\":{\"max_output_tokens\":500}}" },
@@ -38,13 +38,14 @@
   { "rule-order", "[\"crowded\",\"waited\",\"long\",\"b\"]" },
 };
 
-/* Lays values over the base; a json of NULL takes one out.  */
+/* Copies the base with values overridden or added; a json of NULL removes a
+   value.  Returns how many values were written.  */
 static size_t
-lay_over (const pair_t *over, size_t over_count,
-          csp_declared_value_t values[VALUES_MAX])
+override_values (const pair_t *overrides, size_t override_count,
+                 csp_declared_value_t values[VALUES_MAX])
 {
   size_t count = 0;
-  bool used[OVER_MAX] = { false };
+  bool applied[OVER_MAX] = { false };
   const char *json;
   size_t i;
   size_t o;
@@ -52,29 +53,31 @@
   for (i = 0; i < sizeof base / sizeof base[0]; i++)
     {
       json = base[i].json;
-      for (o = 0; o < over_count; o++)
-        if (over[o].key != NULL && strcmp (over[o].key, base[i].key) == 0)
+      for (o = 0; o < override_count; o++)
+        if (overrides[o].key != NULL
+            && strcmp (overrides[o].key, base[i].key) == 0)
           {
-            json = over[o].json;
-            used[o] = true;
+            json = overrides[o].json;
+            applied[o] = true;
           }
       if (json != NULL)
         values[count++]
             = (csp_declared_value_t){ base[i].key, json, strlen (json), NULL };
     }
-  for (o = 0; o < over_count; o++)
-    if (over[o].key != NULL && !used[o])
-      values[count++] = (csp_declared_value_t){ over[o].key, over[o].json,
-                                                strlen (over[o].json), NULL };
+  for (o = 0; o < override_count; o++)
+    if (overrides[o].key != NULL && !applied[o])
+      values[count++]
+          = (csp_declared_value_t){ overrides[o].key, overrides[o].json,
+                                    strlen (overrides[o].json), NULL };
   return count;
 }
 
 csp_declaration_t *
-declare (const csp_declaration_t *previous, const pair_t *over,
-         size_t over_count, csp_faults_t *faults)
+declare (const csp_declaration_t *previous, const pair_t *overrides,
+         size_t override_count, csp_faults_t *faults)
 {
   csp_declared_value_t values[VALUES_MAX];
-  size_t count = lay_over (over, over_count, values);
+  size_t count = override_values (overrides, override_count, values);
 
   return csp_create_declaration (previous, values, count, faults);
 }
--- a/tests/support/declared.h
+++ b/tests/support/declared.h
@@ -3,7 +3,7 @@
 
 #include "cowslipspoke/declaration.h"
 
-/* A small declaration in order, over which tests lay their own values.  */
+/* A small valid declaration, of which tests override values.  */
 
 #define KEY_A                                                                 \
   "aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa"
@@ -25,13 +25,14 @@
   const char *json;
 } pair_t;
 
-/* Declare the base with up to OVER_MAX values laid over it; a json of NULL
-   takes one out.  */
+/* Create the base declaration with up to OVER_MAX values overridden or added;
+   a json of NULL removes the value.  Returns NULL when the declaration is
+   refused.  */
 csp_declaration_t *declare (const csp_declaration_t *previous,
-                            const pair_t *over, size_t over_count,
+                            const pair_t *overrides, size_t override_count,
                             csp_faults_t *faults);
 
-/* Declare the base alone.  */
+/* Create the base declaration without changes; aborts when it is refused.  */
 csp_declaration_t *declare_base (void);
 
 #endif
--- a/tests/support/fleet-bytes.c
+++ b/tests/support/fleet-bytes.c
@@ -2,9 +2,9 @@
 
 #include <string.h>
 
-/* The size that a protobuf message of the same members has: a tag byte for
-   each member that is not zero, varints for numbers, eight bytes for hashes,
-   and a length byte for texts.  */
+/* Sizes of messages as protobuf would encode them: a tag byte for each member
+   that is not zero, varints for numbers, eight bytes for hashes, and a length
+   byte for texts.  */
 
 static size_t
 count_number (uint64_t number)
@@ -59,30 +59,33 @@
 }
 
 size_t
-fleet_count_heartbeat_bytes (const csp_heartbeat_t *said)
+fleet_count_heartbeat_bytes (const csp_heartbeat_t *heartbeat)
 {
   size_t bytes
-      = count_number (said->protocol) + count_fixed (said->deployment)
-        + count_text (said->name) + count_text (said->region)
-        + count_text (said->data_centre) + count_text (said->address)
-        + count_number (said->http_port) + count_number (said->peer_port)
-        + count_fixed (said->incarnation) + count_number (said->sequence)
-        + count_number (said->state) + count_number ((uint64_t)said->revision)
-        + count_fixed (said->digest)
-        + count_number ((uint64_t)said->refused_revision)
-        + count_number (said->service_silent)
-        + count_number ((uint64_t)said->list_version)
-        + count_number ((uint64_t)said->headroom_tokens)
-        + count_number (said->owned_targets)
-        + count_number (said->median_gap_us) + count_number (said->targets_out)
-        + count_fixed (said->known_incarnation)
-        + count_number (said->alive_ms);
+      = count_number (heartbeat->protocol)
+        + count_fixed (heartbeat->deployment) + count_text (heartbeat->name)
+        + count_text (heartbeat->region) + count_text (heartbeat->data_centre)
+        + count_text (heartbeat->address) + count_number (heartbeat->http_port)
+        + count_number (heartbeat->peer_port)
+        + count_fixed (heartbeat->incarnation)
+        + count_number (heartbeat->sequence) + count_number (heartbeat->state)
+        + count_number ((uint64_t)heartbeat->revision)
+        + count_fixed (heartbeat->digest)
+        + count_number ((uint64_t)heartbeat->refused_revision)
+        + count_number (heartbeat->service_silent)
+        + count_number ((uint64_t)heartbeat->list_version)
+        + count_number ((uint64_t)heartbeat->headroom_tokens)
+        + count_number (heartbeat->owned_targets)
+        + count_number (heartbeat->median_gap_us)
+        + count_number (heartbeat->targets_out)
+        + count_fixed (heartbeat->known_incarnation)
+        + count_number (heartbeat->alive_ms);
   uint8_t i;
 
-  for (i = 0; i < said->suspect_count; i++)
-    bytes += count_suspect (&said->suspects[i]);
-  for (i = 0; i < said->summary_count; i++)
-    bytes += count_summary (&said->summaries[i]);
+  for (i = 0; i < heartbeat->suspect_count; i++)
+    bytes += count_suspect (&heartbeat->suspects[i]);
+  for (i = 0; i < heartbeat->summary_count; i++)
+    bytes += count_summary (&heartbeat->summaries[i]);
   return bytes;
 }
 
--- a/tests/support/fleet-chaos.c
+++ b/tests/support/fleet-chaos.c
@@ -6,23 +6,23 @@
   FAULT_START,
   FAULT_PAUSE,
   FAULT_PUBLISH,
-  FAULT_CUT,
-  FAULT_SERVICE,
+  FAULT_CUT_LINK,
+  FAULT_TOGGLE_PLATFORM,
   FAULT_COUNT
 } fault_t;
 
 enum
 {
-  LONGEST_PAUSE_MS = 20000,
-  LONGEST_REST_MS = 8000
+  PAUSE_MAX_MS = 20000,
+  ROUND_MAX_MS = 8000
 };
 
 static void
-break_one (fleet_t *fleet, bool cuts)
+inject_fault (fleet_t *fleet, bool cuts)
 {
   uint32_t nodes = (uint32_t)fleet->settings.nodes;
   size_t node = csp_random_below (&fleet->random, nodes);
-  uint32_t kinds = cuts ? FAULT_COUNT : FAULT_CUT;
+  uint32_t kinds = cuts ? FAULT_COUNT : FAULT_CUT_LINK;
   fault_t fault = (fault_t)csp_random_below (&fleet->random, kinds);
 
   switch (fault)
@@ -37,15 +37,15 @@
       break;
     case FAULT_PAUSE:
       fleet_pause (fleet, node,
-                   csp_random_below (&fleet->random, LONGEST_PAUSE_MS));
+                   csp_random_below (&fleet->random, PAUSE_MAX_MS));
       break;
     case FAULT_PUBLISH:
       fleet_publish (fleet, 1 + csp_random_below (&fleet->random, 5));
       break;
-    case FAULT_CUT:
+    case FAULT_CUT_LINK:
       fleet_cut (fleet, node, csp_random_below (&fleet->random, nodes), true);
       break;
-    case FAULT_SERVICE:
+    case FAULT_TOGGLE_PLATFORM:
       fleet->service_away = !fleet->service_away;
       break;
     case FAULT_COUNT:
@@ -54,7 +54,7 @@
 }
 
 static void
-mend_all (fleet_t *fleet)
+clear_faults (fleet_t *fleet)
 {
   size_t a;
   size_t b;
@@ -77,11 +77,11 @@
 
   for (i = 0; i < rounds; i++)
     {
-      break_one (fleet, cuts);
-      break_one (fleet, cuts);
-      fleet_run (fleet, csp_random_below (&fleet->random, LONGEST_REST_MS));
+      inject_fault (fleet, cuts);
+      inject_fault (fleet, cuts);
+      fleet_run (fleet, csp_random_below (&fleet->random, ROUND_MAX_MS));
     }
-  mend_all (fleet);
+  clear_faults (fleet);
 }
 
 static bool
--- a/tests/support/fleet-messages.c
+++ b/tests/support/fleet-messages.c
@@ -37,7 +37,7 @@
 fleet_free_message (fleet_message_t *message)
 {
   free (message->heartbeat);
-  free (message->carries);
+  free (message->loads);
   free_delta (&message->delta);
   free (message);
 }
@@ -53,11 +53,12 @@
     bytes += fleet_count_delta_bytes (&message->delta);
   if (message->kind == MESSAGE_PULL)
     bytes += 16;
-  return bytes + message->carry_count * 20;
+  return bytes + message->load_count * 20;
 }
 
 fleet_message_t *
-fleet_post (fleet_t *fleet, message_kind_t kind, size_t from, size_t to)
+fleet_begin_message (fleet_t *fleet, message_kind_t kind, size_t from,
+                     size_t to)
 {
   fleet_message_t *message;
 
@@ -73,15 +74,16 @@
   message->from = from;
   message->to = to;
   message->to_incarnation = fleet->nodes[to].incarnation;
-  message->at_ms
+  message->due_ms
       = fleet->now_ms + 1
         + csp_random_below (&fleet->random, fleet->settings.delay_ms);
   return message;
 }
 
-/* Count the last message posted, and lose it where it must be lost.  */
+/* Counts the last message created, and drops it when its link is cut or as
+   random loss.  */
 void
-fleet_finish_post (fleet_t *fleet)
+fleet_send_message (fleet_t *fleet)
 {
   fleet_message_t *message = fleet->messages[fleet->message_count - 1];
   fleet_node_t *node = &fleet->nodes[message->from];
@@ -124,10 +126,10 @@
 
   csp_handle_heartbeat (node->membership, message->heartbeat, fleet->now_ms,
                         &reply);
-  answer = fleet_post (fleet, MESSAGE_HEARTBEAT_REPLY, message->to,
-                       message->from);
+  answer = fleet_begin_message (fleet, MESSAGE_HEARTBEAT_REPLY, message->to,
+                                message->from);
   answer->heartbeat = fleet_copy_heartbeat (&reply);
-  fleet_finish_post (fleet);
+  fleet_send_message (fleet);
 }
 
 static void
@@ -138,14 +140,16 @@
   csp_config_delta_t delta;
   fleet_message_t *answer;
 
-  csp_find_config_changes (node->configuration, message->after, &delta);
+  csp_find_config_changes (node->configuration, message->after_revision,
+                           &delta);
   csp_describe_configuration (node->configuration, &status);
-  answer = fleet_post (fleet, MESSAGE_PULL_REPLY, message->to, message->from);
+  answer = fleet_begin_message (fleet, MESSAGE_PULL_REPLY, message->to,
+                                message->from);
   answer->id = message->id;
   answer->refused_revision = status.refused_revision;
   memcpy (answer->fault, status.fault, sizeof answer->fault);
   copy_delta (&delta, &answer->delta);
-  fleet_finish_post (fleet);
+  fleet_send_message (fleet);
 }
 
 static void
@@ -155,14 +159,15 @@
   fleet_message_t *answer;
   size_t i;
 
-  answer = fleet_post (fleet, MESSAGE_CARRY_REPLY, message->to, message->from);
+  answer = fleet_begin_message (fleet, MESSAGE_LOAD_QUERY_REPLY, message->to,
+                                message->from);
   answer->id = message->id;
-  answer->carry_count = message->carry_count;
-  answer->carries = calloc (message->carry_count + 1, sizeof (csp_carry_t));
-  for (i = 0; i < message->carry_count; i++)
-    csp_answer_carry (node->ownership, message->carries[i].target,
-                      &answer->carries[i]);
-  fleet_finish_post (fleet);
+  answer->load_count = message->load_count;
+  answer->loads = calloc (message->load_count + 1, sizeof (csp_carry_t));
+  for (i = 0; i < message->load_count; i++)
+    csp_answer_carry (node->ownership, message->loads[i].target,
+                      &answer->loads[i]);
+  fleet_send_message (fleet);
 }
 
 static void
@@ -190,17 +195,18 @@
                        message->refused_revision, message->fault,
                        fleet->now_ms);
       break;
-    case MESSAGE_CARRY:
+    case MESSAGE_LOAD_QUERY:
       deliver_carry (fleet, message);
       break;
-    case MESSAGE_CARRY_REPLY:
-      csp_handle_carry (node->ownership, from, message->id, message->carries,
-                        message->carry_count, fleet->now_ms);
+    case MESSAGE_LOAD_QUERY_REPLY:
+      csp_handle_carry (node->ownership, from, message->id, message->loads,
+                        message->load_count, fleet->now_ms);
       break;
     }
 }
 
-/* What comes to a paused node waits in its socket.  */
+/* Messages to a paused node stay in the queue, as they would in the buffer of
+   its socket.  */
 void
 fleet_deliver_due (fleet_t *fleet)
 {
@@ -210,7 +216,7 @@
   while (i < fleet->message_count)
     {
       message = fleet->messages[i];
-      if (message->at_ms > fleet->now_ms
+      if (message->due_ms > fleet->now_ms
           || fleet->nodes[message->to].paused_until_ms > fleet->now_ms)
         {
           i++;
--- a/tests/support/fleet-platform.c
+++ b/tests/support/fleet-platform.c
@@ -15,7 +15,7 @@
 {
   fleet_service_t *service = &fleet->service;
 
-  service->changed[key] = ++service->revision;
+  service->changed_revision[key] = ++service->revision;
   service->value[key] = value;
 }
 
@@ -41,31 +41,33 @@
   fleet->list_version++;
 }
 
-/* The answer to after, into arrays of the caller.  */
+/* Fills the service's answer to a read of the changes after a revision.  The
+   values are written to arrays of the caller.  */
 static void
-fill_answer (const fleet_service_t *service, int64_t after,
-             csp_config_delta_t *delta, csp_config_value_t *values,
-             char keys[][KEY_BYTES], char texts[][JSON_BYTES])
+fill_delta (const fleet_service_t *service, int64_t after_revision,
+            csp_config_delta_t *delta, csp_config_value_t *values,
+            char keys[][KEY_BYTES], char texts[][JSON_BYTES])
 {
   size_t count = 0;
   size_t i;
 
   for (i = 0; i < FLEET_KEYS; i++)
     {
-      if (service->changed[i] == 0 || service->changed[i] <= after
-          || (after == 0 && service->value[i] < 0))
+      if (service->changed_revision[i] == 0
+          || service->changed_revision[i] <= after_revision
+          || (after_revision == 0 && service->value[i] < 0))
         continue;
       snprintf (keys[count], KEY_BYTES, "organisation/o%zu", i);
       snprintf (texts[count], JSON_BYTES, "{\"weight\":%d}",
                 service->value[i]);
       values[count].key = keys[count];
       values[count].json = service->value[i] < 0 ? NULL : texts[count];
-      values[count].revision = service->changed[i];
+      values[count].revision = service->changed_revision[i];
       count++;
     }
   memset (delta, 0, sizeof *delta);
-  delta->base = after;
-  delta->full = after == 0;
+  delta->base = after_revision;
+  delta->full = after_revision == 0;
   delta->revision = service->revision;
   delta->value_count = count;
   delta->values = values;
@@ -79,27 +81,28 @@
   char keys[FLEET_KEYS][KEY_BYTES];
   char texts[FLEET_KEYS][JSON_BYTES];
 
-  fill_answer (&fleet->service, node->read.after, &delta, values, keys, texts);
-  node->reading = false;
-  csp_handle_read (node->spread, node->read.id, &delta, fleet->now_ms);
+  fill_delta (&fleet->service, node->pending_read.after, &delta, values, keys,
+              texts);
+  node->read_pending = false;
+  csp_handle_read (node->spread, node->pending_read.id, &delta, fleet->now_ms);
 }
 
 static void
 tick_read (fleet_t *fleet, fleet_node_t *node)
 {
-  int64_t waited_ms = fleet->now_ms - node->read_since_ms;
-  bool changed
-      = fleet->service.revision != node->read.after || node->read.after == 0;
+  int64_t waited_ms = fleet->now_ms - node->read_started_ms;
+  bool changed = fleet->service.revision != node->pending_read.after
+                 || node->pending_read.after == 0;
 
-  if (!node->reading)
+  if (!node->read_pending)
     return;
   if (node->platform_cut || fleet->service_away)
     {
-      if (waited_ms >= node->read.timeout_ms)
-        node->reading = false;
+      if (waited_ms >= node->pending_read.timeout_ms)
+        node->read_pending = false;
       return;
     }
-  if (changed || waited_ms >= node->read.wait_ms)
+  if (changed || waited_ms >= node->pending_read.wait_ms)
     answer_read (fleet, node);
 }
 
@@ -112,7 +115,7 @@
 
   for (i = 0; i < fleet->settings.nodes; i++)
     {
-      if (!fleet->listed[i])
+      if (!fleet->node_listed[i])
         continue;
       memset (&hosts[count], 0, sizeof hosts[count]);
       memcpy (hosts[count].name, fleet->nodes[i].name,
@@ -131,7 +134,7 @@
 }
 
 static void
-read_list (fleet_t *fleet, fleet_node_t *node)
+apply_lists (fleet_t *fleet, fleet_node_t *node)
 {
   csp_listed_host_t *hosts = calloc (FLEET_MAX_NODES, sizeof *hosts);
   csp_listed_target_t *targets = calloc (FLEET_MAX_TARGETS, sizeof *targets);
@@ -152,9 +155,9 @@
 fleet_tick_platform (fleet_t *fleet, fleet_node_t *node)
 {
   tick_read (fleet, node);
-  if (fleet->now_ms < node->next_list_ms || fleet->service_away
+  if (fleet->now_ms < node->next_list_read_ms || fleet->service_away
       || node->platform_cut)
     return;
-  node->next_list_ms = fleet->now_ms + FLEET_LIST_POLL_MS;
-  read_list (fleet, node);
+  node->next_list_read_ms = fleet->now_ms + FLEET_LIST_POLL_MS;
+  apply_lists (fleet, node);
 }
--- a/tests/support/fleet.c
+++ b/tests/support/fleet.c
@@ -56,10 +56,11 @@
   csp_tick_membership (node->membership, fleet->now_ms, &actions);
   for (i = 0; i < actions.count; i++)
     {
-      message = fleet_post (fleet, MESSAGE_HEARTBEAT, index,
-                            fleet_find_node (fleet, actions.items[i].peer));
+      message = fleet_begin_message (
+          fleet, MESSAGE_HEARTBEAT, index,
+          fleet_find_node (fleet, actions.items[i].peer));
       message->heartbeat = fleet_copy_heartbeat (&actions.items[i].ask);
-      fleet_finish_post (fleet);
+      fleet_send_message (fleet);
     }
 }
 
@@ -67,9 +68,9 @@
 start_read (fleet_t *fleet, fleet_node_t *node,
             const csp_spread_action_t *action)
 {
-  node->reading = true;
-  node->read = *action;
-  node->read_since_ms = fleet->now_ms;
+  node->read_pending = true;
+  node->pending_read = *action;
+  node->read_started_ms = fleet->now_ms;
   node->reads++;
   fleet->reads++;
 }
@@ -98,36 +99,40 @@
           start_read (fleet, node, &actions.items[i]);
           continue;
         }
-      message = fleet_post (fleet, MESSAGE_PULL, index,
-                            fleet_find_node (fleet, actions.items[i].peer));
+      message = fleet_begin_message (
+          fleet, MESSAGE_PULL, index,
+          fleet_find_node (fleet, actions.items[i].peer));
       message->id = actions.items[i].id;
-      message->after = actions.items[i].after;
-      fleet_finish_post (fleet);
+      message->after_revision = actions.items[i].after;
+      fleet_send_message (fleet);
     }
 }
 
 static void
 tick_ownership (fleet_t *fleet, fleet_node_t *node, size_t index)
 {
-  csp_carry_asks_t asks;
+  csp_carry_asks_t queries;
   csp_target_view_t view;
   fleet_message_t *message;
   size_t i;
   size_t t;
 
-  csp_tick_ownership (node->ownership, node->membership, fleet->now_ms, &asks);
-  for (i = 0; i < asks.count; i++)
+  csp_tick_ownership (node->ownership, node->membership, fleet->now_ms,
+                      &queries);
+  for (i = 0; i < queries.count; i++)
     {
-      message = fleet_post (fleet, MESSAGE_CARRY, index,
-                            fleet_find_node (fleet, asks.items[i].peer));
-      message->id = asks.items[i].id;
-      message->carry_count = asks.items[i].count;
-      message->carries = calloc (asks.items[i].count, sizeof (csp_carry_t));
-      for (t = 0; t < asks.items[i].count; t++)
-        if (csp_view_target (node->ownership, asks.items[i].targets[t], &view))
-          memcpy (message->carries[t].target, view.target.name,
+      message = fleet_begin_message (
+          fleet, MESSAGE_LOAD_QUERY, index,
+          fleet_find_node (fleet, queries.items[i].peer));
+      message->id = queries.items[i].id;
+      message->load_count = queries.items[i].count;
+      message->loads = calloc (queries.items[i].count, sizeof (csp_carry_t));
+      for (t = 0; t < queries.items[i].count; t++)
+        if (csp_view_target (node->ownership, queries.items[i].targets[t],
+                             &view))
+          memcpy (message->loads[t].target, view.target.name,
                   sizeof view.target.name);
-      fleet_finish_post (fleet);
+      fleet_send_message (fleet);
     }
 }
 
@@ -143,7 +148,7 @@
   node->next_tick_ms = fleet->now_ms + FLEET_TICK_MS;
   if (fleet->now_ms / FLEET_TICK_MS % (FLEET_REPORT_MS / FLEET_TICK_MS)
       == (int64_t)index % (FLEET_REPORT_MS / FLEET_TICK_MS))
-    fleet_report_loads (fleet, node);
+    fleet_read_load_reports (fleet, node);
   tick_membership (fleet, node, index);
   tick_spread (fleet, node, index);
   tick_ownership (fleet, node, index);
@@ -152,18 +157,19 @@
   node->highest_revision = revision;
 }
 
-/* The lagging host list: a start or a death shows after the lag.  */
+/* Updates the platform's list of hosts, which shows a start or a death after a
+   delay.  */
 static void
 update_list (fleet_t *fleet)
 {
   size_t i;
 
   for (i = 0; i < fleet->settings.nodes; i++)
-    if (fleet->listed[i] != fleet->nodes[i].up
+    if (fleet->node_listed[i] != fleet->nodes[i].up
         && fleet->now_ms
-               >= fleet->list_changes[i] + fleet->settings.list_lag_ms)
+               >= fleet->up_changed_ms[i] + fleet->settings.list_lag_ms)
       {
-        fleet->listed[i] = fleet->nodes[i].up;
+        fleet->node_listed[i] = fleet->nodes[i].up;
         fleet->list_version++;
       }
 }
@@ -289,14 +295,14 @@
   node->ownership = csp_create_ownership (node->name, data_centre);
   node->state = CSP_MEMBER_LIVE;
   node->up = true;
-  node->reading = false;
+  node->read_pending = false;
   node->paused_until_ms = 0;
   node->highest_revision = 0;
-  node->next_list_ms = 0;
+  node->next_list_read_ms = 0;
   node->next_tick_ms
       = fleet->now_ms + csp_random_below (&fleet->random, FLEET_TICK_MS);
-  memset (node->carried, 0, sizeof node->carried);
-  fleet->list_changes[index] = fleet->now_ms;
+  memset (node->carried_tokens, 0, sizeof node->carried_tokens);
+  fleet->up_changed_ms[index] = fleet->now_ms;
 }
 
 void
@@ -307,7 +313,7 @@
   for (i = 0; i < fleet->settings.nodes; i++)
     {
       fleet_start (fleet, i);
-      fleet->listed[i] = true;
+      fleet->node_listed[i] = true;
     }
   fleet_run (fleet, 20000);
 }
@@ -316,7 +322,7 @@
 fleet_kill (fleet_t *fleet, size_t index)
 {
   fleet->nodes[index].up = false;
-  fleet->list_changes[index] = fleet->now_ms;
+  fleet->up_changed_ms[index] = fleet->now_ms;
 }
 
 void
@@ -399,8 +405,8 @@
   size_t count = 0;
   size_t i;
 
-  /* A paused node's threads wake with it, before its next tick; so it is
-     asked too.  */
+  /* A paused node is counted too, since its threads may grant when it resumes,
+     before its next tick.  */
   for (i = fleet->targets[target].data_centre; i < fleet->settings.nodes;
        i += fleet->settings.data_centres)
     {
--- a/tests/support/fleet.h
+++ b/tests/support/fleet.h
@@ -5,9 +5,10 @@
 #include "cowslipspoke/random.h"
 #include "cowslipspoke/spread.h"
 
-/* Several hosts' state machines in one process, joined by a seeded queue of
-   messages with delay, loss and cuts, and a small model of the platform and
-   of engines.  Time moves in steps of FLEET_STEP_MS.  */
+/* Simulates a fleet in one process: the state machines of several hosts,
+   connected by a queue of messages with delay, loss and cut links, and a small
+   model of the platform and of engines.  All random choices follow from a
+   seed.  Time advances in steps of FLEET_STEP_MS.  */
 
 enum
 {
@@ -26,21 +27,23 @@
 {
   size_t nodes;
   size_t data_centres;
-  /* In each data centre.  */
+  /* Targets in each data centre.  */
   size_t targets;
   uint64_t seed;
   uint32_t delay_ms;
   double loss;
-  /* How long the platform takes to list a start or a death.  */
+  /* Delay after which the platform's list shows that a host started or
+     died.  */
   int64_t list_lag_ms;
   int64_t report_lag_ms;
-  /* Every host reads the service at each change, as the simplest design
-     would; for comparison.  */
+  /* Every host reads the configuration service at each change, as the simplest
+     design would; used for comparison.  */
   bool everyone_reads;
 } fleet_settings_t;
 
-/* The service's keys: value 0 is no key, a negative one is a deletion at that
-   revision, FLEET_BAD_VALUE fails the check.  */
+/* Keys of the configuration service.  Value 0: the key doesn't exist;
+   negative: it was deleted at that revision; FLEET_BAD_VALUE: hosts refuse the
+   revision.  */
 enum
 {
   FLEET_BAD_VALUE = 666
@@ -49,14 +52,15 @@
 typedef struct
 {
   int64_t revision;
-  int64_t changed[FLEET_KEYS];
+  int64_t changed_revision[FLEET_KEYS];
   int value[FLEET_KEYS];
 } fleet_service_t;
 
 typedef struct
 {
   bool up;
-  /* Not counted as a fault by the list before this.  */
+  /* The node is paused until this time; the platform's list still shows
+     it.  */
   int64_t paused_until_ms;
   char name[CSP_HOST_NAME_BYTES];
   size_t data_centre;
@@ -68,23 +72,23 @@
   csp_ownership_t *ownership;
   bool platform_cut;
   int64_t next_tick_ms;
-  int64_t next_list_ms;
-  /* The read that is out.  */
-  bool reading;
-  csp_spread_action_t read;
-  int64_t read_since_ms;
+  int64_t next_list_read_ms;
+  /* The read of the configuration service in progress.  */
+  bool read_pending;
+  csp_spread_action_t pending_read;
+  int64_t read_started_ms;
   int64_t highest_revision;
   uint64_t bytes;
   uint64_t messages;
   uint64_t reads;
-  int64_t carried[FLEET_MAX_TARGETS];
+  int64_t carried_tokens[FLEET_MAX_TARGETS];
 } fleet_node_t;
 
 typedef struct
 {
   csp_listed_target_t listed;
   size_t data_centre;
-  int64_t used[FLEET_REPORT_SLOTS];
+  int64_t used_tokens[FLEET_REPORT_SLOTS];
   bool leaving;
 } fleet_target_t;
 
@@ -98,7 +102,7 @@
   fleet_node_t nodes[FLEET_MAX_NODES];
   fleet_target_t targets[FLEET_MAX_TARGETS];
   size_t target_count;
-  /* cuts[a][b]: what a sends to b is lost.  */
+  /* cuts[a][b]: all messages from a to b are lost.  */
   bool cuts[FLEET_MAX_NODES][FLEET_MAX_NODES];
   size_t message_count;
   size_t message_capacity;
@@ -106,11 +110,11 @@
   fleet_service_t service;
   bool service_away;
   int64_t list_version;
-  int64_t list_changes[FLEET_MAX_NODES];
-  bool listed[FLEET_MAX_NODES];
-  /* Load: every owner takes all the room it may.  */
+  int64_t up_changed_ms[FLEET_MAX_NODES];
+  bool node_listed[FLEET_MAX_NODES];
+  /* Every owner places as many tokens on its targets as it may.  */
   bool load;
-  /* What the checks at each step found.  */
+  /* Results of the checks at each step.  */
   uint64_t went_back;
   uint64_t double_grants;
   int64_t worst_used;
@@ -127,40 +131,46 @@
 void fleet_kill (fleet_t *fleet, size_t index);
 void fleet_pause (fleet_t *fleet, size_t index, int64_t ms);
 void fleet_leave (fleet_t *fleet, size_t index);
-/* Cut or mend what goes from one node to another, one way.  */
+/* Cut or restore the link from one node to another, in this direction
+   only.  */
 void fleet_cut (fleet_t *fleet, size_t from, size_t to, bool cut);
-/* Cut or mend both ways between nodes below split and the others.  */
+/* Cut or restore the links between the nodes below split and the others, in
+   both directions.  */
 void fleet_split (fleet_t *fleet, size_t split, bool cut);
 
-/* Publish count changes of random keys, each its own revision.  */
+/* Publish this many changes of random keys, each with its own revision.  */
 void fleet_publish (fleet_t *fleet, size_t count);
 void fleet_publish_value (fleet_t *fleet, size_t key, int value);
 /* List a target as leaving.  */
 void fleet_leave_target (fleet_t *fleet, size_t target);
 
 int64_t fleet_revision (const fleet_t *fleet, size_t index);
-/* All nodes that are up have this revision and one digest.  */
+/* Whether all nodes that are up have at least this revision, and all have the
+   same digest.  */
 bool fleet_agrees_on (const fleet_t *fleet, int64_t revision);
-/* Run until then, at most limit_ms; how long it took, -1 if it did not.  */
+/* Run until fleet_agrees_on is true, for about limit_ms at most.  Returns how
+   many milliseconds it took, or -1 on a timeout.  */
 int64_t fleet_time_to_agree (fleet_t *fleet, int64_t revision,
                              int64_t limit_ms);
-/* How many nodes may grant on a target now.  */
+/* Returns how many nodes may grant requests on a target now.  */
 size_t fleet_count_granting (const fleet_t *fleet, size_t target);
 csp_peer_liveness_t fleet_liveness (const fleet_t *fleet, size_t from,
                                     size_t of);
 
-/* Two random faults at a time, rounds times, then mend everything.  With cuts
-   links are cut and the service goes away as well.  */
+/* Inject two random faults and run for a random time, this many rounds; then
+   clear all faults.  cuts: faults may also cut links and make the platform
+   (its configuration service and its lists) unreachable.  */
 void fleet_break_things (fleet_t *fleet, size_t rounds, bool cuts);
-/* Run until every target has exactly one host that grants; how long it took,
-   -1 if it did not.  */
+/* Run until every live target has exactly one host that grants, for about
+   limit_ms at most.  Returns how many milliseconds it took, or -1 on a
+   timeout.  */
 int64_t fleet_time_to_one_owner (fleet_t *fleet, int64_t limit_ms);
 
-/* Parts of the harness.  */
+/* Internal to the simulation.  */
 void fleet_tick_platform (fleet_t *fleet, fleet_node_t *node);
 void fleet_tick_load (fleet_t *fleet);
-void fleet_report_loads (fleet_t *fleet, fleet_node_t *node);
-size_t fleet_count_heartbeat_bytes (const csp_heartbeat_t *said);
+void fleet_read_load_reports (fleet_t *fleet, fleet_node_t *node);
+size_t fleet_count_heartbeat_bytes (const csp_heartbeat_t *heartbeat);
 size_t fleet_count_delta_bytes (const csp_config_delta_t *delta);
 
 #endif
--- a/tests/support/run-suite.h
+++ b/tests/support/run-suite.h
@@ -3,7 +3,7 @@
 
 #include <check.h>
 
-/* Run a suite, which goes with it, and return what main should.  */
+/* Run a suite and free it.  Returns the exit status for main.  */
 int run_suite (Suite *suite);
 
 #endif
