--- a/bench/arrivals.c
+++ b/bench/arrivals.c
@@ -5,22 +5,23 @@
 #include <math.h>
 #include <stdlib.h>
 
-/* A class of requests: answers are log-normal, prompts even in their range,
-   start_s is how long a caller waits for its first token.  */
+/* How the requests of one class are drawn.  Output lengths are log-normal and
+   prompt lengths uniform within their range.  A caller gives up when its first
+   token has not come within start_within_s.  */
 typedef struct
 {
   double share;
   double median_tokens;
   double sigma;
-  uint32_t least_prompt;
-  uint32_t most_prompt;
+  uint32_t min_prompt_tokens;
+  uint32_t max_prompt_tokens;
   uint8_t priority;
-  uint32_t start_s;
-} class_row_t;
+  uint32_t start_within_s;
+} class_profile_t;
 
 const char *const class_names[CLASS_COUNT] = { "lookup", "score", "draft" };
 
-static const class_row_t classes[CLASS_COUNT] = {
+static const class_profile_t classes[CLASS_COUNT] = {
   [CLASS_LOOKUP] = { 0.45, 40, 0.8, 200, 600, 7, 10 },
   [CLASS_SCORE] = { 0.25, 12, 0.6, 800, 2500, 4, 20 },
   [CLASS_DRAFT] = { 0.30, 290, 1.3, 1000, 8000, 6, 30 },
@@ -28,9 +29,9 @@
 
 enum
 {
-  MOST_TOKENS = 32768,
-  SAMPLES = 200000,
-  PREFIXES_EACH = 4,
+  MAX_OUTPUT_TOKENS = 32768,
+  MEAN_SAMPLES = 200000,
+  PREFIXES_PER_ORGANISATION = 4,
   FULL_STEP_US = 42000
 };
 
@@ -61,14 +62,15 @@
   return (uint8_t)i;
 }
 
-/* One sends 0.6 of all, two send 0.1 each, seven share the rest.  */
+/* One organisation sends 0.6 of all requests, two send 0.1 each, and the
+   other seven share the rest.  */
 static uint8_t
 draw_organisation (csp_random_t *random)
 {
   double u = csp_random_unit (random);
 
   if (u < largest_share)
-    return LARGEST;
+    return LARGEST_ORGANISATION;
   u = (u - largest_share) / large_share;
   if (u < 2)
     return (uint8_t)(1 + (int)u);
@@ -79,43 +81,48 @@
 static void
 draw_request (csp_random_t *random, double length_factor, request_t *request)
 {
-  const class_row_t *row;
+  const class_profile_t *profile;
   double tokens;
 
   request->class_index = draw_class (random);
   request->organisation = draw_organisation (random);
-  row = &classes[request->class_index];
-  tokens = row->median_tokens * length_factor
-           * exp (row->sigma * draw_normal (random));
-  request->length_tokens = (uint32_t)fmin (fmax (tokens, 1), MOST_TOKENS);
+  profile = &classes[request->class_index];
+  tokens = profile->median_tokens * length_factor
+           * exp (profile->sigma * draw_normal (random));
+  request->output_tokens
+      = (uint32_t)fmin (fmax (tokens, 1), MAX_OUTPUT_TOKENS);
   request->prompt_tokens
-      = row->least_prompt
-        + csp_random_below (random, row->most_prompt - row->least_prompt);
-  request->priority = row->priority;
-  request->start_by_us = (int64_t)row->start_s * 1000000;
-  request->prefix = 1 + request->organisation * PREFIXES_EACH
-                    + csp_random_below (random, PREFIXES_EACH);
+      = profile->min_prompt_tokens
+        + csp_random_below (random, profile->max_prompt_tokens
+                                        - profile->min_prompt_tokens);
+  request->priority = profile->priority;
+  request->start_by_us = (int64_t)profile->start_within_s * 1000000;
+  request->prefix = 1 + request->organisation * PREFIXES_PER_ORGANISATION
+                    + csp_random_below (random, PREFIXES_PER_ORGANISATION);
   request->prefix_tokens = (uint32_t)(request->prompt_tokens * prefix_share);
 }
 
-/* Requests a second that one engine's memory can hold, by Little's law.  */
+/* Returns the requests a second that fill the memory of one engine, by
+   Little's law: a request holds its prompt and on average half of its output
+   for as many steps as it has output tokens.  */
 static double
 requests_per_s (const engine_shape_t *shape)
 {
   csp_random_t random;
   request_t request;
-  double held = 0;
+  double token_steps = 0;
   double length;
   uint32_t i;
 
   csp_seed_random (&random, 7);
-  for (i = 0; i < SAMPLES; i++)
+  for (i = 0; i < MEAN_SAMPLES; i++)
     {
       draw_request (&random, 1, &request);
-      length = request.length_tokens;
-      held += length * (request.prompt_tokens + length / 2);
+      length = request.output_tokens;
+      token_steps += length * (request.prompt_tokens + length / 2);
     }
-  return shape->memory_tokens / (held / SAMPLES * FULL_STEP_US / 1e6);
+  return shape->memory_tokens
+         / (token_steps / MEAN_SAMPLES * FULL_STEP_US / 1e6);
 }
 
 static double
@@ -132,9 +139,9 @@
                uint32_t *count)
 {
   double rate = requests_per_s (shape) * plan->engines * plan->load;
-  uint32_t most
+  uint32_t max_count
       = (uint32_t)(rate * (double)plan->duration_us / 1e6 * 2) + 1000;
-  request_t *requests = calloc (most, sizeof *requests);
+  request_t *requests = calloc (max_count, sizeof *requests);
   csp_random_t random;
   int64_t now_us = 0;
   request_t *request;
@@ -143,7 +150,7 @@
     abort ();
   csp_seed_random (&random, plan->seed);
   *count = 0;
-  while (*count < most)
+  while (*count < max_count)
     {
       now_us += (int64_t)(-log (1 - csp_random_unit (&random))
                           / rate_at (plan, now_us, rate) * 1e6);
--- a/bench/arrivals.h
+++ b/bench/arrivals.h
@@ -10,22 +10,24 @@
   CLASS_DRAFT,
   CLASS_COUNT,
   ORGANISATIONS = 10,
-  LARGEST = 0,
+  LARGEST_ORGANISATION = 0,
   FIRST_SMALL = 3,
   ALL_ORGANISATIONS = -1
 };
 
 extern const char *const class_names[CLASS_COUNT];
 
-/* What arrives.  load is a share of the memory that the engines have for the
-   mean request at full speed; only is one organisation or all of them; from
-   burst_from_us on for burst_us arrivals come burst_factor times as fast.  */
+/* Which requests arrive and when.  A load of 1 is the rate at which the mean
+   request just fills the memory of all engines.  For burst_us from
+   burst_from_us on the arrival rate is burst_factor times as high.
+   length_factor scales the output lengths.  */
 typedef struct
 {
   uint64_t seed;
   uint32_t engines;
   double load;
   int64_t duration_us;
+  /* The one organisation whose requests are kept, or ALL_ORGANISATIONS.  */
   int only;
   int64_t burst_from_us;
   int64_t burst_us;
@@ -33,8 +35,9 @@
   double length_factor;
 } arrivals_plan_t;
 
-/* Requests in order of arrival; the caller frees them.  The same plan gives
-   the same requests, and `only` gives the same ones of that organisation.  */
+/* Returns the requests in order of arrival; the caller frees the array.  The
+   same plan always gives the same requests, and a plan for one organisation
+   gives those that it sends in the plan for all organisations.  */
 request_t *make_arrivals (const arrivals_plan_t *plan,
                           const engine_shape_t *shape, uint32_t *count);
 
--- a/bench/cost-bench.c
+++ b/bench/cost-bench.c
@@ -11,17 +11,17 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-/* What one decision costs, in nanoseconds and bytes, and how that grows with
-   targets and organisations.  baseline is the smallest size, now the size in
-   the name, ratio the growth.  */
+/* Measures the time and memory that one decision takes, and how both grow with
+   the number of targets and organisations.  baseline is the cost at the
+   smallest size, now the cost at the size in the name.  */
 
 enum
 {
-  MEMORY = 60000,
-  STREAMS = 8,
+  ENGINE_MEMORY_TOKENS = 60000,
+  STREAMS_PER_TARGET = 8,
   SIZES = 3,
   NS_PER_US = 1000,
-  LEAST_US = 60000
+  MIN_TIMED_US = 60000
 };
 
 static const uint32_t target_sizes[SIZES] = { 36, 430, 12000 };
@@ -33,11 +33,11 @@
   csp_candidate_t *candidates;
   csp_health_t *health;
   uint32_t count;
-  uint64_t bytes;
+  uint64_t heap_bytes;
   csp_random_t random;
 } targets_t;
 
-typedef void (*work_t) (void *state, uint32_t round);
+typedef void (*operation_t) (void *state, uint32_t round);
 
 static uint64_t
 bytes_in_use (void)
@@ -47,13 +47,13 @@
   return info.uordblks + info.hblkhd;
 }
 
-/* Nanoseconds a call, over at least 60 ms.  */
+/* Returns the mean nanoseconds of a call, measured over at least 60 ms.  */
 static double
-time_work (work_t work, void *state)
+time_operation_ns (operation_t operation, void *state)
 {
   csp_clock_t clock = csp_system_clock ();
   int64_t start_us = csp_now_us (&clock);
-  int64_t passed_us;
+  int64_t elapsed_us;
   uint32_t rounds = 0;
   uint32_t batch = 16;
   uint32_t i;
@@ -61,20 +61,21 @@
   do
     {
       for (i = 0; i < batch; i++)
-        work (state, rounds + i);
+        operation (state, rounds + i);
       rounds += batch;
-      passed_us = csp_now_us (&clock) - start_us;
+      elapsed_us = csp_now_us (&clock) - start_us;
     }
-  while (passed_us < LEAST_US);
-  return (double)passed_us * NS_PER_US / rounds;
+  while (elapsed_us < MIN_TIMED_US);
+  return (double)elapsed_us * NS_PER_US / rounds;
 }
 
 static void
-print_line (const char *name, uint32_t size, const char *of, double baseline,
-            double now, const char *unit)
+print_line (const char *name, uint32_t size, const char *size_unit,
+            double baseline, double now, const char *unit)
 {
   printf ("cost.%s.%u_%s baseline=%.1f now=%.1f ratio=%.2f unit=%s\n", name,
-          size, of, baseline, now, baseline > 0 ? now / baseline : 0, unit);
+          size, size_unit, baseline, now, baseline > 0 ? now / baseline : 0,
+          unit);
 }
 
 static csp_stream_t
@@ -89,12 +90,13 @@
 }
 
 static void
-fill_targets (targets_t *targets, uint32_t count)
+create_targets (targets_t *targets, uint32_t count)
 {
   csp_length_policy_t lengths = csp_default_length_policy ();
   csp_admission_policy_t policy = csp_default_admission_policy ();
   csp_health_policy_t health = csp_default_health_policy ();
-  csp_load_report_t report = { .report = 1, .memory_tokens = MEMORY };
+  csp_load_report_t report
+      = { .report = 1, .memory_tokens = ENGINE_MEMORY_TOKENS };
   uint64_t before = bytes_in_use ();
   csp_stream_t stream;
   uint32_t i;
@@ -110,7 +112,7 @@
     {
       targets->ledgers[i] = csp_create_ledger (&policy, targets->lengths);
       csp_take_report (targets->ledgers[i], &report, 1000);
-      for (j = 0; j < STREAMS; j++)
+      for (j = 0; j < STREAMS_PER_TARGET; j++)
         {
           stream = draw_stream (&targets->random);
           csp_add_stream (targets->ledgers[i], &stream, 100 * j, 1000);
@@ -120,11 +122,11 @@
         .ledger = targets->ledgers[i], .open = 1, .slowness = 1
       };
     }
-  targets->bytes = bytes_in_use () - before;
+  targets->heap_bytes = bytes_in_use () - before;
 }
 
 static void
-empty_targets (targets_t *targets)
+destroy_targets (targets_t *targets)
 {
   uint32_t i;
 
@@ -137,7 +139,7 @@
 }
 
 static void
-choose (void *state, uint32_t round)
+run_choose_target (void *state, uint32_t round)
 {
   targets_t *targets = state;
   csp_placement_policy_t policy = csp_default_placement_policy ();
@@ -149,7 +151,7 @@
 }
 
 static void
-admit (void *state, uint32_t round)
+run_decide_admission (void *state, uint32_t round)
 {
   targets_t *targets = state;
   csp_stream_t stream = draw_stream (&targets->random);
@@ -159,7 +161,7 @@
 }
 
 static void
-note (void *state, uint32_t round)
+run_note_tokens (void *state, uint32_t round)
 {
   targets_t *targets = state;
 
@@ -168,7 +170,7 @@
 }
 
 static void
-victims (void *state, uint32_t round)
+run_choose_victims (void *state, uint32_t round)
 {
   targets_t *targets = state;
   csp_preemption_policy_t policy = csp_default_preemption_policy ();
@@ -179,7 +181,7 @@
 }
 
 static void
-weigh (void *state, uint32_t round)
+run_update_health (void *state, uint32_t round)
 {
   csp_weigh_health (((targets_t *)state)->health, 1000 + 1000 * round);
 }
@@ -190,14 +192,16 @@
   static const struct
   {
     const char *name;
-    work_t work;
+    operation_t operation;
   } rows[] = {
-    { "choose_target", choose },   { "decide_admission", admit },
-    { "note_tokens", note },       { "choose_victims", victims },
-    { "weigh_all_health", weigh },
+    { "choose_target", run_choose_target },
+    { "decide_admission", run_decide_admission },
+    { "note_tokens", run_note_tokens },
+    { "choose_victims", run_choose_victims },
+    { "weigh_all_health", run_update_health },
   };
-  double first[sizeof rows / sizeof rows[0]] = { 0 };
-  double bytes = 0;
+  double first_ns[sizeof rows / sizeof rows[0]] = { 0 };
+  double first_bytes = 0;
   targets_t targets;
   double ns;
   uint32_t i;
@@ -205,20 +209,20 @@
 
   for (i = 0; i < SIZES; i++)
     {
-      fill_targets (&targets, target_sizes[i]);
+      create_targets (&targets, target_sizes[i]);
       for (j = 0; j < sizeof rows / sizeof rows[0]; j++)
         {
-          ns = time_work (rows[j].work, &targets);
+          ns = time_operation_ns (rows[j].operation, &targets);
           if (i == 0)
-            first[j] = ns;
-          print_line (rows[j].name, target_sizes[i], "targets", first[j], ns,
-                      "ns");
+            first_ns[j] = ns;
+          print_line (rows[j].name, target_sizes[i], "targets", first_ns[j],
+                      ns, "ns");
         }
       if (i == 0)
-        bytes = (double)targets.bytes;
-      print_line ("target_state", target_sizes[i], "targets", bytes,
-                  (double)targets.bytes, "bytes");
-      empty_targets (&targets);
+        first_bytes = (double)targets.heap_bytes;
+      print_line ("target_state", target_sizes[i], "targets", first_bytes,
+                  (double)targets.heap_bytes, "bytes");
+      destroy_targets (&targets);
     }
 }
 
@@ -228,61 +232,61 @@
   csp_random_t random;
   uint32_t organisations;
   uint64_t next_id;
-} queues_t;
+} queue_bench_t;
 
 static void
-push_one (queues_t *queues, uint32_t organisation)
+push_one (queue_bench_t *bench, uint32_t organisation)
 {
   csp_waiting_t waiting
-      = { .id = queues->next_id++,
+      = { .id = bench->next_id++,
           .organisation = organisation,
-          .priority = (uint8_t)csp_random_below (&queues->random, 10),
-          .cost_tokens = 100 + csp_random_below (&queues->random, 5000) };
+          .priority = (uint8_t)csp_random_below (&bench->random, 10),
+          .cost_tokens = 100 + csp_random_below (&bench->random, 5000) };
   csp_error_t error;
 
-  csp_push_waiting (queues->queue, &waiting, 1000, &error);
+  csp_push_waiting (bench->queue, &waiting, 1000, &error);
 }
 
-/* One request comes, one is served, and one that was served ends; half of the
-   organisations have something waiting.  */
+/* Queues one request, takes one from the queue and settles its cost, while
+   half of the organisations have requests waiting.  */
 static void
-serve_one (void *state, uint32_t round)
+push_take_settle (void *state, uint32_t round)
 {
-  queues_t *queues = state;
+  queue_bench_t *bench = state;
   csp_waiting_t waiting;
   bool borrowing;
 
-  push_one (queues, csp_random_below (&queues->random, queues->organisations));
-  csp_begin_pump (queues->queue, 1000 + round / 64);
-  if (!csp_next_waiting (queues->queue, &waiting, &borrowing))
+  push_one (bench, csp_random_below (&bench->random, bench->organisations));
+  csp_begin_pump (bench->queue, 1000 + round / 64);
+  if (!csp_next_waiting (bench->queue, &waiting, &borrowing))
     return;
-  csp_take_waiting (queues->queue, 1000 + round / 64);
-  csp_settle_waiting (queues->queue, waiting.organisation, waiting.cost_tokens,
+  csp_take_waiting (bench->queue, 1000 + round / 64);
+  csp_settle_waiting (bench->queue, waiting.organisation, waiting.cost_tokens,
                       waiting.cost_tokens, 1000 + round / 64);
 }
 
-/* A pump that finds no room for anybody.  */
+/* Goes through the queue when no request can be placed.  */
 static void
-pump_in_vain (void *state, uint32_t round)
+pump_without_capacity (void *state, uint32_t round)
 {
-  queues_t *queues = state;
+  queue_bench_t *bench = state;
   csp_waiting_t waiting;
   bool borrowing;
 
-  csp_begin_pump (queues->queue, 1000 + round / 64);
-  while (csp_next_waiting (queues->queue, &waiting, &borrowing))
-    csp_skip_waiting (queues->queue);
+  csp_begin_pump (bench->queue, 1000 + round / 64);
+  while (csp_next_waiting (bench->queue, &waiting, &borrowing))
+    csp_skip_waiting (bench->queue);
 }
 
 static void
-expire_pass (void *state, uint32_t round)
+expire_all (void *state, uint32_t round)
 {
-  queues_t *queues = state;
+  queue_bench_t *bench = state;
   csp_waiting_t waiting;
   csp_error_t error;
 
   while (
-      csp_expire_waiting (queues->queue, 2000 + round / 64, &waiting, &error))
+      csp_expire_waiting (bench->queue, 2000 + round / 64, &waiting, &error))
     ;
 }
 
@@ -293,14 +297,14 @@
   static const struct
   {
     const char *name;
-    work_t work;
-  } rows[] = { { "push_take_settle", serve_one },
-               { "pump_without_room", pump_in_vain },
-               { "expire_pass", expire_pass } };
+    operation_t operation;
+  } rows[] = { { "push_take_settle", push_take_settle },
+               { "pump_without_room", pump_without_capacity },
+               { "expire_pass", expire_all } };
   csp_queue_policy_t policy = csp_default_queue_policy ();
-  double first[3] = { 0 };
+  double first_ns[3] = { 0 };
   double first_bytes = 0;
-  queues_t queues;
+  queue_bench_t bench;
   uint64_t before;
   double bytes;
   double ns;
@@ -310,29 +314,29 @@
   for (i = 0; i < 2; i++)
     {
       before = bytes_in_use ();
-      queues.queue = csp_create_queue (&policy);
-      queues.organisations = sizes[i];
-      queues.next_id = 1;
-      csp_seed_random (&queues.random, 4);
-      csp_set_capacity (queues.queue, 36 * MEMORY);
+      bench.queue = csp_create_queue (&policy);
+      bench.organisations = sizes[i];
+      bench.next_id = 1;
+      csp_seed_random (&bench.random, 4);
+      csp_set_capacity (bench.queue, 36 * ENGINE_MEMORY_TOKENS);
       for (j = 0; j < sizes[i]; j++)
-        csp_set_weight (queues.queue, j, 1);
+        csp_set_weight (bench.queue, j, 1);
       for (j = 0; j < 800; j++)
-        push_one (&queues, j % ((sizes[i] + 1) / 2));
+        push_one (&bench, j % ((sizes[i] + 1) / 2));
       bytes = (double)(bytes_in_use () - before);
       for (j = 0; j < 3; j++)
         {
-          ns = time_work (rows[j].work, &queues);
+          ns = time_operation_ns (rows[j].operation, &bench);
           if (i == 0)
-            first[j] = ns;
-          print_line (rows[j].name, sizes[i], "organisations", first[j], ns,
+            first_ns[j] = ns;
+          print_line (rows[j].name, sizes[i], "organisations", first_ns[j], ns,
                       "ns");
         }
       if (i == 0)
         first_bytes = bytes;
       print_line ("queue_state", sizes[i], "organisations", first_bytes, bytes,
                   "bytes");
-      csp_destroy_queue (queues.queue);
+      csp_destroy_queue (bench.queue);
     }
 }
 
--- a/bench/declaration-bench.c
+++ b/bench/declaration-bench.c
@@ -8,11 +8,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* The cost of declarations at the planned size and at three smaller ones: one
-   decision, one look-up of a bearer key, one change of configuration with and
-   without sharing what did not change, and the memory held.  The baseline of
-   decision, key and memory is the smallest size, that of a change is parsing
-   everything again.  */
+/* Measures declarations at the planned size and at three smaller ones: one
+   rule decision, one look-up of a bearer key, one configuration change, and
+   the memory held.  The baseline is the smallest size; for a change it is
+   parsing the whole declaration again without sharing unchanged parts.  */
 
 enum
 {
@@ -21,7 +20,7 @@
   KEY_BYTES = 96,
   DECISIONS = 200000,
   CHANGES = 20,
-  FACTS = 1024,
+  FACT_COUNT = 1024,
   NS_PER_US = 1000
 };
 
@@ -40,14 +39,14 @@
 typedef struct
 {
   csp_declared_value_t *values;
-  size_t count;
+  size_t value_count;
   csp_clock_t clock;
-} bench_t;
+} fixture_t;
 
 static void
-add_value (bench_t *bench, const char *key, const char *json)
+add_value (fixture_t *fixture, const char *key, const char *json)
 {
-  csp_declared_value_t *value = &bench->values[bench->count++];
+  csp_declared_value_t *value = &fixture->values[fixture->value_count++];
 
   value->key = strdup (key);
   value->json = strdup (json);
@@ -56,7 +55,7 @@
 }
 
 static void
-add_organisations (bench_t *bench, size_t count)
+add_organisations (fixture_t *fixture, size_t count)
 {
   char hash[CSP_SHA256_HEX_BYTES];
   char key[KEY_BYTES];
@@ -71,13 +70,14 @@
                 "{\"key_sha256\":[\"%s\"],\"weight\":%zu,\"limits\":{"
                 "\"tokens_per_s\":5000,\"max_waiting\":100}}",
                 hash, i % 9 + 1);
-      add_value (bench, key, json);
+      add_value (fixture, key, json);
     }
 }
 
-/* Rules of the usual kind: two organisations, one route, a class, a load.  */
+/* Adds typical rules, each of which matches two organisations, one route, a
+   class and a minimum load.  */
 static void
-add_rules (bench_t *bench, size_t count, size_t organisations)
+add_rules (fixture_t *fixture, size_t count, size_t organisations)
 {
   char *order = calloc (count + 1, KEY_BYTES);
   char key[KEY_BYTES];
@@ -94,56 +94,56 @@
                 "\"class\":\"fast\",\"load\":{\"min\":0.9}},"
                 "\"then\":{\"send\":{\"priority\":3}}}",
                 i % organisations, (i * 7 + 1) % organisations, i % ROUTES);
-      add_value (bench, key, json);
+      add_value (fixture, key, json);
       used += (size_t)sprintf (order + used, "%s\"r%zu\"", i == 0 ? "[" : ",",
                                i);
     }
   sprintf (order + used, "]");
-  add_value (bench, "rule-order", order);
+  add_value (fixture, "rule-order", order);
   free (order);
 }
 
 static void
-fill (bench_t *bench, const size_row_t *row)
+create_values (fixture_t *fixture, const size_row_t *row)
 {
   char key[KEY_BYTES];
   int i;
 
-  bench->clock = csp_system_clock ();
-  bench->count = 0;
-  bench->values = calloc (row->organisations + row->rules + 2 * ROUTES + 2,
-                          sizeof *bench->values);
-  add_organisations (bench, row->organisations);
-  add_rules (bench, row->rules, row->organisations);
-  add_value (bench, "targets/general", "{}");
+  fixture->clock = csp_system_clock ();
+  fixture->value_count = 0;
+  fixture->values = calloc (row->organisations + row->rules + 2 * ROUTES + 2,
+                            sizeof *fixture->values);
+  add_organisations (fixture, row->organisations);
+  add_rules (fixture, row->rules, row->organisations);
+  add_value (fixture, "targets/general", "{}");
   for (i = 0; i < ROUTES; i++)
     {
       snprintf (key, sizeof key, "route/model-%d", i);
-      add_value (bench, key,
+      add_value (fixture, key,
                  "{\"pool\":\"general\",\"classes\":{\"fast\":{},"
                  "\"slow\":{\"priority\":2}},\"default_class\":\"slow\"}");
     }
 }
 
 static void
-empty (bench_t *bench)
+destroy_values (fixture_t *fixture)
 {
   size_t i;
 
-  for (i = 0; i < bench->count; i++)
+  for (i = 0; i < fixture->value_count; i++)
     {
-      free ((char *)bench->values[i].key);
-      free ((char *)bench->values[i].json);
+      free ((char *)fixture->values[i].key);
+      free ((char *)fixture->values[i].json);
     }
-  free (bench->values);
+  free (fixture->values);
 }
 
 static csp_declaration_t *
-build (bench_t *bench, const csp_declaration_t *previous)
+build_declaration (fixture_t *fixture, const csp_declaration_t *previous)
 {
   csp_faults_t *faults = csp_create_faults ();
-  csp_declaration_t *declaration
-      = csp_create_declaration (previous, bench->values, bench->count, faults);
+  csp_declaration_t *declaration = csp_create_declaration (
+      previous, fixture->values, fixture->value_count, faults);
 
   csp_print_faults (faults, stderr);
   csp_destroy_faults (faults);
@@ -153,9 +153,9 @@
 }
 
 static double
-time_decisions_ns (bench_t *bench, const csp_declaration_t *declaration)
+time_decisions_ns (fixture_t *fixture, const csp_declaration_t *declaration)
 {
-  static csp_request_facts_t facts[FACTS];
+  static csp_request_facts_t facts[FACT_COUNT];
   size_t organisations = csp_count_organisations (declaration);
   csp_rule_outcome_t outcome;
   csp_random_t random;
@@ -164,7 +164,7 @@
   int i;
 
   csp_seed_random (&random, 1);
-  for (i = 0; i < FACTS; i++)
+  for (i = 0; i < FACT_COUNT; i++)
     {
       facts[i].organisation
           = csp_get_organisation (
@@ -178,24 +178,24 @@
       facts[i].data_centre = "cardiff";
       facts[i].load = csp_random_unit (&random);
     }
-  start_us = csp_now_us (&bench->clock);
+  start_us = csp_now_us (&fixture->clock);
   for (i = 0; i < DECISIONS; i++)
     {
-      csp_decide_rule (declaration, &facts[i % FACTS], &outcome);
+      csp_decide_rule (declaration, &facts[i % FACT_COUNT], &outcome);
       sum += outcome.is.send.priority;
     }
   if (sum == 0)
     abort ();
-  return (double)(csp_now_us (&bench->clock) - start_us) * NS_PER_US
+  return (double)(csp_now_us (&fixture->clock) - start_us) * NS_PER_US
          / DECISIONS;
 }
 
 static double
-time_keys_ns (bench_t *bench, const csp_declaration_t *declaration)
+time_key_lookups_ns (fixture_t *fixture, const csp_declaration_t *declaration)
 {
   size_t organisations = csp_count_organisations (declaration);
   const csp_organisation_t *organisation;
-  int64_t start_us = csp_now_us (&bench->clock);
+  int64_t start_us = csp_now_us (&fixture->clock);
   int i;
 
   for (i = 0; i < DECISIONS; i++)
@@ -206,30 +206,32 @@
           != organisation)
         abort ();
     }
-  return (double)(csp_now_us (&bench->clock) - start_us) * NS_PER_US
+  return (double)(csp_now_us (&fixture->clock) - start_us) * NS_PER_US
          / DECISIONS;
 }
 
-/* Microseconds of one change of one organisation's weight.  */
+/* Returns the mean microseconds to apply a change of one organisation's
+   weight, with or without sharing the unchanged parts of the previous
+   declaration.  */
 static double
-time_changes_us (bench_t *bench, bool shared)
+time_changes_us (fixture_t *fixture, bool share_unchanged)
 {
-  csp_declaration_t *declaration = build (bench, NULL);
+  csp_declaration_t *declaration = build_declaration (fixture, NULL);
   csp_declaration_t *next;
-  int64_t start_us = csp_now_us (&bench->clock);
+  int64_t start_us = csp_now_us (&fixture->clock);
   char *weight;
   int i;
 
   for (i = 0; i < CHANGES; i++)
     {
-      weight = strstr (bench->values[i % 10].json, "weight") + 8;
+      weight = strstr (fixture->values[i % 10].json, "weight") + 8;
       *weight = *weight == '9' ? '1' : (char)(*weight + 1);
-      next = build (bench, shared ? declaration : NULL);
+      next = build_declaration (fixture, share_unchanged ? declaration : NULL);
       csp_destroy_declaration (declaration);
       declaration = next;
     }
   csp_destroy_declaration (declaration);
-  return (double)(csp_now_us (&bench->clock) - start_us) / CHANGES;
+  return (double)(csp_now_us (&fixture->clock) - start_us) / CHANGES;
 }
 
 static void
@@ -241,37 +243,39 @@
 }
 
 static void
-run (const size_row_t *row, const size_row_t *smallest)
+measure_size (const size_row_t *row, const size_row_t *smallest)
 {
-  bench_t bench;
+  fixture_t fixture;
   static double first_decision_ns;
   static double first_key_ns;
-  static double first_held;
+  static double first_bytes;
   csp_declaration_t *declaration;
   double decision_ns;
   double key_ns;
-  size_t before;
-  double held;
+  size_t heap_before;
+  double bytes_per_organisation;
 
-  fill (&bench, row);
-  before = mallinfo2 ().uordblks;
-  declaration = build (&bench, NULL);
-  held = (double)(mallinfo2 ().uordblks - before) / (double)row->organisations;
-  decision_ns = time_decisions_ns (&bench, declaration);
-  key_ns = time_keys_ns (&bench, declaration);
+  create_values (&fixture, row);
+  heap_before = mallinfo2 ().uordblks;
+  declaration = build_declaration (&fixture, NULL);
+  bytes_per_organisation = (double)(mallinfo2 ().uordblks - heap_before)
+                           / (double)row->organisations;
+  decision_ns = time_decisions_ns (&fixture, declaration);
+  key_ns = time_key_lookups_ns (&fixture, declaration);
   if (row == smallest)
     {
       first_decision_ns = decision_ns;
       first_key_ns = key_ns;
-      first_held = held;
+      first_bytes = bytes_per_organisation;
     }
   print_row ("decision", row->name, first_decision_ns, decision_ns, "ns");
   print_row ("key", row->name, first_key_ns, key_ns, "ns");
-  print_row ("change", row->name, time_changes_us (&bench, false),
-             time_changes_us (&bench, true), "us");
-  print_row ("memory", row->name, first_held, held, "bytes/organisation");
+  print_row ("change", row->name, time_changes_us (&fixture, false),
+             time_changes_us (&fixture, true), "us");
+  print_row ("memory", row->name, first_bytes, bytes_per_organisation,
+             "bytes/organisation");
   csp_destroy_declaration (declaration);
-  empty (&bench);
+  destroy_values (&fixture);
 }
 
 int
@@ -280,6 +284,6 @@
   size_t i;
 
   for (i = 0; i < sizeof sizes / sizeof sizes[0]; i++)
-    run (&sizes[i], &sizes[0]);
+    measure_size (&sizes[i], &sizes[0]);
   return EXIT_SUCCESS;
 }
--- a/bench/engine-model.c
+++ b/bench/engine-model.c
@@ -6,11 +6,11 @@
 default_engine_shape (void)
 {
   engine_shape_t shape = { .memory_tokens = 60000,
-                           .base_us = 23000,
-                           .stream_us = 800,
-                           .memory_us = 0.17,
-                           .prefill_us = 50,
-                           .chunk_tokens = 512 };
+                           .step_base_us = 23000,
+                           .step_us_per_stream = 800,
+                           .step_us_per_held_token = 0.17,
+                           .step_us_per_prompt_token = 50,
+                           .prefill_chunk_tokens = 512 };
 
   return shape;
 }
@@ -34,19 +34,19 @@
 
   if (prefix == 0)
     return;
-  engine->prefix_clock++;
+  engine->prefix_use_counter++;
   for (i = 0; i < ENGINE_PREFIXES; i++)
     {
       if (engine->prefixes[i] == prefix)
         {
-          engine->prefix_used[i] = engine->prefix_clock;
+          engine->prefix_last_used[i] = engine->prefix_use_counter;
           return;
         }
-      if (engine->prefix_used[i] < engine->prefix_used[oldest])
+      if (engine->prefix_last_used[i] < engine->prefix_last_used[oldest])
         oldest = i;
     }
   engine->prefixes[oldest] = prefix;
-  engine->prefix_used[oldest] = engine->prefix_clock;
+  engine->prefix_last_used[oldest] = engine->prefix_use_counter;
 }
 
 static uint32_t
@@ -118,16 +118,17 @@
                     <= engine->shape.memory_tokens))
     {
       unlink_waiting (engine, request);
-      request->prefill_left = held_tokens (request);
+      request->prefill_tokens_left = held_tokens (request);
       if (engine_has_prefix (engine, request->prefix))
-        request->prefill_left -= request->prefix_tokens;
+        request->prefill_tokens_left -= request->prefix_tokens;
       store_prefix (engine, request->prefix);
       engine->running[engine->running_count++] = request;
       engine->used_tokens += held_tokens (request);
     }
 }
 
-/* Lowest priority first, then the latest to arrive.  */
+/* Returns the index of the running request with the lowest priority; among
+   equals, of the one sent to the engine last.  */
 static uint32_t
 find_victim (const engine_t *engine)
 {
@@ -157,7 +158,7 @@
   request_t *request = engine->running[index];
 
   unlink_running (engine, index);
-  request->preempted++;
+  request->engine_preemptions++;
   request->stalled = true;
   engine->preemptions++;
   engine->recomputed_tokens += held_tokens (request);
@@ -173,21 +174,21 @@
   uint32_t i;
 
   for (i = 0; i < engine->running_count; i++)
-    count += engine->running[i]->prefill_left == 0;
+    count += engine->running[i]->prefill_tokens_left == 0;
   return count;
 }
 
 void
 start_step (engine_t *engine, int64_t now_us)
 {
-  uint32_t chunk = engine->shape.chunk_tokens;
+  uint32_t chunk_left = engine->shape.prefill_chunk_tokens;
   uint32_t prefilled = 0;
   request_t *request;
-  uint32_t part;
+  uint32_t prefill_tokens;
   uint32_t i;
-  double us;
+  double step_us;
 
-  if (engine->stepping || engine->dead)
+  if (engine->stepping || engine->failed)
     return;
   while (engine->running_count > 1
          && engine->used_tokens + count_decoding (engine)
@@ -199,16 +200,19 @@
   for (i = 0; i < engine->running_count; i++)
     {
       request = engine->running[i];
-      request->decoding = request->prefill_left == 0;
-      part = request->prefill_left < chunk ? request->prefill_left : chunk;
-      request->prefill_left -= part;
-      chunk -= part;
-      prefilled += part;
+      request->decoding = request->prefill_tokens_left == 0;
+      prefill_tokens = request->prefill_tokens_left < chunk_left
+                           ? request->prefill_tokens_left
+                           : chunk_left;
+      request->prefill_tokens_left -= prefill_tokens;
+      chunk_left -= prefill_tokens;
+      prefilled += prefill_tokens;
     }
-  us = engine->shape.base_us + engine->shape.stream_us * engine->running_count
-       + engine->shape.memory_us * engine->used_tokens
-       + engine->shape.prefill_us * prefilled;
-  engine->step_end_us = now_us + (int64_t)(us * engine->slowness);
+  step_us = engine->shape.step_base_us
+            + engine->shape.step_us_per_stream * engine->running_count
+            + engine->shape.step_us_per_held_token * engine->used_tokens
+            + engine->shape.step_us_per_prompt_token * prefilled;
+  engine->step_end_us = now_us + (int64_t)(step_us * engine->slowness);
   engine->stepping = true;
 }
 
@@ -217,7 +221,7 @@
 {
   request_t *ended[ENGINE_MAX_RUNNING];
   uint32_t ended_count = 0;
-  uint32_t kept = 0;
+  uint32_t still_running = 0;
   uint32_t i;
   request_t *request;
 
@@ -229,17 +233,17 @@
         {
           request->made_tokens++;
           engine->used_tokens++;
-          events->token (events->state, request, now_us);
+          events->on_token (events->state, request, now_us);
         }
-      if (request->made_tokens >= request->length_tokens)
+      if (request->made_tokens >= request->output_tokens)
         {
           engine->used_tokens -= held_tokens (request);
           ended[ended_count++] = request;
         }
       else
-        engine->running[kept++] = request;
+        engine->running[still_running++] = request;
     }
-  engine->running_count = kept;
+  engine->running_count = still_running;
   for (i = 0; i < ended_count; i++)
-    events->ended (events->state, ended[i], now_us);
+    events->on_end (events->state, ended[i], now_us);
 }
--- a/bench/engine-model.h
+++ b/bench/engine-model.h
@@ -4,11 +4,11 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* A small model of a batching engine with limited memory: scaffolding of the
-   bench.  Each step takes a chunk of prompts and makes one token for every
-   stream whose prompt is done.  When the next tokens don't fit, the engine
-   preempts the stream of lowest priority, the latest first, and later computes
-   its prompt and tokens again.  */
+/* A simulated inference engine with continuous batching and limited KV memory.
+   Each step processes a chunk of prompt tokens and generates one token for
+   every stream whose prefill is complete.  When the next tokens don't fit into
+   memory, the engine preempts the stream of lowest priority, among equals the
+   one sent last, and later recomputes its prompt and its tokens.  */
 
 enum
 {
@@ -27,13 +27,17 @@
   REQUEST_LOST
 } request_phase_t;
 
+/* A simulated request and what became of it.  host is the entry host that the
+   request arrived at; engine_preemptions counts preemptions by an engine,
+   requeued_count how often the host took the request back from an engine and
+   queued it again.  */
 typedef struct request
 {
   uint64_t id;
   int64_t arrive_us;
   int64_t start_by_us;
   uint32_t prompt_tokens;
-  uint32_t length_tokens;
+  uint32_t output_tokens;
   uint32_t prefix;
   uint32_t prefix_tokens;
   uint8_t organisation;
@@ -41,37 +45,39 @@
   uint8_t priority;
   request_phase_t phase;
   int64_t sent_us;
-  int64_t first_us;
-  int64_t last_us;
+  int64_t first_token_us;
+  int64_t last_token_us;
   int64_t end_us;
   int64_t stall_us;
   uint32_t made_tokens;
-  uint32_t prefill_left;
-  uint32_t preempted;
-  uint8_t given_way;
+  uint32_t prefill_tokens_left;
+  uint32_t engine_preemptions;
+  uint8_t requeued_count;
   bool stalled;
   bool decoding;
   uint32_t host;
   uint32_t engine;
   uint32_t handle;
-  uint32_t noted_tokens;
-  int64_t noted_us;
+  uint32_t last_noted_tokens;
+  int64_t last_noted_us;
   uint32_t charged_tokens;
   struct request *next;
 } request_t;
 
+/* Memory of an engine, and the terms that add up to the time of a step.  */
 typedef struct
 {
   uint32_t memory_tokens;
-  double base_us;
-  double stream_us;
-  double memory_us;
-  double prefill_us;
-  uint32_t chunk_tokens;
+  double step_base_us;
+  double step_us_per_stream;
+  double step_us_per_held_token;
+  double step_us_per_prompt_token;
+  uint32_t prefill_chunk_tokens;
 } engine_shape_t;
 
-/* Memory of 60,000 tokens; 42 ms a step at 11 streams and full memory, and
-   512 prompt tokens a step at most, 0.05 ms each.  */
+/* Returns an engine with memory for 60,000 tokens.  A step takes 42 ms with 11
+   streams and full memory, and 0.05 ms more for each prompt token, of which
+   one step processes at most 512.  */
 engine_shape_t default_engine_shape (void);
 
 typedef struct
@@ -87,30 +93,32 @@
   uint64_t recomputed_tokens;
   int64_t step_end_us;
   bool stepping;
-  bool dead;
+  bool failed;
   uint32_t prefixes[ENGINE_PREFIXES];
-  uint64_t prefix_used[ENGINE_PREFIXES];
-  uint64_t prefix_clock;
+  uint64_t prefix_last_used[ENGINE_PREFIXES];
+  uint64_t prefix_use_counter;
 } engine_t;
 
 typedef struct
 {
-  void (*token) (void *state, request_t *request, int64_t now_us);
-  void (*ended) (void *state, request_t *request, int64_t now_us);
+  void (*on_token) (void *state, request_t *request, int64_t now_us);
+  void (*on_end) (void *state, request_t *request, int64_t now_us);
   void *state;
 } engine_events_t;
 
-/* Hand a request over; it runs when the engine has room for its prompt.  */
+/* Queues a request at the engine, which runs it once the prompt fits into the
+   engine's free memory.  */
 void submit_request (engine_t *engine, request_t *request, int64_t now_us);
 
-/* A waiting or running request is taken back.  */
+/* Removes a waiting or running request from the engine.  */
 void cancel_request (engine_t *engine, request_t *request);
 
-/* Finish the step that ends now and plan the next one.  */
+/* Ends the current step: every decoding stream gets one token, and finished
+   requests are removed.  Doesn't start the next step.  */
 void finish_step (engine_t *engine, int64_t now_us,
                   const engine_events_t *events);
 
-/* Plan a step if the engine is idle and has work.  */
+/* Starts a step if the engine is idle, hasn't failed and has work.  */
 void start_step (engine_t *engine, int64_t now_us);
 
 bool engine_has_prefix (const engine_t *engine, uint32_t prefix);
--- a/bench/fleet-baselines.c
+++ b/bench/fleet-baselines.c
@@ -3,7 +3,7 @@
 #include <stddef.h>
 
 static uint32_t
-least_outstanding (const fleet_t *fleet)
+find_least_outstanding (const fleet_t *fleet)
 {
   uint32_t best = 0;
   uint32_t least = UINT32_MAX;
@@ -14,7 +14,7 @@
     {
       count
           = fleet->engines[i].running_count + fleet->engines[i].waiting_count;
-      if (!fleet->engines[i].dead && count < least)
+      if (!fleet->engines[i].failed && count < least)
         {
           least = count;
           best = i;
@@ -23,22 +23,24 @@
   return best;
 }
 
-/* The engine with most free memory that can take the prompt now.  */
+/* Finds the engine with the most free memory and returns whether the prompt
+   fits into it now.  */
 static bool
-engine_with_room (const fleet_t *fleet, const request_t *request,
-                  uint32_t *chosen)
+find_engine_with_memory (const fleet_t *fleet, const request_t *request,
+                         uint32_t *chosen)
 {
   uint32_t most = 0;
   uint32_t free_tokens;
   uint32_t i;
   const engine_t *engine;
-  bool fixed = fleet->play->dispatch == DISPATCH_FIXED_STREAMS;
+  bool fixed = fleet->settings->dispatch == DISPATCH_FIXED_STREAMS;
 
   for (i = 0; i < fleet->engine_count; i++)
     {
       engine = &fleet->engines[i];
-      if (engine->dead || engine->waiting_count != 0
-          || (fixed && engine->running_count >= fleet->play->fixed_streams))
+      if (engine->failed || engine->waiting_count != 0
+          || (fixed
+              && engine->running_count >= fleet->settings->fixed_streams))
         continue;
       free_tokens = engine->shape.memory_tokens - engine->used_tokens;
       if (engine->used_tokens < engine->shape.memory_tokens
@@ -52,7 +54,7 @@
 }
 
 void
-pump_fifo (fleet_t *fleet)
+dispatch_fifo (fleet_t *fleet)
 {
   request_t *request;
   uint32_t engine = 0;
@@ -64,7 +66,7 @@
         {
           if (fleet->now_us > request->start_by_us)
             request->phase = REQUEST_GIVEN_UP;
-          else if (engine_with_room (fleet, request, &engine))
+          else if (find_engine_with_memory (fleet, request, &engine))
             send_request (fleet, request, engine);
           else
             return;
@@ -78,28 +80,28 @@
 {
   uint32_t tries = 0;
 
-  switch (fleet->play->dispatch)
+  switch (fleet->settings->dispatch)
     {
     case DISPATCH_ROUND_ROBIN:
       do
         fleet->next_engine = (fleet->next_engine + 1) % fleet->engine_count;
-      while (fleet->engines[fleet->next_engine].dead
+      while (fleet->engines[fleet->next_engine].failed
              && ++tries < fleet->engine_count);
       send_request (fleet, request, fleet->next_engine);
       break;
     case DISPATCH_LEAST_OUTSTANDING:
-      send_request (fleet, request, least_outstanding (fleet));
+      send_request (fleet, request, find_least_outstanding (fleet));
       break;
     default:
       request->phase = REQUEST_WAITING;
       fleet->fifo[fleet->fifo_tail++] = request;
-      pump_fifo (fleet);
+      dispatch_fifo (fleet);
       break;
     }
 }
 
 void
-leave_engine_queues (fleet_t *fleet)
+expire_engine_queues (fleet_t *fleet)
 {
   uint32_t i;
   request_t *request;
@@ -109,7 +111,7 @@
     for (request = fleet->engines[i].waiting; request != NULL; request = next)
       {
         next = request->next;
-        if (request->made_tokens == 0 && request->preempted == 0
+        if (request->made_tokens == 0 && request->engine_preemptions == 0
             && fleet->now_us > request->start_by_us)
           {
             cancel_request (&fleet->engines[i], request);
--- a/bench/fleet-decisions.c
+++ b/bench/fleet-decisions.c
@@ -9,38 +9,40 @@
           .length_key = fleet->hosts[host].keys[request->class_index],
           .prompt_tokens = request->prompt_tokens,
           .priority = request->priority,
-          .given_way = request->given_way,
+          .given_way = request->requeued_count,
           .repeatable = true };
 
   return stream;
 }
 
-/* Admission switched off: any engine whose free memory takes the prompt.  */
+/* Replaces admission control when it is switched off: chooses the engine with
+   the most free memory if the prompt fits into it.  */
 static bool
 choose_by_free_memory (fleet_t *fleet, const request_t *request, uint32_t host,
                        uint32_t *chosen)
 {
   uint32_t most = request->prompt_tokens + ENGINE_MAX_RUNNING;
   uint32_t used;
-  uint32_t room;
+  uint32_t free_tokens;
   uint32_t i;
   bool found = false;
 
-  for (i = host; i < fleet->engine_count; i += fleet->play->hosts)
+  for (i = host; i < fleet->engine_count; i += fleet->settings->hosts)
     {
       used = csp_ledger_used_tokens (fleet->ledgers[i]);
-      room = fleet->engines[i].shape.memory_tokens;
-      room = room > used ? room - used : 0;
-      if (fleet->engines[i].dead || room <= most)
+      free_tokens = fleet->engines[i].shape.memory_tokens;
+      free_tokens = free_tokens > used ? free_tokens - used : 0;
+      if (fleet->engines[i].failed || free_tokens <= most)
         continue;
-      most = room;
+      most = free_tokens;
       *chosen = i;
       found = true;
     }
   return found;
 }
 
-/* Placement switched off: any engine that admits, drawn at random.  */
+/* Replaces placement when it is switched off: chooses an engine at random
+   among those that admit the stream.  */
 static bool
 choose_at_random (fleet_t *fleet, const csp_candidate_t *candidates,
                   uint32_t count, const csp_stream_t *stream, uint32_t *chosen)
@@ -60,23 +62,23 @@
 }
 
 static void
-describe_engine (fleet_t *fleet, const request_t *request, uint32_t host,
-                 uint32_t engine, csp_candidate_t *candidate)
+fill_candidate (fleet_t *fleet, const request_t *request, uint32_t host,
+                uint32_t engine, csp_candidate_t *candidate)
 {
   csp_shift_policy_t shift = csp_default_shift_policy ();
   csp_health_t *health = fleet->hosts[host].health;
 
   candidate->ledger = fleet->ledgers[engine];
-  candidate->open = csp_move_shift (&fleet->shifts[engine], &shift, true,
+  candidate->open = csp_move_shift (&fleet->slow_starts[engine], &shift, true,
                                     fleet_now_ms (fleet));
   candidate->slowness = 1;
   candidate->cached_tokens = 0;
-  if (!fleet->play->no_prefixes)
+  if (!fleet->settings->no_prefixes)
     candidate->cached_tokens
         = csp_cached_tokens (&fleet->prefixes[engine], request->prefix);
   if (candidate->cached_tokens > request->prefix_tokens)
     candidate->cached_tokens = request->prefix_tokens;
-  if (fleet->play->no_health)
+  if (fleet->settings->no_health)
     return;
   candidate->open *= csp_health_open (health, engine);
   candidate->slowness = csp_health_slowness (health, engine);
@@ -90,40 +92,41 @@
 choose_engine (fleet_t *fleet, const request_t *request, uint32_t host,
                uint32_t *chosen)
 {
-  csp_candidate_t candidates[MOST_ENGINES];
-  uint32_t engines[MOST_ENGINES];
+  csp_candidate_t candidates[MAX_ENGINES];
+  uint32_t engines[MAX_ENGINES];
   csp_stream_t stream = stream_of_request (fleet, request, host);
   uint32_t count = 0;
   uint32_t i;
   uint32_t best = 0;
   bool found;
 
-  if (fleet->play->no_admission)
+  if (fleet->settings->no_admission)
     return choose_by_free_memory (fleet, request, host, chosen);
-  for (i = host; i < fleet->engine_count; i += fleet->play->hosts)
-    if (!fleet->engines[i].dead)
+  for (i = host; i < fleet->engine_count; i += fleet->settings->hosts)
+    if (!fleet->engines[i].failed)
       {
         engines[count] = i;
-        describe_engine (fleet, request, host, i, &candidates[count++]);
+        fill_candidate (fleet, request, host, i, &candidates[count++]);
       }
   if (count == 0)
     return false;
-  if (fleet->play->no_placement)
+  if (fleet->settings->no_placement)
     found = choose_at_random (fleet, candidates, count, &stream, &best);
   else
-    found = csp_choose_target (&fleet->play->placement, candidates, count,
+    found = csp_choose_target (&fleet->settings->placement, candidates, count,
                                &stream, fleet_now_ms (fleet), &best);
   *chosen = engines[best];
   return found;
 }
 
 static csp_waiting_t
-describe_waiting (const fleet_t *fleet, const request_t *request)
+make_waiting (const fleet_t *fleet, const request_t *request)
 {
   const host_t *host = &fleet->hosts[request->host];
   csp_waiting_t waiting
       = { .id = request->id,
-          .organisation = fleet->play->no_fairness ? 0 : request->organisation,
+          .organisation
+          = fleet->settings->no_fairness ? 0 : request->organisation,
           .priority = request->priority,
           .start_by_ms = 1000 + request->start_by_us / 1000 };
 
@@ -134,13 +137,13 @@
   return waiting;
 }
 
-/* Streams without a token go back to the queue before their engine must
-   preempt.  */
+/* Moves streams that have no token yet back to their host's queue before the
+   engine runs out of memory and has to preempt.  */
 static void
-take_back (fleet_t *fleet, uint32_t engine)
+requeue_engine_victims (fleet_t *fleet, uint32_t engine)
 {
   csp_preemption_policy_t policy = csp_default_preemption_policy ();
-  uint32_t handles[MOST_VICTIMS];
+  uint32_t handles[MAX_VICTIMS];
   csp_stream_state_t state;
   csp_waiting_t waiting;
   csp_error_t error;
@@ -149,7 +152,7 @@
   uint32_t i;
 
   count = csp_choose_victims (&policy, fleet->ledgers[engine],
-                              fleet_now_ms (fleet), handles, MOST_VICTIMS);
+                              fleet_now_ms (fleet), handles, MAX_VICTIMS);
   for (i = 0; i < count; i++)
     {
       if (!csp_ledger_stream (fleet->ledgers[engine], handles[i], &state))
@@ -161,9 +164,9 @@
       csp_settle_waiting (fleet->hosts[request->host].queue,
                           request->organisation, request->charged_tokens, 0,
                           fleet_now_ms (fleet));
-      request->given_way++;
+      request->requeued_count++;
       request->phase = REQUEST_GIVEN_UP;
-      waiting = describe_waiting (fleet, request);
+      waiting = make_waiting (fleet, request);
       if (csp_push_waiting (fleet->hosts[request->host].queue, &waiting,
                             fleet_now_ms (fleet), &error))
         request->phase = REQUEST_WAITING;
@@ -171,15 +174,15 @@
 }
 
 void
-take_back_streams (fleet_t *fleet)
+requeue_victims (fleet_t *fleet)
 {
   uint32_t i;
 
-  if (fleet->play->no_preemption)
+  if (fleet->settings->no_preemption)
     return;
   for (i = 0; i < fleet->engine_count; i++)
-    if (!fleet->engines[i].dead)
-      take_back (fleet, i);
+    if (!fleet->engines[i].failed)
+      requeue_engine_victims (fleet, i);
 }
 
 static uint64_t
@@ -188,8 +191,8 @@
   uint64_t total = 0;
   uint32_t i;
 
-  for (i = host; i < fleet->engine_count; i += fleet->play->hosts)
-    if (!fleet->engines[i].dead)
+  for (i = host; i < fleet->engine_count; i += fleet->settings->hosts)
+    if (!fleet->engines[i].failed)
       total += csp_ledger_headroom_tokens (fleet->ledgers[i], CSP_PRIORITY_MAX,
                                            fleet_now_ms (fleet));
   return total;
@@ -198,30 +201,30 @@
 static bool
 may_borrow (const fleet_t *fleet, uint32_t host, uint32_t cost_tokens)
 {
-  uint64_t kept = csp_queue_kept_tokens (fleet->hosts[host].queue);
+  uint64_t reserve_tokens = csp_queue_kept_tokens (fleet->hosts[host].queue);
 
-  if (fleet->play->no_admission)
+  if (fleet->settings->no_admission)
     return true;
-  return host_free_tokens (fleet, host) >= kept + cost_tokens;
+  return host_free_tokens (fleet, host) >= reserve_tokens + cost_tokens;
 }
 
-/* Offers of the other hosts, by what they told last; a borrower goes only
-   where nothing waits.  */
+/* Lists the other hosts with their last reported headroom.  A request that
+   borrows capacity goes only to hosts whose queue is empty.  */
 static size_t
-list_offers (const fleet_t *fleet, uint32_t from, bool borrowing,
-             csp_peer_offer_t offers[MOST_HOSTS], uint32_t hosts[MOST_HOSTS])
+list_peers (const fleet_t *fleet, uint32_t from, bool borrowing,
+            csp_peer_offer_t peers[MAX_HOSTS], uint32_t hosts[MAX_HOSTS])
 {
-  const told_t *told;
+  const host_report_t *peer_report;
   size_t count = 0;
   uint32_t i;
 
-  for (i = 0; i < fleet->play->hosts; i++)
+  for (i = 0; i < fleet->settings->hosts; i++)
     {
-      told = &fleet->hosts[i].told;
-      if (i == from || (borrowing && told->waiting != 0))
+      peer_report = &fleet->hosts[i].last_report;
+      if (i == from || (borrowing && peer_report->waiting != 0))
         continue;
-      offers[count].headroom_tokens = told->headroom_tokens;
-      offers[count].same_data_centre = true;
+      peers[count].headroom_tokens = peer_report->headroom_tokens;
+      peers[count].same_data_centre = true;
       hosts[count++] = i;
     }
   return count;
@@ -231,16 +234,16 @@
 spill (fleet_t *fleet, const request_t *request, uint32_t from, uint32_t cost,
        bool borrowing, uint32_t *chosen)
 {
-  csp_peer_offer_t offers[MOST_HOSTS];
-  uint32_t hosts[MOST_HOSTS];
+  csp_peer_offer_t peers[MAX_HOSTS];
+  uint32_t hosts[MAX_HOSTS];
   size_t order[CSP_HANDOFF_MAX_PEERS];
-  size_t count = list_offers (fleet, from, borrowing, offers, hosts);
+  size_t count = list_peers (fleet, from, borrowing, peers, hosts);
   uint32_t peer;
   size_t i;
 
   if (borrowing)
     cost += (uint32_t)csp_queue_kept_tokens (fleet->hosts[from].queue);
-  count = csp_choose_peers (offers, count, cost, &fleet->random, order);
+  count = csp_choose_peers (peers, count, cost, &fleet->random, order);
   for (i = 0; i < count; i++)
     {
       peer = hosts[order[i]];
@@ -255,12 +258,12 @@
 }
 
 void
-pump_host (fleet_t *fleet, uint32_t index)
+dispatch_host_queue (fleet_t *fleet, uint32_t index)
 {
   host_t *host = &fleet->hosts[index];
   csp_waiting_t waiting;
   bool borrowing;
-  bool own;
+  bool may_use_own_engines;
   request_t *request;
   uint32_t engine = 0;
 
@@ -268,8 +271,10 @@
   while (csp_next_waiting (host->queue, &waiting, &borrowing))
     {
       request = &fleet->requests[waiting.id - 1];
-      own = !borrowing || may_borrow (fleet, index, waiting.cost_tokens);
-      if ((own && choose_engine (fleet, request, index, &engine))
+      may_use_own_engines
+          = !borrowing || may_borrow (fleet, index, waiting.cost_tokens);
+      if ((may_use_own_engines
+           && choose_engine (fleet, request, index, &engine))
           || spill (fleet, request, index, waiting.cost_tokens, borrowing,
                     &engine))
         {
@@ -283,19 +288,19 @@
 }
 
 void
-dispatch_decisions (fleet_t *fleet, request_t *request)
+enqueue_at_random_host (fleet_t *fleet, request_t *request)
 {
   csp_waiting_t waiting;
   csp_error_t error;
 
-  request->host = csp_random_below (&fleet->random, fleet->play->hosts);
-  waiting = describe_waiting (fleet, request);
+  request->host = csp_random_below (&fleet->random, fleet->settings->hosts);
+  waiting = make_waiting (fleet, request);
   request->phase = REQUEST_REFUSED;
   if (!csp_push_waiting (fleet->hosts[request->host].queue, &waiting,
                          fleet_now_ms (fleet), &error))
     return;
   request->phase = REQUEST_WAITING;
-  pump_host (fleet, request->host);
+  dispatch_host_queue (fleet, request->host);
 }
 
 void
@@ -310,52 +315,55 @@
 }
 
 void
-take_reports (fleet_t *fleet)
+exchange_reports (fleet_t *fleet)
 {
   csp_load_report_t *ring;
-  const csp_load_report_t *late;
-  uint64_t lag = (uint64_t)(fleet->play->report_lag_us / REPORT_US);
+  const csp_load_report_t *delayed;
+  uint64_t lag
+      = (uint64_t)(fleet->settings->report_lag_us / REPORT_INTERVAL_US);
   uint32_t i;
 
-  fleet->report++;
+  fleet->report_number++;
   for (i = 0; i < fleet->engine_count; i++)
     {
-      if (fleet->engines[i].dead)
+      if (fleet->engines[i].failed)
         continue;
       ring = fleet->reports[i];
-      ring[fleet->report % REPORT_RING] = (csp_load_report_t){
-        .report = fleet->report,
+      ring[fleet->report_number % REPORT_RING_SIZE] = (csp_load_report_t){
+        .report = fleet->report_number,
         .memory_tokens = fleet->engines[i].shape.memory_tokens,
         .used_tokens = fleet->engines[i].used_tokens,
         .running = fleet->engines[i].running_count,
         .waiting = fleet->engines[i].waiting_count,
         .preemptions = fleet->engines[i].preemptions,
       };
-      late = &ring[(fleet->report - lag) % REPORT_RING];
-      if (late->report != 0)
-        csp_take_report (fleet->ledgers[i], late, fleet_now_ms (fleet));
+      delayed = &ring[(fleet->report_number - lag) % REPORT_RING_SIZE];
+      if (delayed->report != 0)
+        csp_take_report (fleet->ledgers[i], delayed, fleet_now_ms (fleet));
     }
-  for (i = 0; i < fleet->play->hosts; i++)
+  for (i = 0; i < fleet->settings->hosts; i++)
     {
-      fleet->hosts[i].told.headroom_tokens
+      fleet->hosts[i].last_report.headroom_tokens
           = (uint32_t)host_free_tokens (fleet, i);
-      fleet->hosts[i].told.waiting = csp_queue_length (fleet->hosts[i].queue);
+      fleet->hosts[i].last_report.waiting
+          = csp_queue_length (fleet->hosts[i].queue);
     }
 }
 
-/* Hosts tell each other their medians and what they took out.  */
+/* Gives the host the median token gap over all hosts and the number of targets
+   whose share the other hosts have reduced.  */
 static void
-tell_health (fleet_t *fleet, uint32_t host)
+share_health (fleet_t *fleet, uint32_t host)
 {
-  double medians[MOST_HOSTS];
+  double medians[MAX_HOSTS];
   double median_ms;
   uint32_t count = 0;
   uint32_t targets = 0;
-  uint32_t out = 0;
+  uint32_t reduced_targets = 0;
   uint32_t i;
   uint32_t j;
 
-  for (i = 0; i < fleet->play->hosts; i++)
+  for (i = 0; i < fleet->settings->hosts; i++)
     {
       median_ms = csp_health_median_ms (fleet->hosts[i].health);
       for (j = count; median_ms > 0 && j > 0 && medians[j - 1] > median_ms;
@@ -367,28 +375,30 @@
           count++;
         }
       if (i != host)
-        out += csp_health_out (fleet->hosts[i].health);
+        reduced_targets += csp_health_out (fleet->hosts[i].health);
     }
   for (i = 0; i < fleet->engine_count; i++)
     targets += host_of_engine (fleet, i) != host;
   csp_set_fleet_health (fleet->hosts[host].health,
-                        count > 2 ? medians[count / 2] : 0, targets, out);
+                        count > 2 ? medians[count / 2] : 0, targets,
+                        reduced_targets);
 }
 
-/* What each organisation has in flight at the other hosts.  */
+/* Gives the host the tokens that each organisation has in flight at the other
+   hosts.  */
 static void
-tell_flight (fleet_t *fleet, uint32_t host)
+share_in_flight (fleet_t *fleet, uint32_t host)
 {
   uint64_t elsewhere;
   uint32_t organisation;
   uint32_t i;
 
-  if (fleet->play->no_flight_news)
+  if (fleet->settings->no_in_flight_reports)
     return;
   for (organisation = 0; organisation < ORGANISATIONS; organisation++)
     {
       elsewhere = 0;
-      for (i = 0; i < fleet->play->hosts; i++)
+      for (i = 0; i < fleet->settings->hosts; i++)
         if (i != host)
           elsewhere
               += csp_queue_flight_tokens (fleet->hosts[i].queue, organisation);
@@ -398,14 +408,14 @@
 }
 
 void
-weigh_engines (fleet_t *fleet)
+update_health_and_in_flight (fleet_t *fleet)
 {
   uint32_t i;
 
-  for (i = 0; i < fleet->play->hosts; i++)
+  for (i = 0; i < fleet->settings->hosts; i++)
     {
-      tell_health (fleet, i);
-      tell_flight (fleet, i);
+      share_health (fleet, i);
+      share_in_flight (fleet, i);
       csp_weigh_health (fleet->hosts[i].health, fleet_now_ms (fleet));
     }
 }
--- a/bench/fleet.c
+++ b/bench/fleet.c
@@ -7,16 +7,16 @@
 play_t
 default_play (dispatch_t dispatch)
 {
-  play_t play = { .dispatch = dispatch,
-                  .fixed_streams = 10,
-                  .hosts = 1,
-                  .admission = csp_default_admission_policy (),
-                  .queue = csp_default_queue_policy (),
-                  .placement = csp_default_placement_policy (),
-                  .report_lag_us = 2000000,
-                  .slow_factor = 1 };
-
-  return play;
+  play_t settings = { .dispatch = dispatch,
+                      .fixed_streams = 10,
+                      .hosts = 1,
+                      .admission = csp_default_admission_policy (),
+                      .queue = csp_default_queue_policy (),
+                      .placement = csp_default_placement_policy (),
+                      .report_lag_us = 2000000,
+                      .slow_factor = 1 };
+
+  return settings;
 }
 
 int64_t
@@ -28,7 +28,7 @@
 uint32_t
 host_of_engine (const fleet_t *fleet, uint32_t engine)
 {
-  return engine % fleet->play->hosts;
+  return engine % fleet->settings->hosts;
 }
 
 void
@@ -38,14 +38,14 @@
   csp_stream_t stream = stream_of_request (fleet, request, host);
 
   request->engine = engine;
-  if (fleet->play->dispatch == DISPATCH_DECISIONS)
+  if (fleet->settings->dispatch == DISPATCH_DECISIONS)
     request->handle = csp_add_stream (fleet->ledgers[engine], &stream, 0,
                                       fleet_now_ms (fleet));
   csp_note_prefix (&fleet->prefixes[engine], request->prefix,
                    request->prefix_tokens, fleet_now_ms (fleet));
   submit_request (&fleet->engines[engine], request, fleet->now_us);
   start_step (&fleet->engines[engine], fleet->now_us);
-  fleet->blocks.dirty[engine / BLOCK] = true;
+  fleet->next_steps.stale[engine / ENGINES_PER_BLOCK] = true;
 }
 
 static outcome_t *
@@ -68,10 +68,10 @@
 on_token (void *state, request_t *request, int64_t at_us)
 {
   fleet_t *fleet = state;
-  int64_t gap_us = at_us - request->last_us;
+  int64_t gap_us = at_us - request->last_token_us;
 
   if (request->made_tokens == 1)
-    request->first_us = at_us;
+    request->first_token_us = at_us;
   else
     {
       count_gap (&outcome_of_class (fleet, request)->gaps, gap_us);
@@ -80,23 +80,24 @@
       if (request->stalled)
         {
           request->stall_us += gap_us;
-          request->noted_us += gap_us;
+          request->last_noted_us += gap_us;
         }
     }
   request->stalled = false;
-  request->last_us = at_us;
-  if (fleet->play->dispatch != DISPATCH_DECISIONS
+  request->last_token_us = at_us;
+  if (fleet->settings->dispatch != DISPATCH_DECISIONS
       || (request->made_tokens > 1
-          && request->made_tokens < request->noted_tokens + NOTE_TOKENS))
+          && request->made_tokens
+                 < request->last_noted_tokens + NOTE_INTERVAL_TOKENS))
     return;
-  if (request->noted_tokens != 0)
+  if (request->last_noted_tokens != 0)
     csp_note_gaps (
         fleet->hosts[host_of_engine (fleet, request->engine)].health,
-        request->engine, request->made_tokens - request->noted_tokens,
-        (double)(at_us - request->noted_us) / 1000
-            / (request->made_tokens - request->noted_tokens));
-  request->noted_tokens = request->made_tokens;
-  request->noted_us = at_us;
+        request->engine, request->made_tokens - request->last_noted_tokens,
+        (double)(at_us - request->last_noted_us) / 1000
+            / (request->made_tokens - request->last_noted_tokens));
+  request->last_noted_tokens = request->made_tokens;
+  request->last_noted_us = at_us;
   csp_note_tokens (fleet->ledgers[request->engine], request->handle,
                    request->made_tokens, fleet_now_ms (fleet));
 }
@@ -109,7 +110,7 @@
 
   request->phase = REQUEST_DONE;
   request->end_us = at_us;
-  if (fleet->play->dispatch != DISPATCH_DECISIONS)
+  if (fleet->settings->dispatch != DISPATCH_DECISIONS)
     return;
   ledger = fleet->ledgers[request->engine];
   csp_note_tokens (ledger, request->handle, request->made_tokens,
@@ -117,28 +118,28 @@
   csp_remove_stream (ledger, request->handle, CSP_LENGTH_FINISHED,
                      fleet_now_ms (fleet));
   csp_settle_waiting (fleet->hosts[request->host].queue,
-                      fleet->play->no_fairness ? 0 : request->organisation,
+                      fleet->settings->no_fairness ? 0 : request->organisation,
                       request->charged_tokens,
                       request->prompt_tokens + request->made_tokens,
                       fleet_now_ms (fleet));
 }
 
 static void
-lose_engine (fleet_t *fleet, uint32_t index)
+fail_engine (fleet_t *fleet, uint32_t index)
 {
   engine_t *engine = &fleet->engines[index];
   request_t *request;
 
-  engine->dead = true;
+  engine->failed = true;
   engine->stepping = false;
-  fleet->blocks.dirty[index / BLOCK] = true;
+  fleet->next_steps.stale[index / ENGINES_PER_BLOCK] = true;
   while (engine->running_count != 0 || engine->waiting != NULL)
     {
       request
           = engine->running_count != 0 ? engine->running[0] : engine->waiting;
       cancel_request (engine, request);
       request->phase = REQUEST_LOST;
-      if (fleet->play->dispatch != DISPATCH_DECISIONS)
+      if (fleet->settings->dispatch != DISPATCH_DECISIONS)
         continue;
       csp_remove_stream (fleet->ledgers[index], request->handle,
                          CSP_LENGTH_CUT, fleet_now_ms (fleet));
@@ -150,49 +151,50 @@
 }
 
 static void
-return_engine (fleet_t *fleet, uint32_t index)
+restore_engine (fleet_t *fleet, uint32_t index)
 {
   csp_shift_policy_t policy = csp_default_shift_policy ();
 
-  fleet->engines[index].dead = false;
+  fleet->engines[index].failed = false;
   csp_forget_prefixes (&fleet->prefixes[index]);
-  if (!fleet->play->no_shift)
-    csp_start_shift (&fleet->shifts[index], &policy, fleet_now_ms (fleet));
+  if (!fleet->settings->no_shift)
+    csp_start_shift (&fleet->slow_starts[index], &policy,
+                     fleet_now_ms (fleet));
 }
 
 static void
 tick (fleet_t *fleet)
 {
-  const play_t *play = fleet->play;
+  const play_t *settings = fleet->settings;
   uint32_t i;
 
-  if (play->lost_until_us != 0)
+  if (settings->lost_until_us != 0)
     {
-      engine_t *engine = &fleet->engines[play->slow_engine];
+      engine_t *engine = &fleet->engines[settings->slow_engine];
 
-      if (!engine->dead && fleet->now_us >= play->lost_from_us
-          && fleet->now_us < play->lost_until_us)
-        lose_engine (fleet, play->slow_engine);
-      if (engine->dead && fleet->now_us >= play->lost_until_us)
-        return_engine (fleet, play->slow_engine);
+      if (!engine->failed && fleet->now_us >= settings->lost_from_us
+          && fleet->now_us < settings->lost_until_us)
+        fail_engine (fleet, settings->slow_engine);
+      if (engine->failed && fleet->now_us >= settings->lost_until_us)
+        restore_engine (fleet, settings->slow_engine);
     }
-  if (play->dispatch != DISPATCH_DECISIONS)
+  if (settings->dispatch != DISPATCH_DECISIONS)
     {
-      leave_engine_queues (fleet);
-      if (play->dispatch >= DISPATCH_FIRST_COME)
-        pump_fifo (fleet);
+      expire_engine_queues (fleet);
+      if (settings->dispatch >= DISPATCH_FIRST_COME)
+        dispatch_fifo (fleet);
       return;
     }
-  if (fleet->now_us % REPORT_US == 0)
+  if (fleet->now_us % REPORT_INTERVAL_US == 0)
     {
-      take_reports (fleet);
-      weigh_engines (fleet);
+      exchange_reports (fleet);
+      update_health_and_in_flight (fleet);
     }
-  take_back_streams (fleet);
-  for (i = 0; i < play->hosts; i++)
+  requeue_victims (fleet);
+  for (i = 0; i < settings->hosts; i++)
     {
       expire_host (fleet, &fleet->hosts[i]);
-      pump_host (fleet, i);
+      dispatch_host_queue (fleet, i);
     }
 }
 
@@ -201,18 +203,18 @@
 {
   engine_events_t events = { on_token, on_ended, fleet };
   engine_t *engine = &fleet->engines[index];
-  uint32_t before = engine->running_count;
+  uint32_t running_before = engine->running_count;
 
   finish_step (engine, fleet->now_us, &events);
-  if (engine->running_count < before)
+  if (engine->running_count < running_before)
     {
-      if (fleet->play->dispatch == DISPATCH_DECISIONS)
-        pump_host (fleet, host_of_engine (fleet, index));
-      else if (fleet->play->dispatch >= DISPATCH_FIRST_COME)
-        pump_fifo (fleet);
+      if (fleet->settings->dispatch == DISPATCH_DECISIONS)
+        dispatch_host_queue (fleet, host_of_engine (fleet, index));
+      else if (fleet->settings->dispatch >= DISPATCH_FIRST_COME)
+        dispatch_fifo (fleet);
     }
   start_step (engine, fleet->now_us);
-  fleet->blocks.dirty[index / BLOCK] = true;
+  fleet->next_steps.stale[index / ENGINES_PER_BLOCK] = true;
 }
 
 static void
@@ -225,13 +227,13 @@
   uint32_t j;
   host_t *host;
 
-  if (fleet->play->no_learning)
+  if (fleet->settings->no_learning)
     lengths.start_weight = 1e12;
-  for (i = 0; i < fleet->play->hosts; i++)
+  for (i = 0; i < fleet->settings->hosts; i++)
     {
       host = &fleet->hosts[i];
       host->lengths = csp_create_lengths (&lengths);
-      host->queue = csp_create_queue (&fleet->play->queue);
+      host->queue = csp_create_queue (&fleet->settings->queue);
       host->health = csp_create_health (&health, fleet->engine_count);
       for (j = 0; j < CLASS_COUNT; j++)
         host->keys[j]
@@ -240,14 +242,14 @@
         csp_set_weight (host->queue, j, 1);
       memory = (uint64_t)fleet->engine_count
                * default_engine_shape ().memory_tokens;
-      csp_set_capacity (host->queue, memory / fleet->play->hosts);
-      if (!fleet->play->no_flight_news)
+      csp_set_capacity (host->queue, memory / fleet->settings->hosts);
+      if (!fleet->settings->no_in_flight_reports)
         csp_set_shared_memory (host->queue, memory);
     }
 }
 
 static void
-set_up (fleet_t *fleet)
+set_up_fleet (fleet_t *fleet)
 {
   uint32_t i;
 
@@ -255,33 +257,34 @@
   fleet->ledgers = calloc (fleet->engine_count, sizeof (csp_ledger_t *));
   fleet->reports = calloc (fleet->engine_count, sizeof *fleet->reports);
   fleet->prefixes = calloc (fleet->engine_count, sizeof *fleet->prefixes);
-  fleet->shifts = calloc (fleet->engine_count, sizeof *fleet->shifts);
+  fleet->slow_starts
+      = calloc (fleet->engine_count, sizeof *fleet->slow_starts);
   fleet->fifo = calloc (fleet->request_count + 1, sizeof (request_t *));
   csp_seed_random (&fleet->random, 11);
-  memset (fleet->blocks.dirty, true, sizeof fleet->blocks.dirty);
+  memset (fleet->next_steps.stale, true, sizeof fleet->next_steps.stale);
   set_up_hosts (fleet);
   for (i = 0; i < fleet->engine_count; i++)
     {
       fleet->engines[i].shape = default_engine_shape ();
       fleet->engines[i].slowness = 1;
-      csp_open_shift (&fleet->shifts[i]);
+      csp_open_shift (&fleet->slow_starts[i]);
       fleet->ledgers[i] = csp_create_ledger (
-          &fleet->play->admission,
+          &fleet->settings->admission,
           fleet->hosts[host_of_engine (fleet, i)].lengths);
     }
-  if (fleet->play->lost_until_us == 0)
-    fleet->engines[fleet->play->slow_engine].slowness
-        = fleet->play->slow_factor;
+  if (fleet->settings->lost_until_us == 0)
+    fleet->engines[fleet->settings->slow_engine].slowness
+        = fleet->settings->slow_factor;
 }
 
 static void
-tear_down (fleet_t *fleet)
+tear_down_fleet (fleet_t *fleet)
 {
   uint32_t i;
 
   for (i = 0; i < fleet->engine_count; i++)
     csp_destroy_ledger (fleet->ledgers[i]);
-  for (i = 0; i < fleet->play->hosts; i++)
+  for (i = 0; i < fleet->settings->hosts; i++)
     {
       csp_destroy_queue (fleet->hosts[i].queue);
       csp_destroy_health (fleet->hosts[i].health);
@@ -291,63 +294,63 @@
   free (fleet->ledgers);
   free (fleet->reports);
   free (fleet->prefixes);
-  free (fleet->shifts);
+  free (fleet->slow_starts);
   free (fleet->fifo);
   free (fleet->requests);
 }
 
 static void
-scan_block (fleet_t *fleet, uint32_t block)
+update_block (fleet_t *fleet, uint32_t block)
 {
-  blocks_t *blocks = &fleet->blocks;
-  uint32_t i = block * BLOCK;
-  uint32_t end = i + BLOCK;
+  next_steps_t *blocks = &fleet->next_steps;
+  uint32_t i = block * ENGINES_PER_BLOCK;
+  uint32_t end = i + ENGINES_PER_BLOCK;
 
-  blocks->dirty[block] = false;
-  blocks->least_us[block] = INT64_MAX;
+  blocks->stale[block] = false;
+  blocks->earliest_us[block] = INT64_MAX;
   for (; i < end && i < fleet->engine_count; i++)
     if (fleet->engines[i].stepping
-        && fleet->engines[i].step_end_us < blocks->least_us[block])
+        && fleet->engines[i].step_end_us < blocks->earliest_us[block])
       {
-        blocks->least_us[block] = fleet->engines[i].step_end_us;
-        blocks->index[block] = i;
+        blocks->earliest_us[block] = fleet->engines[i].step_end_us;
+        blocks->earliest_engine[block] = i;
       }
 }
 
 static int64_t
-next_step (fleet_t *fleet, uint32_t *engine)
+find_next_step (fleet_t *fleet, uint32_t *engine)
 {
-  blocks_t *blocks = &fleet->blocks;
+  next_steps_t *blocks = &fleet->next_steps;
   int64_t least = INT64_MAX;
   uint32_t i;
 
-  for (i = 0; i * BLOCK < fleet->engine_count; i++)
+  for (i = 0; i * ENGINES_PER_BLOCK < fleet->engine_count; i++)
     {
-      if (blocks->dirty[i])
-        scan_block (fleet, i);
-      if (blocks->least_us[i] < least)
+      if (blocks->stale[i])
+        update_block (fleet, i);
+      if (blocks->earliest_us[i] < least)
         {
-          least = blocks->least_us[i];
-          *engine = blocks->index[i];
+          least = blocks->earliest_us[i];
+          *engine = blocks->earliest_engine[i];
         }
     }
   return least;
 }
 
 static void
-arrive (fleet_t *fleet, request_t *request)
+handle_arrival (fleet_t *fleet, request_t *request)
 {
-  if (fleet->play->dispatch == DISPATCH_DECISIONS)
-    dispatch_decisions (fleet, request);
+  if (fleet->settings->dispatch == DISPATCH_DECISIONS)
+    enqueue_at_random_host (fleet, request);
   else
     dispatch_baseline (fleet, request);
 }
 
 void
-play_fleet (const play_t *play, const arrivals_plan_t *plan,
+play_fleet (const play_t *settings, const arrivals_plan_t *plan,
             results_t *results)
 {
-  fleet_t fleet = { .play = play, .results = results };
+  fleet_t fleet = { .settings = settings, .results = results };
   engine_shape_t shape = default_engine_shape ();
   int64_t tick_us = 0;
   int64_t step_us;
@@ -356,18 +359,18 @@
 
   memset (results, 0, sizeof *results);
   results->seconds = (double)plan->duration_us / 1e6;
-  fleet.engine_count = play->engines ? play->engines : plan->engines;
+  fleet.engine_count = settings->engines ? settings->engines : plan->engines;
   fleet.requests = make_arrivals (plan, &shape, &fleet.request_count);
-  set_up (&fleet);
+  set_up_fleet (&fleet);
   while (tick_us <= plan->duration_us)
     {
-      step_us = next_step (&fleet, &engine);
+      step_us = find_next_step (&fleet, &engine);
       if (arrived < fleet.request_count
           && fleet.requests[arrived].arrive_us <= step_us
           && fleet.requests[arrived].arrive_us <= tick_us)
         {
           fleet.now_us = fleet.requests[arrived].arrive_us;
-          arrive (&fleet, &fleet.requests[arrived++]);
+          handle_arrival (&fleet, &fleet.requests[arrived++]);
         }
       else if (step_us <= tick_us)
         {
@@ -382,5 +385,5 @@
         }
     }
   count_outcomes (&fleet);
-  tear_down (&fleet);
+  tear_down_fleet (&fleet);
 }
--- a/bench/fleet.h
+++ b/bench/fleet.h
@@ -24,7 +24,7 @@
   DISPATCH_DECISIONS
 } dispatch_t;
 
-/* What plays the arrivals.  The flags switch a decision off.  */
+/* Settings of a simulated fleet.  Each no_ flag switches one decision off.  */
 typedef struct
 {
   dispatch_t dispatch;
@@ -42,22 +42,26 @@
   bool no_health;
   bool no_preemption;
   bool no_shift;
-  bool no_flight_news;
+  bool no_in_flight_reports;
   int64_t report_lag_us;
   double slow_factor;
+  /* The steps of this engine take slow_factor times as long.  If lost_until_us
+     is set, the engine instead fails at lost_from_us and comes back empty at
+     lost_until_us.  */
   uint32_t slow_engine;
   int64_t lost_from_us;
   int64_t lost_until_us;
 } play_t;
 
-/* Gaps between tokens in log-spaced buckets of 2 in 100.  */
+/* Histogram of the gaps between tokens; each bucket is 2 % wider than the
+   one before.  */
 typedef struct
 {
   uint64_t counts[GAP_BUCKETS];
   uint64_t total;
 } gaps_t;
 
-/* What callers got.  */
+/* Results of a group of requests.  */
 typedef struct
 {
   uint64_t requests;
@@ -70,37 +74,43 @@
   uint64_t preempted;
   uint64_t started_preempted;
   double stall_s;
+  /* Sum of the times between sending to an engine and the first token.  */
   double prefill_s;
   uint64_t tokens;
-  uint64_t given_way;
+  uint64_t requeued;
   gaps_t gaps;
-  double *first_s;
+  double *first_token_s;
   double *wait_s;
   uint64_t first_count;
 } outcome_t;
 
-/* small: all organisations but the three that send most.  returned: sent to
-   the engine that was lost, in the first 10 s after its return.  */
+/* Results of one simulation.  */
 typedef struct
 {
   outcome_t all;
   outcome_t classes[CLASS_COUNT];
   outcome_t organisations[ORGANISATIONS];
+  /* Requests sent to the failed engine in the first 10 s after its return.  */
   outcome_t returned;
-  outcome_t small;
+  /* All organisations but the three that send most.  */
+  outcome_t small_organisations;
   double seconds;
 } results_t;
 
-void play_fleet (const play_t *play, const arrivals_plan_t *plan,
+/* Simulates the fleet for the arrivals of plan.  The caller frees the results
+   with free_results.  */
+void play_fleet (const play_t *settings, const arrivals_plan_t *plan,
                  results_t *results);
 void free_results (results_t *results);
 
 double gap_quantile_ms (const gaps_t *gaps, double quantile);
 
-/* Quantile of times to the first token, in seconds; sorts them.  */
+/* Returns a quantile of the times to the first token, in seconds.  Sorts the
+   times in place.  */
 double first_quantile_s (outcome_t *outcome, double quantile);
 
-/* Quantile of the time between arrival and hand-over to an engine.  */
+/* Returns a quantile of the times between arrival and sending to an engine, in
+   seconds.  Sorts the times in place.  */
 double wait_quantile_s (outcome_t *outcome, double quantile);
 
 play_t default_play (dispatch_t dispatch);
--- a/bench/limit-bench.c
+++ b/bench/limit-bench.c
@@ -6,42 +6,46 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* How far a limit over all hosts is exceeded when hosts don't talk.  Twelve
-   hosts publish their demand each second; news is `lag` rounds old; demands
-   jump at random every ten seconds; for a third of the time the hosts are cut
-   in two.  baseline is a limit that each host holds alone.  */
+/* Measures by how much a limit shared by all hosts is exceeded when hosts know
+   the demand of the others late or not at all.  Twelve hosts publish their
+   demand each second, and the others see it lag_rounds later.  Demands change
+   at random every ten seconds.  In some scenarios a network partition splits
+   the hosts in two halves for a third of the time.  The baseline
+   of the excess is each host enforcing the whole limit on its own.  */
 
 enum
 {
   HOSTS = 12,
-  RATE = 12000,
+  LIMIT_TOKENS_PER_S = 12000,
   ROUNDS = 1200,
-  PIECE = 100,
-  MOST_LAG = 8,
+  REQUEST_TOKENS = 100,
+  LAG_SLOTS = 8,
   MS_PER_ROUND = 1000
 };
 
 typedef struct
 {
   const char *name;
-  int lag;
-  bool split;
-  bool list_splits;
-} case_t;
+  int lag_rounds;
+  bool partitioned;
+  bool list_omits_unreachable;
+} scenario_t;
 
+/* published is a ring of the demands of the last rounds.  */
 typedef struct
 {
   csp_limit_t limits[HOSTS];
-  double published[MOST_LAG][HOSTS];
+  double published[LAG_SLOTS][HOSTS];
   double demand[HOSTS];
   csp_random_t random;
 } fleet_t;
 
+/* Admitted tokens as multiples of the limit.  */
 typedef struct
 {
   double worst_second;
   double worst_minute;
-  double used;
+  double mean_used;
 } excess_t;
 
 static void
@@ -50,61 +54,68 @@
   int i;
 
   for (i = 0; i < HOSTS; i++)
-    fleet->demand[i] = csp_random_unit (&fleet->random) < 0.3
-                           ? RATE * csp_random_unit (&fleet->random)
-                           : 0;
-  fleet->demand[csp_random_below (&fleet->random, HOSTS)] = RATE;
+    fleet->demand[i]
+        = csp_random_unit (&fleet->random) < 0.3
+              ? LIMIT_TOKENS_PER_S * csp_random_unit (&fleet->random)
+              : 0;
+  fleet->demand[csp_random_below (&fleet->random, HOSTS)] = LIMIT_TOKENS_PER_S;
 }
 
 static double
-serve_round (fleet_t *fleet, int64_t now_ms)
+admit_requests (fleet_t *fleet, int64_t now_ms)
 {
-  double through = 0;
-  uint32_t after;
-  int asked;
+  double admitted = 0;
+  uint32_t retry_after;
+  int requested;
   int i;
 
   for (i = 0; i < HOSTS; i++)
-    for (asked = 0; asked < fleet->demand[i]; asked += PIECE)
+    for (requested = 0; requested < fleet->demand[i];
+         requested += REQUEST_TOKENS)
       if (csp_open_limited (
-              &fleet->limits[i], PIECE,
-              now_ms + (int64_t)(MS_PER_ROUND * asked / fleet->demand[i]),
-              &after))
+              &fleet->limits[i], REQUEST_TOKENS,
+              now_ms + (int64_t)(MS_PER_ROUND * requested / fleet->demand[i]),
+              &retry_after))
         {
-          csp_close_limited (&fleet->limits[i], PIECE, PIECE);
-          through += PIECE;
+          csp_close_limited (&fleet->limits[i], REQUEST_TOKENS,
+                             REQUEST_TOKENS);
+          admitted += REQUEST_TOKENS;
         }
-  return through;
+  return admitted;
 }
 
 static void
-share_round (fleet_t *fleet, const case_t *one, int round, int cut_since)
+update_shares (fleet_t *fleet, const scenario_t *scenario, int round,
+               int partition_round)
 {
   csp_limit_peer_t peers[HOSTS];
   uint32_t count;
-  int heard;
+  int seen_round;
   int i;
   int j;
 
   for (i = 0; i < HOSTS; i++)
-    fleet->published[round % MOST_LAG][i]
+    fleet->published[round % LAG_SLOTS][i]
         = csp_publish_demand (&fleet->limits[i]);
   for (i = 0; i < HOSTS; i++)
     {
       count = 0;
       for (j = 0; j < HOSTS; j++)
         {
-          bool apart = cut_since >= 0 && (i < HOSTS / 2) != (j < HOSTS / 2);
+          bool unreachable
+              = partition_round >= 0 && (i < HOSTS / 2) != (j < HOSTS / 2);
 
-          if (j == i || (apart && one->list_splits))
+          if (j == i || (unreachable && scenario->list_omits_unreachable))
             continue;
-          heard = round - one->lag;
-          peers[count].age_ms = (uint32_t)(one->lag * MS_PER_ROUND);
-          if (apart)
+          seen_round = round - scenario->lag_rounds;
+          peers[count].age_ms
+              = (uint32_t)(scenario->lag_rounds * MS_PER_ROUND);
+          if (unreachable)
             peers[count].age_ms
-                += (uint32_t)((round - cut_since) * MS_PER_ROUND);
+                += (uint32_t)((round - partition_round) * MS_PER_ROUND);
           peers[count].demand
-              = heard < 0 ? 0 : fleet->published[heard % MOST_LAG][j];
+              = seen_round < 0 ? 0
+                               : fleet->published[seen_round % LAG_SLOTS][j];
           count++;
         }
       csp_share_limit (&fleet->limits[i], peers, count);
@@ -112,39 +123,42 @@
 }
 
 static excess_t
-play (const case_t *one)
+simulate (const scenario_t *scenario)
 {
   csp_limit_policy_t policy = csp_default_limit_policy ();
   excess_t excess = { 0, 0, 0 };
   double minute = 0;
-  double through;
+  double admitted;
   fleet_t fleet;
-  int cut_since = -1;
+  int partition_round = -1;
   int round;
   int i;
 
   memset (&fleet, 0, sizeof fleet);
   csp_seed_random (&fleet.random, 3);
   for (i = 0; i < HOSTS; i++)
-    csp_open_limit (&fleet.limits[i], &policy, RATE, 0, HOSTS, 1000);
+    csp_open_limit (&fleet.limits[i], &policy, LIMIT_TOKENS_PER_S, 0, HOSTS,
+                    1000);
   for (round = 0; round < ROUNDS; round++)
     {
       if (round % 10 == 0)
         draw_demands (&fleet);
-      if (one->split && round % 300 == 200)
-        cut_since = round;
+      if (scenario->partitioned && round % 300 == 200)
+        partition_round = round;
       if (round % 300 == 0)
-        cut_since = -1;
-      through = serve_round (&fleet, 1000 + (int64_t)round * MS_PER_ROUND);
-      share_round (&fleet, one, round, cut_since);
+        partition_round = -1;
+      admitted = admit_requests (&fleet, 1000 + (int64_t)round * MS_PER_ROUND);
+      update_shares (&fleet, scenario, round, partition_round);
       if (round < 60)
         continue;
-      excess.worst_second = fmax (excess.worst_second, through / RATE);
-      minute += through;
-      excess.used += through / RATE / (ROUNDS - 60);
+      excess.worst_second
+          = fmax (excess.worst_second, admitted / LIMIT_TOKENS_PER_S);
+      minute += admitted;
+      excess.mean_used += admitted / LIMIT_TOKENS_PER_S / (ROUNDS - 60);
       if (round % 60 == 59)
         {
-          excess.worst_minute = fmax (excess.worst_minute, minute / RATE / 60);
+          excess.worst_minute
+              = fmax (excess.worst_minute, minute / LIMIT_TOKENS_PER_S / 60);
           minute = 0;
         }
     }
@@ -154,7 +168,7 @@
 int
 main (void)
 {
-  static const case_t cases[] = {
+  static const scenario_t scenarios[] = {
     { "talking.lag_1", 1, false, false },
     { "talking.lag_3", 3, false, false },
     { "split.all_listed", 1, true, false },
@@ -163,20 +177,20 @@
   excess_t excess;
   uint32_t i;
 
-  for (i = 0; i < sizeof cases / sizeof cases[0]; i++)
+  for (i = 0; i < sizeof scenarios / sizeof scenarios[0]; i++)
     {
-      excess = play (&cases[i]);
+      excess = simulate (&scenarios[i]);
       printf ("limit.%s.worst_second baseline=%d now=%.3f ratio=%.3f "
               "unit=of_the_limit\n",
-              cases[i].name, HOSTS, excess.worst_second,
+              scenarios[i].name, HOSTS, excess.worst_second,
               excess.worst_second / HOSTS);
       printf ("limit.%s.worst_minute baseline=%d now=%.3f ratio=%.3f "
               "unit=of_the_limit\n",
-              cases[i].name, HOSTS, excess.worst_minute,
+              scenarios[i].name, HOSTS, excess.worst_minute,
               excess.worst_minute / HOSTS);
       printf ("limit.%s.mean_used baseline=1 now=%.3f ratio=%.3f "
               "unit=of_the_limit\n",
-              cases[i].name, excess.used, excess.used);
+              scenarios[i].name, excess.mean_used, excess.mean_used);
     }
   return EXIT_SUCCESS;
 }
--- a/bench/member-bench.c
+++ b/bench/member-bench.c
@@ -1,7 +1,8 @@
-/* What membership, ownership and the spread of configuration cost a host, and
-   how fast a change is in force everywhere, at several sizes: worked out in
-   one process with fake time and fake links.  Processor time of whole fleets
-   includes the harness, so it is an upper bound.  */
+/* Measures what membership, ownership and the distribution of configuration
+   cost a host, and how soon a change is in force on all hosts, at several
+   sizes.  All hosts run in one process with simulated time and links.  The
+   processor time of a whole fleet includes the simulation, so it is an upper
+   bound.  */
 
 #include "support/fleet.h"
 
@@ -14,10 +15,10 @@
 {
   RUN_S = 20,
   PROBES = 5,
-  MEDIAN = 2,
+  MEDIAN_PROBE = 2,
   REPEATS = 2000,
   VIEW_REPEATS = 200,
-  /* TCP, IP and nng around each message.  */
+  /* Bytes that TCP, IP and nng add to each message.  */
   HEADER_BYTES = 76
 };
 
@@ -32,7 +33,7 @@
 static const size_t rates[] = { 0, 1, 10, 50 };
 
 static double
-now_s (void)
+cpu_time_s (void)
 {
   struct timespec now;
 
@@ -72,20 +73,20 @@
 {
   double reads_per_s;
   double bytes_per_s;
-  double most_bytes_per_s;
+  double busiest_bytes_per_s;
   double messages_per_s;
   double cpu_ns_per_s;
 } cost_t;
 
 static cost_t
-run_burst (fleet_t *fleet, size_t changes_per_s)
+measure_changes (fleet_t *fleet, size_t changes_per_s)
 {
   uint64_t bytes[FLEET_MAX_NODES] = { 0 };
   uint64_t reads = fleet->reads;
   uint64_t messages = 0;
-  double begin_s = now_s ();
+  double start_s = cpu_time_s ();
   cost_t cost = { 0 };
-  double spent;
+  double host_bytes_per_s;
   size_t i;
 
   for (i = 0; i < fleet->settings.nodes; i++)
@@ -99,18 +100,19 @@
       fleet_publish (fleet, changes_per_s);
       fleet_run (fleet, 1000);
     }
-  cost.cpu_ns_per_s
-      = (now_s () - begin_s) * 1e9 / (double)fleet->settings.nodes / RUN_S;
+  cost.cpu_ns_per_s = (cpu_time_s () - start_s) * 1e9
+                      / (double)fleet->settings.nodes / RUN_S;
   cost.reads_per_s = (double)(fleet->reads - reads) / RUN_S;
   for (i = 0; i < fleet->settings.nodes; i++)
     {
       messages += fleet->nodes[i].messages;
-      spent = (double)(fleet->nodes[i].bytes
-                       + HEADER_BYTES * fleet->nodes[i].messages - bytes[i])
-              / RUN_S;
-      cost.bytes_per_s += spent / (double)fleet->settings.nodes;
-      if (spent > cost.most_bytes_per_s)
-        cost.most_bytes_per_s = spent;
+      host_bytes_per_s
+          = (double)(fleet->nodes[i].bytes
+                     + HEADER_BYTES * fleet->nodes[i].messages - bytes[i])
+            / RUN_S;
+      cost.bytes_per_s += host_bytes_per_s / (double)fleet->settings.nodes;
+      if (host_bytes_per_s > cost.busiest_bytes_per_s)
+        cost.busiest_bytes_per_s = host_bytes_per_s;
     }
   cost.messages_per_s
       = (double)messages / RUN_S / (double)fleet->settings.nodes;
@@ -118,12 +120,12 @@
 }
 
 static void
-bench_spread (const size_row_t *size, size_t rate)
+bench_config_sync (const size_row_t *size, size_t rate)
 {
-  fleet_t *all = start_fleet (size->nodes, size->data_centres, 0, true);
+  fleet_t *all_read = start_fleet (size->nodes, size->data_centres, 0, true);
   fleet_t *fleet = start_fleet (size->nodes, size->data_centres, 0, false);
-  cost_t baseline = run_burst (all, rate);
-  cost_t cost = run_burst (fleet, rate);
+  cost_t baseline = measure_changes (all_read, rate);
+  cost_t cost = measure_changes (fleet, rate);
   char name[64];
 
   snprintf (name, sizeof name, "config-reads-at-%zu-changes", rate);
@@ -133,8 +135,8 @@
   print_row (name, size->nodes, baseline.bytes_per_s, cost.bytes_per_s,
              "bytes/s");
   snprintf (name, sizeof name, "busiest-host-sent-at-%zu-changes", rate);
-  print_row (name, size->nodes, baseline.most_bytes_per_s,
-             cost.most_bytes_per_s, "bytes/s");
+  print_row (name, size->nodes, baseline.busiest_bytes_per_s,
+             cost.busiest_bytes_per_s, "bytes/s");
   if (rate == 0)
     {
       print_row ("host-messages", size->nodes, 0, cost.messages_per_s,
@@ -142,7 +144,7 @@
       print_row ("host-cpu-with-harness", size->nodes, 0, cost.cpu_ns_per_s,
                  "ns/s");
     }
-  fleet_destroy (all);
+  fleet_destroy (all_read);
   fleet_destroy (fleet);
 }
 
@@ -156,7 +158,7 @@
 }
 
 static void
-bench_agreement (const size_row_t *size)
+bench_time_in_force (const size_row_t *size)
 {
   fleet_t *fleet = start_fleet (size->nodes, size->data_centres, 0, false);
   int64_t times[PROBES];
@@ -170,7 +172,7 @@
     }
   qsort (times, PROBES, sizeof *times, compare_times);
   print_row ("config-in-force-everywhere-p50", size->nodes, 10000,
-             (double)times[MEDIAN], "ms");
+             (double)times[MEDIAN_PROBE], "ms");
   print_row ("config-in-force-everywhere-max", size->nodes, 10000,
              (double)times[PROBES - 1], "ms");
   fleet_destroy (fleet);
@@ -180,41 +182,43 @@
 time_ownership_tick (fleet_t *fleet)
 {
   csp_carry_asks_t asks;
-  double begin_s = now_s ();
+  double start_s = cpu_time_s ();
   size_t i;
 
   for (i = 0; i < REPEATS; i++)
     csp_tick_ownership (fleet->nodes[0].ownership, fleet->nodes[0].membership,
                         fleet->now_ms, &asks);
-  return (now_s () - begin_s) * 1e9 / REPEATS;
+  return (cpu_time_s () - start_s) * 1e9 / REPEATS;
 }
 
 static double
 time_membership_tick (fleet_t *fleet)
 {
   csp_heartbeat_actions_t *actions = malloc (sizeof *actions);
-  double begin_s = now_s ();
+  double start_s = cpu_time_s ();
   size_t i;
 
   for (i = 0; i < REPEATS; i++)
     csp_tick_membership (fleet->nodes[0].membership, fleet->now_ms, actions);
   free (actions);
-  return (now_s () - begin_s) * 1e9 / REPEATS;
+  return (cpu_time_s () - start_s) * 1e9 / REPEATS;
 }
 
-/* A new view: the host list anew makes every target choose its owner.  */
+/* Returns the nanoseconds that a change of the view of the fleet takes.
+   Applying the target list again makes the host choose the owner of every
+   target again.  */
 static double
 time_view_change (fleet_t *fleet)
 {
   csp_listed_target_t *targets = calloc (FLEET_MAX_TARGETS, sizeof *targets);
   csp_host_list_t list = { 1, 0, NULL, 0, targets };
   csp_carry_asks_t asks;
-  double begin_s;
+  double start_s;
   size_t i;
 
   for (i = 0; i < fleet->target_count; i++)
     targets[list.target_count++] = fleet->targets[i].listed;
-  begin_s = now_s ();
+  start_s = cpu_time_s ();
   for (i = 0; i < VIEW_REPEATS; i++)
     {
       csp_apply_target_list (fleet->nodes[0].ownership, &list, fleet->now_ms);
@@ -222,7 +226,7 @@
                           fleet->nodes[0].membership, fleet->now_ms, &asks);
     }
   free (targets);
-  return (now_s () - begin_s) * 1e9 / VIEW_REPEATS;
+  return (cpu_time_s () - start_s) * 1e9 / VIEW_REPEATS;
 }
 
 static void
@@ -230,7 +234,7 @@
 {
   static const size_t targets[] = { 50, 100, 200, 430 };
   static const size_t hosts[] = { 3, 6, 12, 24 };
-  double first[2] = { 0, 0 };
+  double smallest[2] = { 0, 0 };
   double tick;
   double change;
   fleet_t *fleet;
@@ -243,11 +247,12 @@
       change = time_view_change (fleet);
       if (i == 0)
         {
-          first[0] = tick;
-          first[1] = change;
+          smallest[0] = tick;
+          smallest[1] = change;
         }
-      print_row ("ownership-tick-targets", targets[i], first[0], tick, "ns");
-      print_row ("ownership-new-view-targets", targets[i], first[1], change,
+      print_row ("ownership-tick-targets", targets[i], smallest[0], tick,
+                 "ns");
+      print_row ("ownership-new-view-targets", targets[i], smallest[1], change,
                  "ns");
       fleet_destroy (fleet);
     }
@@ -256,8 +261,9 @@
       fleet = start_fleet (hosts[i], 1, 430, false);
       tick = time_view_change (fleet);
       if (i == 0)
-        first[0] = tick;
-      print_row ("ownership-new-view-hosts", hosts[i], first[0], tick, "ns");
+        smallest[0] = tick;
+      print_row ("ownership-new-view-hosts", hosts[i], smallest[0], tick,
+                 "ns");
       fleet_destroy (fleet);
     }
 }
@@ -265,7 +271,7 @@
 static void
 bench_membership (void)
 {
-  double first = 0;
+  double smallest = 0;
   double tick;
   fleet_t *fleet;
   size_t i;
@@ -275,8 +281,9 @@
       fleet = start_fleet (sizes[i].nodes, sizes[i].data_centres, 0, false);
       tick = time_membership_tick (fleet);
       if (i == 0)
-        first = tick;
-      print_row ("membership-tick-hosts", sizes[i].nodes, first, tick, "ns");
+        smallest = tick;
+      print_row ("membership-tick-hosts", sizes[i].nodes, smallest, tick,
+                 "ns");
       fleet_destroy (fleet);
     }
 }
@@ -290,8 +297,8 @@
   for (i = 0; i < sizeof sizes / sizeof *sizes; i++)
     {
       for (r = 0; r < sizeof rates / sizeof *rates; r++)
-        bench_spread (&sizes[i], rates[r]);
-      bench_agreement (&sizes[i]);
+        bench_config_sync (&sizes[i], rates[r]);
+      bench_time_in_force (&sizes[i]);
     }
   bench_membership ();
   bench_ownership ();
--- a/bench/member-state-bench.c
+++ b/bench/member-state-bench.c
@@ -1,5 +1,6 @@
-/* What the state of membership, ownership and configuration costs a host in
-   memory, and what it takes to build it, at several sizes.  */
+/* Measures the memory that the state of membership, ownership and
+   configuration takes on a host, and the time to build that state, at several
+   sizes.  */
 
 #include "cowslipspoke/configuration.h"
 #include "cowslipspoke/ownership.h"
@@ -11,7 +12,7 @@
 #include <time.h>
 
 static double
-now_s (void)
+cpu_time_s (void)
 {
   struct timespec now;
 
@@ -28,8 +29,9 @@
 }
 
 static void *
-build_any (void *state, int64_t revision, const csp_config_value_t *values,
-           size_t count, char fault[CSP_FAULT_BYTES])
+build_placeholder (void *state, int64_t revision,
+                   const csp_config_value_t *values, size_t count,
+                   char fault[CSP_FAULT_BYTES])
 {
   (void)state;
   (void)revision;
@@ -40,7 +42,7 @@
 }
 
 static void
-release_any (void *state, void *built)
+release_placeholder (void *state, void *built)
 {
   (void)state;
   free (built);
@@ -82,28 +84,28 @@
 
 typedef struct
 {
-  double whole_ns;
-  double change_ns;
+  double full_apply_ns;
+  double change_apply_ns;
   double memory_bytes;
 } config_cost_t;
 
 static config_cost_t
-cost_configuration (size_t count)
+measure_configuration (size_t count)
 {
-  csp_config_check_t check = { build_any, release_any, NULL };
+  csp_config_check_t check = { build_placeholder, release_placeholder, NULL };
   csp_config_value_t *values = make_values (count);
   csp_config_value_t change = values[0];
   csp_config_delta_t delta = { 0, (int64_t)count, 0, true, count, values };
   csp_configuration_t *configuration = csp_create_configuration (&check);
-  size_t before = mallinfo2 ().uordblks;
+  size_t heap_before = mallinfo2 ().uordblks;
   config_cost_t cost;
-  double begin_s = now_s ();
+  double start_s = cpu_time_s ();
   size_t i;
 
   csp_take_configuration (configuration, CSP_SOURCE_SERVICE, &delta);
-  cost.whole_ns = (now_s () - begin_s) * 1e9;
-  cost.memory_bytes = (double)(mallinfo2 ().uordblks - before);
-  begin_s = now_s ();
+  cost.full_apply_ns = (cpu_time_s () - start_s) * 1e9;
+  cost.memory_bytes = (double)(mallinfo2 ().uordblks - heap_before);
+  start_s = cpu_time_s ();
   for (i = 0; i < 100; i++)
     {
       change.json = i % 2 == 0 ? "1" : "2";
@@ -113,7 +115,7 @@
                                   &change };
       csp_take_configuration (configuration, CSP_SOURCE_SERVICE, &delta);
     }
-  cost.change_ns = (now_s () - begin_s) * 1e9 / 100;
+  cost.change_apply_ns = (cpu_time_s () - start_s) * 1e9 / 100;
   csp_destroy_configuration (configuration);
   free_values (values, count);
   return cost;
@@ -123,26 +125,26 @@
 bench_configuration (void)
 {
   static const size_t counts[] = { 500, 1000, 2000, 4000, 8000 };
-  config_cost_t first = { 0 };
+  config_cost_t smallest = { 0 };
   config_cost_t cost;
   size_t i;
 
   for (i = 0; i < sizeof counts / sizeof *counts; i++)
     {
-      cost = cost_configuration (counts[i]);
+      cost = measure_configuration (counts[i]);
       if (i == 0)
-        first = cost;
-      print_row ("config-take-whole-values", counts[i], first.whole_ns,
-                 cost.whole_ns, "ns");
-      print_row ("config-take-change-values", counts[i], first.change_ns,
-                 cost.change_ns, "ns");
-      print_row ("config-memory-values", counts[i], first.memory_bytes,
+        smallest = cost;
+      print_row ("config-take-whole-values", counts[i], smallest.full_apply_ns,
+                 cost.full_apply_ns, "ns");
+      print_row ("config-take-change-values", counts[i],
+                 smallest.change_apply_ns, cost.change_apply_ns, "ns");
+      print_row ("config-memory-values", counts[i], smallest.memory_bytes,
                  cost.memory_bytes, "bytes");
     }
 }
 
 static char *
-make_list_text (size_t targets, size_t *size_bytes)
+make_host_list_json (size_t targets, size_t *size_bytes)
 {
   char *text = NULL;
   FILE *out = open_memstream (&text, size_bytes);
@@ -169,39 +171,39 @@
 }
 
 static void
-bench_list (void)
+bench_host_list (void)
 {
   static const size_t counts[] = { 430, 1500, 6000, 12000 };
   csp_host_list_t *list;
   csp_error_t error;
-  double first[2] = { 0, 0 };
-  double begin_s;
-  double spent;
+  double smallest[2] = { 0, 0 };
+  double start_s;
+  double parse_ns;
   size_t size_bytes;
   char *text;
   size_t i;
 
   for (i = 0; i < 4; i++)
     {
-      text = make_list_text (counts[i], &size_bytes);
-      begin_s = now_s ();
+      text = make_host_list_json (counts[i], &size_bytes);
+      start_s = cpu_time_s ();
       if (!csp_parse_host_list (text, size_bytes, &list, &error))
         abort ();
-      spent = (now_s () - begin_s) * 1e9;
+      parse_ns = (cpu_time_s () - start_s) * 1e9;
       if (i == 0)
         {
-          first[0] = spent;
-          first[1] = (double)size_bytes;
+          smallest[0] = parse_ns;
+          smallest[1] = (double)size_bytes;
         }
-      print_row ("list-parse-targets", counts[i], first[0], spent, "ns");
-      print_row ("list-size-targets", counts[i], first[1], (double)size_bytes,
-                 "bytes");
+      print_row ("list-parse-targets", counts[i], smallest[0], parse_ns, "ns");
+      print_row ("list-size-targets", counts[i], smallest[1],
+                 (double)size_bytes, "bytes");
       csp_destroy_host_list (list);
       free (text);
     }
 }
 
-/* Memory of one host's view of the fleet and of its targets.  */
+/* Measures the memory of one host's view of other hosts and of targets.  */
 static void
 bench_memory (void)
 {
@@ -217,25 +219,25 @@
   csp_ownership_t *ownership;
   csp_listed_target_t *rows;
   csp_host_list_t list = { 1, 0, NULL, 0, NULL };
-  size_t before;
-  double first = 0;
+  size_t heap_before;
+  double smallest = 0;
   double used;
   size_t i;
   size_t n;
 
   for (i = 0; i < 4; i++)
     {
-      before = mallinfo2 ().uordblks;
+      heap_before = mallinfo2 ().uordblks;
       membership = csp_create_membership (&settings, 0);
       for (n = 1; n < hosts[i]; n++)
         {
           snprintf (host.name, sizeof host.name, "h%zu", n);
           csp_add_known_host (membership, &host, 0);
         }
-      used = (double)(mallinfo2 ().uordblks - before);
+      used = (double)(mallinfo2 ().uordblks - heap_before);
       if (i == 0)
-        first = used;
-      print_row ("membership-memory-hosts", hosts[i], first, used, "bytes");
+        smallest = used;
+      print_row ("membership-memory-hosts", hosts[i], smallest, used, "bytes");
       csp_destroy_membership (membership);
     }
   for (i = 0; i < 4; i++)
@@ -248,13 +250,14 @@
         }
       list.targets = rows;
       list.target_count = targets[i];
-      before = mallinfo2 ().uordblks;
+      heap_before = mallinfo2 ().uordblks;
       ownership = csp_create_ownership ("h0", "dc-0");
       csp_apply_target_list (ownership, &list, 0);
-      used = (double)(mallinfo2 ().uordblks - before);
+      used = (double)(mallinfo2 ().uordblks - heap_before);
       if (i == 0)
-        first = used;
-      print_row ("ownership-memory-targets", targets[i], first, used, "bytes");
+        smallest = used;
+      print_row ("ownership-memory-targets", targets[i], smallest, used,
+                 "bytes");
       csp_destroy_ownership (ownership);
       free (rows);
     }
@@ -264,7 +267,7 @@
 main (void)
 {
   bench_configuration ();
-  bench_list ();
+  bench_host_list ();
   bench_memory ();
   return EXIT_SUCCESS;
 }
--- a/bench/metrics-bench.c
+++ b/bench/metrics-bench.c
@@ -6,9 +6,9 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-/* What counting costs a stream: one gap between tokens and one token, with one
-   thread and with several that all count on the same series, which is the
-   worst case; and what a scrape costs as series grow.  */
+/* Measures the time to record one token and the gap before it, with one thread
+   and with several that all update the same series, which is the worst case;
+   and the cost of a scrape as the number of series grows.  */
 
 enum
 {
@@ -33,7 +33,7 @@
   return NULL;
 }
 
-/* Nanoseconds that a thread spends on each token.  */
+/* Returns the nanoseconds that a thread spends on each token.  */
 static double
 time_tokens_ns (int threads)
 {
@@ -41,7 +41,7 @@
   pthread_t ids[THREADS_MAX];
   csp_metrics_t *metrics = csp_create_metrics (CSP_SERIES_MAX);
   int64_t start_us;
-  double took_us;
+  double elapsed_us;
   int i;
 
   start_us = csp_now_us (&clock);
@@ -49,16 +49,16 @@
     pthread_create (&ids[i], NULL, count_tokens, metrics);
   for (i = 0; i < threads; i++)
     pthread_join (ids[i], NULL);
-  took_us = (double)(csp_now_us (&clock) - start_us);
+  elapsed_us = (double)(csp_now_us (&clock) - start_us);
   csp_destroy_metrics (metrics);
-  return took_us * NS_PER_US / ROUNDS;
+  return elapsed_us * NS_PER_US / ROUNDS;
 }
 
 typedef struct
 {
   double text_bytes;
   double time_us;
-  double held_bytes;
+  double heap_bytes;
 } scrape_t;
 
 static scrape_t
@@ -69,7 +69,7 @@
   char name[NAME_BYTES];
   scrape_t scrape;
   size_t size_bytes;
-  size_t held = mallinfo2 ().uordblks;
+  size_t heap_before = mallinfo2 ().uordblks;
   int64_t start_us;
   size_t i;
   int time;
@@ -83,7 +83,7 @@
       for (time = 0; time < CSP_TIME_COUNT; time++)
         csp_observe_time (labels, time, 42000);
     }
-  scrape.held_bytes = (double)(mallinfo2 ().uordblks - held);
+  scrape.heap_bytes = (double)(mallinfo2 ().uordblks - heap_before);
   start_us = csp_now_us (&clock);
   free (csp_render_metrics (metrics, &size_bytes));
   scrape.time_us = (double)(csp_now_us (&clock) - start_us);
@@ -105,31 +105,31 @@
 main (void)
 {
   static const size_t organisations[] = { 10, 100, 400, 1600 };
-  double one_ns = time_tokens_ns (1);
+  double one_thread_ns = time_tokens_ns (1);
   double now_ns;
-  scrape_t first = { 0, 0, 0 };
+  scrape_t smallest = { 0, 0, 0 };
   scrape_t now;
   int threads;
   size_t i;
 
   for (threads = 1; threads <= THREADS_MAX; threads *= 2)
     {
-      now_ns = threads == 1 ? one_ns : time_tokens_ns (threads);
+      now_ns = threads == 1 ? one_thread_ns : time_tokens_ns (threads);
       printf ("metrics-token-%d-threads baseline=%.1f now=%.1f ratio=%.2f "
               "unit=ns\n",
-              threads, one_ns, now_ns, now_ns / one_ns);
+              threads, one_thread_ns, now_ns, now_ns / one_thread_ns);
     }
   for (i = 0; i < sizeof organisations / sizeof organisations[0]; i++)
     {
       now = measure_scrape (organisations[i]);
       if (i == 0)
-        first = now;
-      print_scrape ("scrape", organisations[i], first.text_bytes,
+        smallest = now;
+      print_scrape ("scrape", organisations[i], smallest.text_bytes,
                     now.text_bytes, "bytes");
-      print_scrape ("scrape-time", organisations[i], first.time_us,
+      print_scrape ("scrape-time", organisations[i], smallest.time_us,
                     now.time_us, "us");
-      print_scrape ("memory", organisations[i], first.held_bytes,
-                    now.held_bytes, "bytes");
+      print_scrape ("memory", organisations[i], smallest.heap_bytes,
+                    now.heap_bytes, "bytes");
     }
   return EXIT_SUCCESS;
 }
--- a/bench/once-bench.c
+++ b/bench/once-bench.c
@@ -1,6 +1,7 @@
-/* What a key and a slot cost in time and memory, with one thousand to one
-   million of them kept.  The baseline of each line is the figure at one
-   thousand, so the ratio shows whether the cost grows with the number.  */
+/* Measures the time and memory that an idempotency key and a hand-off slot
+   take, with one thousand to one million of them stored.  The baseline of each
+   line is the cost at one thousand, so the ratio shows whether the cost grows
+   with the number.  */
 
 #include "cowslipspoke/handoff.h"
 #include "cowslipspoke/once.h"
@@ -16,7 +17,7 @@
   NS_PER_S = 1000000000,
   SAMPLE = 100000,
   WALL_MS = 1000000,
-  SMALL_ROUND = 12,
+  SMALL_ROUND_HOSTS = 12,
   TARGETS = 36,
   HOLDERS = 11,
   SIZES = 4
@@ -24,7 +25,7 @@
 
 static const uint32_t sizes[SIZES] = { 1000, 10000, 100000, 1000000 };
 
-/* At one size: nanoseconds or bytes of each measurement.  */
+/* What is measured at each size, in nanoseconds or bytes.  */
 typedef enum
 {
   CLAIM_NEW,
@@ -32,13 +33,13 @@
   KEY_BYTES,
   RESERVE_TO_RELEASE,
   SLOT_BYTES,
-  FIGURES
-} figure_t;
+  MEASUREMENTS
+} measurement_t;
 
-static const char *const figure_names[FIGURES]
+static const char *const measurement_names[MEASUREMENTS]
     = { "once_claim_new", "once_claim_repeated", "once_bytes_per_key",
         "handoff_reserve_commit_release", "handoff_bytes_per_slot" };
-static const char *const figure_units[FIGURES]
+static const char *const measurement_units[MEASUREMENTS]
     = { "ns", "ns", "bytes", "ns", "bytes" };
 
 static double
@@ -65,10 +66,10 @@
           now, now / baseline, unit);
 }
 
-/* Digests of real keys are random; a counter spread by a random sequence
-   stands for them, so that SHA-256 is not measured here.  */
+/* Fills in a random digest instead of that of a real key, so that SHA-256 is
+   not measured.  */
 static void
-make_ask (csp_random_t *random, csp_claim_ask_t *ask)
+draw_claim_ask (csp_random_t *random, csp_claim_ask_t *ask)
 {
   uint64_t digest[2] = { csp_random_u64 (random), csp_random_u64 (random) };
 
@@ -90,32 +91,33 @@
   csp_seed_random (&random, seed);
   for (i = 0; i < count; i++)
     {
-      make_ask (&random, &ask);
+      draw_claim_ask (&random, &ask);
       csp_claim_key (once, &ask, 0, WALL_MS, &answer);
     }
   return (now_ns () - start_ns) / count;
 }
 
 static void
-measure_keys (uint32_t size, double figures[FIGURES])
+measure_keys (uint32_t size, double results[MEASUREMENTS])
 {
   csp_once_settings_t settings = csp_default_once_settings ();
   csp_host_ref_t self = { "h", 1 };
-  double heap = heap_bytes ();
+  double heap_before = heap_bytes ();
   csp_once_t *once;
 
   settings.capacity = 2 * size;
   settings.organisation_capacity = 2 * size;
   once = csp_create_once (&settings, &self, 0);
-  figures[CLAIM_NEW] = time_claims (once, 1, size);
-  figures[KEY_BYTES] = (heap_bytes () - heap) / size;
-  figures[CLAIM_REPEATED]
+  results[CLAIM_NEW] = time_claims (once, 1, size);
+  results[KEY_BYTES] = (heap_bytes () - heap_before) / size;
+  results[CLAIM_REPEATED]
       = time_claims (once, 1, size < SAMPLE ? size : SAMPLE);
   csp_destroy_once (once);
 }
 
 static void
-open_slot (csp_slot_table_t *table, uint64_t id, csp_commit_ask_t *commit)
+reserve_and_commit (csp_slot_table_t *table, uint64_t id,
+                    csp_commit_ask_t *commit)
 {
   csp_reserve_ask_t ask = { .ask_id = id, .expected_tokens = 400 };
   csp_reserve_answer_t answer;
@@ -133,10 +135,10 @@
 }
 
 static void
-measure_slots (uint32_t size, double figures[FIGURES])
+measure_slots (uint32_t size, double results[MEASUREMENTS])
 {
   csp_slot_settings_t settings = csp_default_slot_settings ();
-  double heap = heap_bytes ();
+  double heap_before = heap_bytes ();
   csp_slot_table_t *table = csp_create_slot_table (&settings, 1);
   csp_commit_ask_t commit = { 0 };
   csp_release_t release = { 0 };
@@ -144,22 +146,23 @@
   uint32_t i;
 
   for (i = 0; i < size; i++)
-    open_slot (table, i, &commit);
-  figures[SLOT_BYTES] = (heap_bytes () - heap) / size;
+    reserve_and_commit (table, i, &commit);
+  results[SLOT_BYTES] = (heap_bytes () - heap_before) / size;
   start_ns = now_ns ();
   for (i = 0; i < SAMPLE; i++)
     {
-      open_slot (table, (uint64_t)size + i, &commit);
+      reserve_and_commit (table, (uint64_t)size + i, &commit);
       release.ask_id = commit.ask_id;
       release.sender = commit.sender;
       release.nonce = commit.nonce;
       csp_release_slot (table, &release, 0);
     }
-  figures[RESERVE_TO_RELEASE] = (now_ns () - start_ns) / SAMPLE;
+  results[RESERVE_TO_RELEASE] = (now_ns () - start_ns) / SAMPLE;
   csp_destroy_slot_table (table);
 }
 
-/* A whole round at the asker, the hosts answering at once.  */
+/* Returns the nanoseconds that a whole claim round takes at the requesting
+   host when all hosts answer at once.  */
 static double
 time_rounds (uint32_t hosts)
 {
@@ -217,26 +220,26 @@
 int
 main (void)
 {
-  double figures[SIZES][FIGURES];
+  double results[SIZES][MEASUREMENTS];
   double parse_ns = time_parse ();
-  double small_ns = time_rounds (SMALL_ROUND);
+  double small_round_ns = time_rounds (SMALL_ROUND_HOSTS);
   char name[96];
   int f;
   int s;
 
   for (s = 0; s < SIZES; s++)
     {
-      measure_keys (sizes[s], figures[s]);
-      measure_slots (sizes[s], figures[s]);
+      measure_keys (sizes[s], results[s]);
+      measure_slots (sizes[s], results[s]);
     }
-  for (f = 0; f < FIGURES; f++)
+  for (f = 0; f < MEASUREMENTS; f++)
     for (s = 0; s < SIZES; s++)
       {
-        snprintf (name, sizeof name, "%s_%u", figure_names[f], sizes[s]);
-        print_line (name, figures[0][f], figures[s][f], figure_units[f]);
+        snprintf (name, sizeof name, "%s_%u", measurement_names[f], sizes[s]);
+        print_line (name, results[0][f], results[s][f], measurement_units[f]);
       }
   print_line ("once_parse_key", parse_ns, parse_ns, "ns");
-  print_line ("once_round_12_hosts", small_ns, small_ns, "ns");
-  print_line ("once_round_330_hosts", small_ns, time_rounds (330), "ns");
+  print_line ("once_round_12_hosts", small_round_ns, small_round_ns, "ns");
+  print_line ("once_round_330_hosts", small_round_ns, time_rounds (330), "ns");
   return 0;
 }
--- a/bench/order-bench.c
+++ b/bench/order-bench.c
@@ -5,11 +5,12 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-/* What deciding on orders costs a host: one decision for each owned engine and
-   load report, at a host's share of a data centre (36 engines) and at a whole
-   one (430).  settled: every engine is as wanted, the usual second; changed:
-   each also takes a new wanted state, gives an order and sees it done.  The
-   baseline is the smaller size.  */
+/* Measures what deciding on orders costs a host, with one decision for each
+   owned engine and load report: for one host's share of a data centre (36
+   engines) and for a whole data centre (430).  settled: every engine is in its
+   wanted state, the usual case.  changed: each engine also gets a new wanted
+   state, is sent an order and completes it.  The baseline is the smaller size,
+   and for the smaller size with changes its settled case.  */
 
 enum
 {
@@ -24,20 +25,20 @@
 };
 static const csp_wanted_t wanted
     = { .models = models, .model_count = MODELS, .has_role = true };
-static const csp_wanted_t changed
+static const csp_wanted_t changed_wanted
     = { .models = models + 1, .model_count = MODELS - 1, .has_role = true };
 
 typedef struct
 {
   double decision_ns;
-  double engine_bytes;
+  double bytes_per_engine;
 } cost_t;
 
 static cost_t
 time_decisions (size_t engines, bool with_change)
 {
   csp_clock_t clock = csp_system_clock ();
-  csp_order_engine_t **memory = calloc (engines, sizeof *memory);
+  csp_order_engine_t **trackers = calloc (engines, sizeof *trackers);
   csp_order_pace_t pace = { .interval_ms = 1 };
   csp_order_report_t report
       = { .models = models, .model_count = MODELS, .role = "mixed" };
@@ -49,19 +50,20 @@
                               .oldest_stream_ms = INT64_MAX,
                               .report = &report };
   csp_order_action_t action;
-  size_t heap_bytes = mallinfo2 ().uordblks;
+  size_t heap_before = mallinfo2 ().uordblks;
   int64_t start_us;
   cost_t cost;
   size_t i;
   int round;
 
   for (i = 0; i < engines; i++)
-    memory[i] = csp_create_order_engine ();
+    trackers[i] = csp_create_order_engine ();
   start_us = csp_now_us (&clock);
   for (round = 1; round <= ROUNDS; round++)
     {
-      /* Twelve rounds, so that the pauses of the last change have passed.  */
-      facts.wanted = with_change && round / 12 % 2 ? &changed : &wanted;
+      /* The wanted state changes every twelve rounds, so that the pauses after
+         the previous change are over.  */
+      facts.wanted = with_change && round / 12 % 2 ? &changed_wanted : &wanted;
       facts.wanted_revision = with_change ? FENCE + round / 12 : FENCE;
       facts.revision = facts.wanted_revision;
       report.report = (uint64_t)round;
@@ -69,20 +71,20 @@
       report.fence = facts.wanted_revision;
       for (i = 0; i < engines; i++)
         {
-          csp_decide_order (memory[i], &facts, &pace, report.asked_ms,
+          csp_decide_order (trackers[i], &facts, &pace, report.asked_ms,
                             &action);
           if (action.kind == CSP_ORDER_ACT_SEND)
-            csp_handle_order_answer (memory[i], CSP_ORDER_ANSWER_STARTED,
+            csp_handle_order_answer (trackers[i], CSP_ORDER_ANSWER_STARTED,
                                      report.asked_ms);
         }
     }
   cost.decision_ns = (double)(csp_now_us (&clock) - start_us) * NS_PER_US
                      / ROUNDS / (double)engines;
-  cost.engine_bytes
-      = (double)(mallinfo2 ().uordblks - heap_bytes) / (double)engines;
+  cost.bytes_per_engine
+      = (double)(mallinfo2 ().uordblks - heap_before) / (double)engines;
   for (i = 0; i < engines; i++)
-    csp_destroy_order_engine (memory[i]);
-  free (memory);
+    csp_destroy_order_engine (trackers[i]);
+  free (trackers);
   return cost;
 }
 
@@ -96,20 +98,20 @@
 int
 main (void)
 {
-  cost_t share = time_decisions (36, false);
-  cost_t whole = time_decisions (430, false);
-  cost_t share_changed = time_decisions (36, true);
-  cost_t whole_changed = time_decisions (430, true);
+  cost_t one_host = time_decisions (36, false);
+  cost_t whole_data_centre = time_decisions (430, false);
+  cost_t one_host_changed = time_decisions (36, true);
+  cost_t whole_data_centre_changed = time_decisions (430, true);
 
-  print_line ("order-decide-36-settled", share.decision_ns, share.decision_ns,
-              "ns");
-  print_line ("order-decide-430-settled", share.decision_ns, whole.decision_ns,
-              "ns");
-  print_line ("order-decide-36-changed", share.decision_ns,
-              share_changed.decision_ns, "ns");
-  print_line ("order-decide-430-changed", share_changed.decision_ns,
-              whole_changed.decision_ns, "ns");
-  print_line ("order-memory-430", share_changed.engine_bytes,
-              whole_changed.engine_bytes, "bytes-per-engine");
+  print_line ("order-decide-36-settled", one_host.decision_ns,
+              one_host.decision_ns, "ns");
+  print_line ("order-decide-430-settled", one_host.decision_ns,
+              whole_data_centre.decision_ns, "ns");
+  print_line ("order-decide-36-changed", one_host.decision_ns,
+              one_host_changed.decision_ns, "ns");
+  print_line ("order-decide-430-changed", one_host_changed.decision_ns,
+              whole_data_centre_changed.decision_ns, "ns");
+  print_line ("order-memory-430", one_host_changed.bytes_per_engine,
+              whole_data_centre_changed.bytes_per_engine, "bytes-per-engine");
   return 0;
 }
--- a/bench/path.sh
+++ b/bench/path.sh
@@ -1,15 +1,15 @@
 #!/bin/sh
-# What the path through one host costs, against a caller that talks to the
-# same stand-in engine directly: latency at 1, 100 and 800 open streams, and,
-# as slopes over four sizes, processor time for a token and resident memory
-# for a stream.
+# Measures what proxying through one host costs, compared with a caller that
+# connects to the same stand-in engine directly: latency at 1, 100 and 800 open
+# streams, and, as slopes over four numbers of streams, the processor time per
+# token and the resident memory per stream.
 . tests/fleet.sh
 trap 'end_all >&2; rm -rf "$work"' EXIT
 trap 'exit 1' INT TERM
 tokens=100
 clock_ticks=$(getconf CLK_TCK)
 
-line() {
+print_line() {
   awk -v name="$1" -v baseline="$2" -v now="$3" -v unit="$4" 'BEGIN {
     ratio = "-"
     if (baseline > 0)
@@ -18,15 +18,17 @@
       ratio, unit }'
 }
 
-# field NAME FILE: a number of a summary; "unknown" fails the bench later.
-field() {
+# summary_field NAME FILE: prints a number of the caller's summary, or an empty
+# line when the summary has "unknown" instead.
+summary_field() {
   sed -n "s/.*\\b$1=\\([0-9]*\\).*/\\1/p" "$2"
 }
 
-# streams COUNT FILE PROCESS OPTION...: open that many streams side by side.
-# Starts lie 3 ms apart, so that the first tokens aren't measured in a burst
-# that no balancer would send.
-streams() {
+# run_streams COUNT FILE PROCESS OPTION...: opens COUNT concurrent streams to
+# PROCESS and writes the caller's summary to FILE.  Streams start 3 ms apart,
+# since a load balancer wouldn't send them all in one burst.  For a COUNT of 1
+# two streams run one after the other.
+run_streams() {
   count=$1
   file=$2
   shift 2
@@ -34,14 +36,14 @@
   [ "$count" = 1 ] && repeat=2
   call "$@" --tokens $tokens --repeat "$repeat" \
     --stagger-ms "$([ "$count" = 1 ] && echo 5000 || echo 3)" >"$file"
-  if [ "$(field complete "$file")" != "$repeat" ]; then
+  if [ "$(summary_field complete "$file")" != "$repeat" ]; then
     echo "not all of $count streams were complete: $(cat "$file")" >&2
     exit 1
   fi
 }
 
-# Clock ticks that a process has used, in user and system mode.
-ticks_of() {
+# cpu_ticks PROCESS: prints its clock ticks in user and system mode.
+cpu_ticks() {
   sed 's/.*) //' "/proc/$(pid_of "$1")/stat" | awk '{ print $12 + $13 }'
 }
 
@@ -49,11 +51,11 @@
   sed -n 's/^VmRSS:[^0-9]*\([0-9]*\).*/\1/p' "/proc/$(pid_of "$1")/status"
 }
 
-engine_runs() {
+engine_has_running() {
   request e1 GET /v1/load | grep -q "\"running\":$1,"
 }
 
-# slope FILE: least squares over lines "x y".
+# slope FILE: prints the least-squares slope over lines "x y".
 slope() {
   awk '{ n++; x += $1; y += $2; xx += $1 * $1; xy += $1 * $2 }
     END { printf "%.4f", (n * xy - x * y) / (n * xx - x * x) }' "$1"
@@ -71,25 +73,26 @@
 wait_until 10 revision_is h1 "$config_revision"
 
 for count in 1 100 800; do
-  streams $count "$work/direct" e1 --direct
-  streams $count "$work/path" h1
+  run_streams $count "$work/direct" e1 --direct
+  run_streams $count "$work/path" h1
   for measure in first_p50 first_p99 gap_p50 gap_p99; do
-    line "path.$measure.streams_$count" "$(field ${measure}_us "$work/direct")" \
-      "$(field ${measure}_us "$work/path")" us
+    print_line "path.$measure.streams_$count" \
+      "$(summary_field ${measure}_us "$work/direct")" \
+      "$(summary_field ${measure}_us "$work/path")" us
   done
 done
 
 : >"$work/cpu"
 : >"$work/memory"
 for count in 100 200 400 800; do
-  before=$(ticks_of h1)
+  before=$(cpu_ticks h1)
   call_later load h1 --tokens $tokens --repeat $count --stagger-ms 3
-  wait_until 30 engine_runs $count
+  wait_until 30 engine_has_running $count
   echo "$count $(resident_kb h1)" >>"$work/memory"
   finish load >"$work/load"
-  after=$(ticks_of h1)
+  after=$(cpu_ticks h1)
   echo "$((count * tokens)) $(((after - before) * 1000000 / clock_ticks))" \
     >>"$work/cpu"
 done
-line path.cpu_per_token - "$(slope "$work/cpu")" us
-line path.memory_per_stream - "$(slope "$work/memory")" kB
+print_line path.cpu_per_token - "$(slope "$work/cpu")" us
+print_line path.memory_per_stream - "$(slope "$work/memory")" kB
--- a/bench/quarantine-bench.c
+++ b/bench/quarantine-bench.c
@@ -5,14 +5,15 @@
 #include <stdlib.h>
 #include <time.h>
 
-/* What requests under which targets end cost all others: the fingerprint of
-   each request, and the look whether it is held.  baseline is none suspected,
-   or a body of a kilobyte.  */
+/* Measures what the quarantine of requests that crash targets costs every
+   other request: the fingerprint, and the look-up whether the fingerprint is
+   quarantined.  The baseline is a body of one kilobyte for the fingerprint and
+   an empty table for the look-up.  */
 
 enum
 {
   BODY_BYTES_MAX = 65536,
-  TIMES = 2000,
+  REPEATS = 2000,
   NS_PER_S = 1000000000
 };
 
@@ -26,7 +27,7 @@
 }
 
 static double
-fingerprint_ns (const char *body, size_t body_bytes)
+time_fingerprint_ns (const char *body, size_t body_bytes)
 {
   const csp_request_identity_t identity = { .method = "POST",
                                             .host = "h",
@@ -34,33 +35,34 @@
                                             .organisation = "org",
                                             .body = body,
                                             .body_bytes = body_bytes };
-  int64_t began_ns = now_ns ();
+  int64_t start_ns = now_ns ();
   int i;
 
-  for (i = 0; i < TIMES; i++)
+  for (i = 0; i < REPEATS; i++)
     csp_fingerprint_request (&identity);
-  return (double)(now_ns () - began_ns) / TIMES;
+  return (double)(now_ns () - start_ns) / REPEATS;
 }
 
-/* A look at a request that isn't among so many suspects.  */
+/* Returns the nanoseconds of looking up a request that isn't in a table of
+   that many suspects.  */
 static double
-look_ns (uint64_t suspects)
+time_lookup_ns (uint64_t suspects)
 {
   csp_quarantine_t *quarantine = csp_create_quarantine ();
   uint64_t i;
-  int64_t began_ns;
-  double took_ns;
+  int64_t start_ns;
+  double elapsed_ns;
 
   if (quarantine == NULL)
     abort ();
   for (i = 1; i <= suspects; i++)
     csp_strike_request (quarantine, i, 1, 1);
-  began_ns = now_ns ();
-  for (i = 0; i < TIMES; i++)
+  start_ns = now_ns ();
+  for (i = 0; i < REPEATS; i++)
     csp_quarantine_left_ms (quarantine, CSP_SUSPECTS_MAX + i + 1, 2);
-  took_ns = (double)(now_ns () - began_ns) / TIMES;
+  elapsed_ns = (double)(now_ns () - start_ns) / REPEATS;
   csp_destroy_quarantine (quarantine);
-  return took_ns;
+  return elapsed_ns;
 }
 
 static void
@@ -74,18 +76,20 @@
 main (void)
 {
   char *body = calloc (1, BODY_BYTES_MAX);
-  double small_ns;
-  double none_ns;
+  double kilobyte_body_ns;
+  double no_suspects_ns;
 
   if (body == NULL)
     return 1;
-  small_ns = fingerprint_ns (body, 1024);
-  none_ns = look_ns (0);
-  print_result ("fingerprint-13kB", small_ns, fingerprint_ns (body, 13000));
-  print_result ("fingerprint-64kB", small_ns,
-                fingerprint_ns (body, BODY_BYTES_MAX));
-  print_result ("quarantine-look-64", none_ns, look_ns (64));
-  print_result ("quarantine-look-1024", none_ns, look_ns (CSP_SUSPECTS_MAX));
+  kilobyte_body_ns = time_fingerprint_ns (body, 1024);
+  no_suspects_ns = time_lookup_ns (0);
+  print_result ("fingerprint-13kB", kilobyte_body_ns,
+                time_fingerprint_ns (body, 13000));
+  print_result ("fingerprint-64kB", kilobyte_body_ns,
+                time_fingerprint_ns (body, BODY_BYTES_MAX));
+  print_result ("quarantine-look-64", no_suspects_ns, time_lookup_ns (64));
+  print_result ("quarantine-look-1024", no_suspects_ns,
+                time_lookup_ns (CSP_SUSPECTS_MAX));
   free (body);
   return 0;
 }
--- a/bench/results.c
+++ b/bench/results.c
@@ -3,22 +3,22 @@
 #include <math.h>
 #include <stdlib.h>
 
-static const double gap_step = 1.02;
+static const double gap_bucket_ratio = 1.02;
 
 double
 gap_quantile_ms (const gaps_t *gaps, double quantile)
 {
-  uint64_t goal = (uint64_t)((double)gaps->total * quantile);
-  uint64_t seen = 0;
+  uint64_t rank = (uint64_t)((double)gaps->total * quantile);
+  uint64_t cumulative = 0;
   uint32_t i;
 
   for (i = 0; i < GAP_BUCKETS; i++)
     {
-      seen += gaps->counts[i];
-      if (seen > goal)
+      cumulative += gaps->counts[i];
+      if (cumulative > rank)
         break;
     }
-  return pow (gap_step, i) * 10;
+  return pow (gap_bucket_ratio, i) * 10;
 }
 
 static int
@@ -31,7 +31,7 @@
 }
 
 static double
-quantile_of (double *values, uint64_t count, double quantile)
+find_quantile (double *values, uint64_t count, double quantile)
 {
   if (count == 0)
     return 0;
@@ -42,19 +42,20 @@
 double
 first_quantile_s (outcome_t *outcome, double quantile)
 {
-  return quantile_of (outcome->first_s, outcome->first_count, quantile);
+  return find_quantile (outcome->first_token_s, outcome->first_count,
+                        quantile);
 }
 
 double
 wait_quantile_s (outcome_t *outcome, double quantile)
 {
-  return quantile_of (outcome->wait_s, outcome->first_count, quantile);
+  return find_quantile (outcome->wait_s, outcome->first_count, quantile);
 }
 
 static void
 free_outcome (outcome_t *outcome)
 {
-  free (outcome->first_s);
+  free (outcome->first_token_s);
   free (outcome->wait_s);
 }
 
@@ -65,7 +66,7 @@
 
   free_outcome (&results->all);
   free_outcome (&results->returned);
-  free_outcome (&results->small);
+  free_outcome (&results->small_organisations);
   for (i = 0; i < CLASS_COUNT; i++)
     free_outcome (&results->classes[i]);
   for (i = 0; i < ORGANISATIONS; i++)
@@ -73,11 +74,11 @@
 }
 
 static void
-count_outcome (outcome_t *outcome, const request_t *request)
+add_to_outcome (outcome_t *outcome, const request_t *request)
 {
-  if (outcome->first_s == NULL)
+  if (outcome->first_token_s == NULL)
     {
-      outcome->first_s = calloc (400000, sizeof (double));
+      outcome->first_token_s = calloc (400000, sizeof (double));
       outcome->wait_s = calloc (400000, sizeof (double));
     }
   outcome->requests++;
@@ -85,19 +86,20 @@
   outcome->refused += request->phase == REQUEST_REFUSED;
   outcome->given_up += request->phase == REQUEST_GIVEN_UP;
   outcome->lost += request->phase == REQUEST_LOST;
-  outcome->preemptions += request->preempted;
-  outcome->given_way += request->given_way;
-  outcome->preempted += request->preempted != 0;
+  outcome->preemptions += request->engine_preemptions;
+  outcome->requeued += request->requeued_count;
+  outcome->preempted += request->engine_preemptions != 0;
   outcome->stall_s += (double)request->stall_us / 1e6;
   outcome->tokens += request->made_tokens;
-  if (request->first_us == 0 || outcome->first_count >= 400000)
+  if (request->first_token_us == 0 || outcome->first_count >= 400000)
     return;
   outcome->started++;
-  outcome->prefill_s += (double)(request->first_us - request->sent_us) / 1e6;
+  outcome->prefill_s
+      += (double)(request->first_token_us - request->sent_us) / 1e6;
   outcome->wait_s[outcome->first_count]
       = (double)(request->sent_us - request->arrive_us) / 1e6;
-  outcome->first_s[outcome->first_count++]
-      = (double)(request->first_us - request->arrive_us) / 1e6;
+  outcome->first_token_s[outcome->first_count++]
+      = (double)(request->first_token_us - request->arrive_us) / 1e6;
 }
 
 static void
@@ -111,13 +113,13 @@
 }
 
 static bool
-was_sent_to_returned (const fleet_t *fleet, const request_t *request)
+was_sent_after_return (const fleet_t *fleet, const request_t *request)
 {
-  int64_t since_us = fleet->play->lost_until_us;
+  int64_t returned_us = fleet->settings->lost_until_us;
 
-  return since_us != 0 && request->engine == fleet->play->slow_engine
-         && request->sent_us >= since_us
-         && request->sent_us < since_us + RETURN_US;
+  return returned_us != 0 && request->engine == fleet->settings->slow_engine
+         && request->sent_us >= returned_us
+         && request->sent_us < returned_us + AFTER_RETURN_US;
 }
 
 void
@@ -130,16 +132,17 @@
   for (i = 0; i < fleet->request_count; i++)
     {
       request = &fleet->requests[i];
-      count_outcome (&results->all, request);
-      count_outcome (&results->classes[request->class_index], request);
-      count_outcome (&results->organisations[request->organisation], request);
+      add_to_outcome (&results->all, request);
+      add_to_outcome (&results->classes[request->class_index], request);
+      add_to_outcome (&results->organisations[request->organisation], request);
       if (request->organisation >= FIRST_SMALL)
-        count_outcome (&results->small, request);
-      if (was_sent_to_returned (fleet, request))
-        count_outcome (&results->returned, request);
+        add_to_outcome (&results->small_organisations, request);
+      if (was_sent_after_return (fleet, request))
+        add_to_outcome (&results->returned, request);
     }
   for (i = 0; i < CLASS_COUNT; i++)
     add_gaps (&results->all.gaps, &results->classes[i].gaps);
   for (i = FIRST_SMALL; i < ORGANISATIONS; i++)
-    add_gaps (&results->small.gaps, &results->organisations[i].gaps);
+    add_gaps (&results->small_organisations.gaps,
+              &results->organisations[i].gaps);
 }
