--- a/tests/standin/caller-answer.c
+++ b/tests/standin/caller-answer.c
@@ -17,32 +17,32 @@
 answer_free (answer_t *answer)
 {
   free (answer->text);
-  free (answer->line);
-  free (answer->gaps_us);
+  free (answer->partial_line);
+  free (answer->intervals_us);
 }
 
 static void
 append (char **text, size_t *used, const char *data, size_t size_bytes)
 {
-  char *longer = realloc (*text, *used + size_bytes + 1);
+  char *grown = realloc (*text, *used + size_bytes + 1);
 
-  if (longer == NULL)
+  if (grown == NULL)
     abort ();
-  memcpy (longer + *used, data, size_bytes);
+  memcpy (grown + *used, data, size_bytes);
   *used += size_bytes;
-  longer[*used] = '\0';
-  *text = longer;
+  grown[*used] = '\0';
+  *text = grown;
 }
 
 static void
-set_name (char name[ANSWER_NAME_BYTES], const char *value)
+copy_name (char name[ANSWER_NAME_BYTES], const char *value)
 {
   snprintf (name, ANSWER_NAME_BYTES, "%s", value);
 }
 
-/* Compare one token with the one that must follow.  */
+/* Compare a token with the expected next one and count what differs.  */
 static void
-count_token (answer_t *answer, const char *token)
+check_token (answer_t *answer, const char *token)
 {
   char mark[ANSWER_NAME_BYTES];
   long long index;
@@ -52,7 +52,7 @@
     return;
   if (strcmp (mark, answer->mark) != 0)
     answer->generations++;
-  set_name (answer->mark, mark);
+  copy_name (answer->mark, mark);
   if (index < answer->next_index)
     answer->duplicates++;
   else if (index > answer->next_index)
@@ -61,7 +61,7 @@
 }
 
 static void
-count_tokens_of (answer_t *answer, const char *text)
+check_tokens (answer_t *answer, const char *text)
 {
   char *copy = strdup (text);
   char *rest = NULL;
@@ -69,12 +69,12 @@
 
   for (token = strtok_r (copy, " ", &rest); token != NULL;
        token = strtok_r (NULL, " ", &rest))
-    count_token (answer, token);
+    check_token (answer, token);
   free (copy);
 }
 
 static void
-note_time (answer_t *answer)
+record_token_time (answer_t *answer)
 {
   int64_t now_us = standin_now_us ();
 
@@ -82,22 +82,26 @@
     answer->first_us = now_us - answer->start_us;
   else
     {
-      if (answer->gap_count == answer->gap_room)
+      if (answer->interval_count == answer->interval_capacity)
         {
-          answer->gap_room = answer->gap_room == 0 ? 64 : 2 * answer->gap_room;
-          answer->gaps_us = realloc (
-              answer->gaps_us, answer->gap_room * sizeof *answer->gaps_us);
-          if (answer->gaps_us == NULL)
+          answer->interval_capacity = answer->interval_capacity == 0
+                                          ? 64
+                                          : 2 * answer->interval_capacity;
+          answer->intervals_us = realloc (answer->intervals_us,
+                                          answer->interval_capacity
+                                              * sizeof *answer->intervals_us);
+          if (answer->intervals_us == NULL)
             abort ();
         }
-      answer->gaps_us[answer->gap_count++] = now_us - answer->last_us;
+      answer->intervals_us[answer->interval_count++]
+          = now_us - answer->last_us;
     }
   answer->last_us = now_us;
 }
 
-/* The text of a choice: of a completion, a chat message or a chat delta.  */
+/* The text of a choice in a completion, a chat message or a chat delta.  */
 static const char *
-text_of_choice (json_object *choice)
+get_choice_text (json_object *choice)
 {
   json_object *part;
 
@@ -108,7 +112,7 @@
 }
 
 static json_object *
-first_choice (json_object *json)
+get_first_choice (json_object *json)
 {
   json_object *choices;
 
@@ -126,10 +130,10 @@
   if (!json_object_object_get_ex (json, "error", &error)
       || !json_object_is_type (error, json_type_object))
     return;
-  /* An engine says it in a header alone, which was read before.  */
-  set_name (answer->verdict,
-            standin_json_string (error, "verdict", answer->verdict));
-  set_name (answer->reason, standin_json_string (error, "code", ""));
+  /* An engine sends its verdict only as a header, which was read before.  */
+  copy_name (answer->verdict,
+             standin_json_string (error, "verdict", answer->verdict));
+  copy_name (answer->reason, standin_json_string (error, "code", ""));
   answer->retry_after_ms = standin_json_number (error, "retry_after_ms", 0);
   answer->end = END_ERROR;
 }
@@ -149,15 +153,15 @@
   json = json_tokener_parse (data);
   if (answer->error_event)
     read_error (answer, json);
-  choice = json == NULL ? NULL : first_choice (json);
-  text = choice == NULL ? "" : text_of_choice (choice);
+  choice = json == NULL ? NULL : get_first_choice (json);
+  text = choice == NULL ? "" : get_choice_text (choice);
   if (choice != NULL)
-    set_name (answer->finish,
-              standin_json_string (choice, "finish_reason", ""));
+    copy_name (answer->finish_reason,
+               standin_json_string (choice, "finish_reason", ""));
   if (*text != '\0')
     {
-      note_time (answer);
-      count_tokens_of (answer, text);
+      record_token_time (answer);
+      check_tokens (answer, text);
       append (&answer->text, &answer->text_bytes, text, strlen (text));
     }
   json_object_put (json);
@@ -181,13 +185,16 @@
 {
   char *end;
 
-  append (&answer->line, &answer->line_bytes, data, size_bytes);
-  while ((end = memchr (answer->line, '\n', answer->line_bytes)) != NULL)
+  append (&answer->partial_line, &answer->partial_line_bytes, data,
+          size_bytes);
+  while (
+      (end = memchr (answer->partial_line, '\n', answer->partial_line_bytes))
+      != NULL)
     {
       *end = '\0';
-      read_line (answer, answer->line);
-      answer->line_bytes -= (size_t)(end + 1 - answer->line);
-      memmove (answer->line, end + 1, answer->line_bytes + 1);
+      read_line (answer, answer->partial_line);
+      answer->partial_line_bytes -= (size_t)(end + 1 - answer->partial_line);
+      memmove (answer->partial_line, end + 1, answer->partial_line_bytes + 1);
     }
 }
 
@@ -198,22 +205,22 @@
 }
 
 void
-answer_finish_body (answer_t *answer, bool count_tokens)
+answer_finish_body (answer_t *answer, bool is_generation)
 {
   json_object *json
       = answer->text == NULL ? NULL : json_tokener_parse (answer->text);
-  json_object *choice = json == NULL ? NULL : first_choice (json);
+  json_object *choice = json == NULL ? NULL : get_first_choice (json);
 
   if (json != NULL && answer->status >= 400)
     read_error (answer, json);
-  if (choice != NULL && count_tokens)
+  if (choice != NULL && is_generation)
     {
-      char *text = strdup (text_of_choice (choice));
+      char *text = strdup (get_choice_text (choice));
 
-      set_name (answer->finish,
-                standin_json_string (choice, "finish_reason", ""));
-      note_time (answer);
-      count_tokens_of (answer, text);
+      copy_name (answer->finish_reason,
+                 standin_json_string (choice, "finish_reason", ""));
+      record_token_time (answer);
+      check_tokens (answer, text);
       free (answer->text);
       answer->text = text;
       answer->text_bytes = strlen (text);
--- a/tests/standin/caller-answer.h
+++ b/tests/standin/caller-answer.h
@@ -12,16 +12,17 @@
 
 typedef enum
 {
-  END_NONE, /* no answer at all */
-  END_DONE, /* [DONE], or a whole answer with status 200 */
-  END_ERROR,
-  END_CUT,
-  END_HUNG_UP
+  END_NONE,   /* no response */
+  END_DONE,   /* [DONE], or a complete body with a status below 400 */
+  END_ERROR,  /* an error status or event, or no connection */
+  END_CUT,    /* the response broke off */
+  END_HUNG_UP /* closed by the caller itself (--hang-up-after) */
 } answer_end_t;
 
-/* What came back for one request and what is wrong with it.  Tokens of the
-   stand-in engine read "w17.MARK ", where MARK names the generation, so a
-   doubled, missing or foreign token shows in the text alone.  */
+/* The response to one request and the faults found in it.  A token of the
+   stand-in engine has the text "w17.MARK ", where 17 is its index and MARK
+   identifies the generation, so that the text alone shows a duplicate, missing
+   or foreign token.  */
 typedef struct
 {
   int64_t status;
@@ -29,44 +30,45 @@
   char verdict[ANSWER_NAME_BYTES];
   char reason[ANSWER_NAME_BYTES];
   char request_id[ANSWER_NAME_BYTES];
-  char finish[ANSWER_NAME_BYTES];
-  int64_t retry_after_s;  /* the header; -1 without */
+  char finish_reason[ANSWER_NAME_BYTES];
+  int64_t retry_after_s;  /* of the header; -1 when absent */
   int64_t retry_after_ms; /* of the error's JSON */
   int64_t tokens;
   int64_t duplicates;
-  int64_t gaps;
-  int64_t generations;
-  int64_t next_index;
-  char mark[ANSWER_NAME_BYTES];
-  char *text; /* all text or, without tokens, the whole body */
+  int64_t gaps;        /* places where tokens are missing */
+  int64_t generations; /* changes of the mark, the first one included */
+  int64_t next_index;  /* expected of the next token */
+  char mark[ANSWER_NAME_BYTES]; /* of the last token */
+  char *text; /* of all tokens or, without tokens, the body */
   size_t text_bytes;
-  char *line; /* an unfinished line of the stream */
-  size_t line_bytes;
-  bool error_event;
-  bool done;
+  char *partial_line; /* its end isn't received yet */
+  size_t partial_line_bytes;
+  bool error_event; /* "event: error" received */
+  bool done;        /* [DONE] received */
   int64_t start_us;
-  int64_t first_us; /* from the start to the first token; -1 without */
-  int64_t last_us;
-  int64_t *gaps_us; /* between tokens */
-  size_t gap_count;
-  size_t gap_room;
+  int64_t first_us;      /* from start_us to the first token; -1 without one */
+  int64_t last_us;       /* when the last token was received */
+  int64_t *intervals_us; /* times between tokens */
+  size_t interval_count;
+  size_t interval_capacity;
 } answer_t;
 
 void answer_init (answer_t *answer);
 void answer_free (answer_t *answer);
 
-/* Take the next bytes of an event stream.  */
+/* Parse the next bytes of an event stream.  */
 void answer_read_stream (answer_t *answer, const char *data,
                          size_t size_bytes);
 
-/* Take the next bytes of a body that is no event stream.  */
+/* Append the next bytes of a body that isn't an event stream.  */
 void answer_read_body (answer_t *answer, const char *data, size_t size_bytes);
 
-/* Look at a body that is whole: an error's JSON or a whole answer.  */
-void answer_finish_body (answer_t *answer, bool count_tokens);
+/* Parse a complete body that isn't an event stream: the JSON of an error or,
+   with is_generation, of a generation's answer, whose tokens are checked.  */
+void answer_finish_body (answer_t *answer, bool is_generation);
 
-/* True when all tokens came once, in order, from one generation, and the
-   answer has its clean end.  */
+/* True when every token was received once, in order and from one generation,
+   and the answer ended without an error.  */
 bool answer_is_complete (const answer_t *answer);
 
 #endif
--- a/tests/standin/caller-call.c
+++ b/tests/standin/caller-call.c
@@ -14,10 +14,10 @@
 {
   HEADER_BYTES = 256,
   URL_BYTES = 512,
-  LONGEST_WAIT_MS = 300,
-  READY_LIMIT_MS = 500,
-  READY_TRIES = 60,
-  READY_PAUSE_MS = 20
+  MAX_RETRY_WAIT_MS = 300,
+  READY_TIMEOUT_MS = 500,
+  MAX_READY_PROBES = 60,
+  READY_POLL_MS = 20
 };
 
 typedef struct
@@ -51,7 +51,7 @@
 }
 
 static size_t
-take_header (char *data, size_t size, size_t count, void *state)
+receive_header (char *data, size_t size, size_t count, void *state)
 {
   call_t *call = state;
   answer_t *answer = call->answer;
@@ -69,13 +69,13 @@
 }
 
 static size_t
-take_body (char *data, size_t size, size_t count, void *state)
+receive_body (char *data, size_t size, size_t count, void *state)
 {
   call_t *call = state;
   const caller_options_t *options = call->options;
 
-  if (options->slow_ms > 0)
-    sleep_ms (options->slow_ms);
+  if (options->read_delay_ms > 0)
+    sleep_ms (options->read_delay_ms);
   if (call->stream)
     answer_read_stream (call->answer, data, size * count);
   else
@@ -137,7 +137,7 @@
   return list;
 }
 
-/* The usual body of a generation.  */
+/* The body of a generation request, built from the options.  */
 static char *
 make_body (const caller_options_t *options)
 {
@@ -165,7 +165,7 @@
     json_object_object_add (body, "max_tokens",
                             json_object_new_int64 (options->max_tokens));
   json_object_object_add (body, "stream",
-                          json_object_new_boolean (!options->whole));
+                          json_object_new_boolean (!options->not_streamed));
   text = strdup (json_object_to_json_string_ext (body, STANDIN_JSON_STYLE));
   json_object_put (body);
   json_object_put (messages);
@@ -174,7 +174,7 @@
 }
 
 static char *
-make_filler (size_t size_bytes)
+make_filler_body (size_t size_bytes)
 {
   char *body = malloc (size_bytes + 1);
 
@@ -215,17 +215,17 @@
     }
   if (options->method != NULL)
     curl_easy_setopt (curl, CURLOPT_CUSTOMREQUEST, options->method);
-  curl_easy_setopt (curl, CURLOPT_TIMEOUT_MS, (long)options->limit_ms);
+  curl_easy_setopt (curl, CURLOPT_TIMEOUT_MS, (long)options->timeout_ms);
   curl_easy_setopt (curl, CURLOPT_NOSIGNAL, 1L);
   curl_easy_setopt (curl, CURLOPT_HTTP_VERSION, CURL_HTTP_VERSION_1_1);
   curl_easy_setopt (curl, CURLOPT_PROXY, "");
-  curl_easy_setopt (curl, CURLOPT_WRITEFUNCTION, take_body);
-  curl_easy_setopt (curl, CURLOPT_HEADERFUNCTION, take_header);
+  curl_easy_setopt (curl, CURLOPT_WRITEFUNCTION, receive_body);
+  curl_easy_setopt (curl, CURLOPT_HEADERFUNCTION, receive_header);
 }
 
-/* How the answer ended, once curl is done with it.  */
+/* Set how the answer ended, from the result of the transfer.  */
 static void
-settle_end (call_t *call, CURLcode result)
+classify_end (call_t *call, CURLcode result)
 {
   answer_t *answer = call->answer;
 
@@ -254,21 +254,22 @@
   call_t call = { options, answer, false };
   int64_t port = options->ports[(number + try_number) % options->port_count];
   int64_t attempt
-      = options->attempt > 0 || options->tries > 1
+      = options->attempt > 0 || options->max_tries > 1
             ? (options->attempt > 0 ? options->attempt : 1) + try_number
             : 0;
   struct curl_slist *headers = make_headers (options, number, attempt);
-  char *usual = options->body_bytes > 0
-                    ? make_filler ((size_t)options->body_bytes)
-                : is_generation (options) ? make_body (options)
-                                          : NULL;
+  char *generated_body = options->body_bytes > 0
+                             ? make_filler_body ((size_t)options->body_bytes)
+                         : is_generation (options) ? make_body (options)
+                                                   : NULL;
   CURL *curl = curl_easy_init ();
   char url[URL_BYTES];
   CURLcode result;
   long status = 0;
 
   make_url (options, port, url);
-  set_request (curl, options, options->body != NULL ? options->body : usual);
+  set_request (curl, options,
+               options->body != NULL ? options->body : generated_body);
   curl_easy_setopt (curl, CURLOPT_URL, url);
   curl_easy_setopt (curl, CURLOPT_HTTPHEADER, headers);
   curl_easy_setopt (curl, CURLOPT_WRITEDATA, &call);
@@ -277,63 +278,67 @@
   result = curl_easy_perform (curl);
   curl_easy_getinfo (curl, CURLINFO_RESPONSE_CODE, &status);
   answer->status = status;
-  settle_end (&call, result);
+  classify_end (&call, result);
   curl_easy_cleanup (curl);
   curl_slist_free_all (headers);
-  free (usual);
+  free (generated_body);
 }
 
-/* What the platform's balancer does: pass by a host that isn't ready.  */
+/* The first try number, beginning with try_number, whose port answers /ready
+   with 200.  This is how the platform's load balancer skips a host that isn't
+   ready.  Without a ready host it is the last one probed.  */
 static int64_t
-find_ready_try (const caller_options_t *options, int64_t number,
-                int64_t try_number)
+find_ready_try_number (const caller_options_t *options, int64_t number,
+                       int64_t try_number)
 {
   caller_options_t probe = *options;
   answer_t answer;
-  int64_t tries;
+  int64_t probes;
   bool ready = false;
 
   probe.path = "/ready";
   probe.method = "GET";
   probe.body = NULL;
-  probe.limit_ms = READY_LIMIT_MS;
-  for (tries = 0; tries < READY_TRIES && !ready; tries++)
+  probe.timeout_ms = READY_TIMEOUT_MS;
+  for (probes = 0; probes < MAX_READY_PROBES && !ready; probes++)
     {
       answer_init (&answer);
-      caller_send (&probe, number, try_number + tries, &answer);
+      caller_send (&probe, number, try_number + probes, &answer);
       ready = answer.status == 200;
       answer_free (&answer);
-      if (!ready && tries % options->port_count == options->port_count - 1)
-        sleep_ms (READY_PAUSE_MS);
+      if (!ready && probes % options->port_count == options->port_count - 1)
+        sleep_ms (READY_POLL_MS);
     }
-  return try_number + tries - 1;
+  return try_number + probes - 1;
 }
 
-/* A request may be sent again where nothing ran: the answer says so, or no
-   connection was made.  */
+/* True when the request was not executed, so that a retry is safe: the answer
+   has the verdict "not run", or no connection was made.  */
 static bool
-may_come_back (const answer_t *answer)
+may_retry (const answer_t *answer)
 {
   return answer->end == END_ERROR && strcmp (answer->verdict, "not run") == 0;
 }
 
 void
-caller_run (const caller_options_t *options, int64_t number, answer_t *answer)
+caller_send_with_retries (const caller_options_t *options, int64_t number,
+                          answer_t *answer)
 {
   int64_t try_number;
-  int64_t chosen;
+  int64_t chosen_try;
   int64_t wait_ms;
 
   for (try_number = 0;; try_number++)
     {
-      chosen = options->balanced ? find_ready_try (options, number, try_number)
-                                 : try_number;
+      chosen_try = options->balanced
+                       ? find_ready_try_number (options, number, try_number)
+                       : try_number;
       answer_init (answer);
-      caller_send (options, number, chosen, answer);
-      if (try_number + 1 >= options->tries || !may_come_back (answer))
+      caller_send (options, number, chosen_try, answer);
+      if (try_number + 1 >= options->max_tries || !may_retry (answer))
         return;
       wait_ms = answer->retry_after_ms;
       answer_free (answer);
-      sleep_ms (wait_ms < LONGEST_WAIT_MS ? wait_ms : LONGEST_WAIT_MS);
+      sleep_ms (wait_ms < MAX_RETRY_WAIT_MS ? wait_ms : MAX_RETRY_WAIT_MS);
     }
 }
--- a/tests/standin/caller-options.c
+++ b/tests/standin/caller-options.c
@@ -9,75 +9,76 @@
 
 typedef enum
 {
-  TAKES_NUMBER,
-  TAKES_TEXT,
-  TAKES_FLAG
-} takes_t;
+  VALUE_NUMBER,
+  VALUE_TEXT,
+  VALUE_NONE
+} value_kind_t;
 
 typedef struct
 {
   const char *name;
-  takes_t takes;
+  value_kind_t kind;
   size_t offset;
-} row_t;
+} option_row_t;
 
-#define ROW(name, takes, member)                                              \
+#define OPTION_ROW(name, kind, member)                                        \
   {                                                                           \
-    name, takes, offsetof (caller_options_t, member)                          \
+    name, kind, offsetof (caller_options_t, member)                           \
   }
 
-static const row_t rows[] = {
-  ROW ("key", TAKES_TEXT, key),
-  ROW ("model", TAKES_TEXT, model),
-  ROW ("prompt", TAKES_TEXT, prompt),
-  ROW ("tokens", TAKES_NUMBER, tokens),
-  ROW ("max-tokens", TAKES_NUMBER, max_tokens),
-  ROW ("chat", TAKES_FLAG, chat),
-  ROW ("whole", TAKES_FLAG, whole),
-  ROW ("direct", TAKES_FLAG, direct),
-  ROW ("generation-id", TAKES_TEXT, generation_id),
-  ROW ("service", TAKES_TEXT, service),
-  ROW ("path", TAKES_TEXT, path),
-  ROW ("method", TAKES_TEXT, method),
-  ROW ("body", TAKES_TEXT, body),
-  ROW ("body-bytes", TAKES_NUMBER, body_bytes),
-  ROW ("idempotency-key", TAKES_TEXT, idempotency_key),
-  ROW ("non-idempotent", TAKES_FLAG, non_idempotent),
-  ROW ("class", TAKES_TEXT, class_name),
-  ROW ("deadline-ms", TAKES_NUMBER, deadline_ms),
-  ROW ("attempt", TAKES_NUMBER, attempt),
-  ROW ("tries", TAKES_NUMBER, tries),
-  ROW ("balanced", TAKES_FLAG, balanced),
-  ROW ("hang-up-after", TAKES_NUMBER, hang_up_after),
-  ROW ("slow-ms", TAKES_NUMBER, slow_ms),
-  ROW ("limit-ms", TAKES_NUMBER, limit_ms),
-  ROW ("text", TAKES_FLAG, text),
-  ROW ("show-body", TAKES_FLAG, show_body),
-  ROW ("repeat", TAKES_NUMBER, repeat),
-  ROW ("stagger-ms", TAKES_NUMBER, stagger_ms),
+static const option_row_t option_rows[] = {
+  OPTION_ROW ("key", VALUE_TEXT, key),
+  OPTION_ROW ("model", VALUE_TEXT, model),
+  OPTION_ROW ("prompt", VALUE_TEXT, prompt),
+  OPTION_ROW ("tokens", VALUE_NUMBER, tokens),
+  OPTION_ROW ("max-tokens", VALUE_NUMBER, max_tokens),
+  OPTION_ROW ("chat", VALUE_NONE, chat),
+  OPTION_ROW ("whole", VALUE_NONE, not_streamed),
+  OPTION_ROW ("direct", VALUE_NONE, direct),
+  OPTION_ROW ("generation-id", VALUE_TEXT, generation_id),
+  OPTION_ROW ("service", VALUE_TEXT, service),
+  OPTION_ROW ("path", VALUE_TEXT, path),
+  OPTION_ROW ("method", VALUE_TEXT, method),
+  OPTION_ROW ("body", VALUE_TEXT, body),
+  OPTION_ROW ("body-bytes", VALUE_NUMBER, body_bytes),
+  OPTION_ROW ("idempotency-key", VALUE_TEXT, idempotency_key),
+  OPTION_ROW ("non-idempotent", VALUE_NONE, non_idempotent),
+  OPTION_ROW ("class", VALUE_TEXT, class_name),
+  OPTION_ROW ("deadline-ms", VALUE_NUMBER, deadline_ms),
+  OPTION_ROW ("attempt", VALUE_NUMBER, attempt),
+  OPTION_ROW ("tries", VALUE_NUMBER, max_tries),
+  OPTION_ROW ("balanced", VALUE_NONE, balanced),
+  OPTION_ROW ("hang-up-after", VALUE_NUMBER, hang_up_after),
+  OPTION_ROW ("slow-ms", VALUE_NUMBER, read_delay_ms),
+  OPTION_ROW ("limit-ms", VALUE_NUMBER, timeout_ms),
+  OPTION_ROW ("text", VALUE_NONE, show_text),
+  OPTION_ROW ("show-body", VALUE_NONE, show_body),
+  OPTION_ROW ("repeat", VALUE_NUMBER, concurrency),
+  OPTION_ROW ("stagger-ms", VALUE_NUMBER, stagger_ms),
 };
 
 enum
 {
-  ROW_COUNT = sizeof rows / sizeof *rows,
+  OPTION_ROW_COUNT = sizeof option_rows / sizeof *option_rows,
   OPTION_PORT = 1000,
   OPTION_HEADER
 };
 
 static void
-set_member (caller_options_t *options, const row_t *row, const char *value)
+set_member (caller_options_t *options, const option_row_t *row,
+            const char *value)
 {
   void *member = (char *)options + row->offset;
 
-  switch (row->takes)
+  switch (row->kind)
     {
-    case TAKES_NUMBER:
+    case VALUE_NUMBER:
       *(int64_t *)member = standin_parse_number (value);
       break;
-    case TAKES_TEXT:
+    case VALUE_TEXT:
       *(const char **)member = value;
       break;
-    case TAKES_FLAG:
+    case VALUE_NONE:
       *(bool *)member = true;
       break;
     }
@@ -99,25 +100,25 @@
 void
 caller_read_options (caller_options_t *options, int argc, char **argv)
 {
-  struct option long_options[ROW_COUNT + 3] = { 0 };
+  struct option long_options[OPTION_ROW_COUNT + 3] = { 0 };
   int option;
   int i;
 
   *options = (caller_options_t){ .model = "m-small",
                                  .prompt = "hello",
                                  .method = NULL,
-                                 .tries = 1,
-                                 .limit_ms = 15000,
-                                 .repeat = 1 };
-  for (i = 0; i < ROW_COUNT; i++)
+                                 .max_tries = 1,
+                                 .timeout_ms = 15000,
+                                 .concurrency = 1 };
+  for (i = 0; i < OPTION_ROW_COUNT; i++)
     {
-      long_options[i].name = rows[i].name;
-      long_options[i].has_arg = rows[i].takes != TAKES_FLAG;
+      long_options[i].name = option_rows[i].name;
+      long_options[i].has_arg = option_rows[i].kind != VALUE_NONE;
       long_options[i].val = i + 1;
     }
-  long_options[ROW_COUNT]
+  long_options[OPTION_ROW_COUNT]
       = (struct option){ "port", required_argument, NULL, OPTION_PORT };
-  long_options[ROW_COUNT + 1]
+  long_options[OPTION_ROW_COUNT + 1]
       = (struct option){ "header", required_argument, NULL, OPTION_HEADER };
   while ((option = getopt_long (argc, argv, "", long_options, NULL)) != -1)
     if (option == OPTION_PORT)
@@ -125,12 +126,12 @@
     else if (option == OPTION_HEADER
              && options->header_count < CALLER_MAX_HEADERS)
       options->headers[options->header_count++] = optarg;
-    else if (option >= 1 && option <= ROW_COUNT)
-      set_member (options, &rows[option - 1], optarg);
+    else if (option >= 1 && option <= OPTION_ROW_COUNT)
+      set_member (options, &option_rows[option - 1], optarg);
     else
       exit (2);
-  if (options->port_count > 0 && options->repeat > 0
-      && options->repeat <= CALLER_MAX_CALLERS)
+  if (options->port_count > 0 && options->concurrency > 0
+      && options->concurrency <= CALLER_MAX_CALLERS)
     return;
   fprintf (stderr, "--port is needed, and --repeat from 1 to %d\n",
            CALLER_MAX_CALLERS);
--- a/tests/standin/engine-batch.c
+++ b/tests/standin/engine-batch.c
@@ -19,41 +19,41 @@
 }
 
 static int64_t
-size_of (const generation_t *generation)
+count_held_tokens (const generation_t *generation)
 {
-  return generation->prompt_tokens + generation->made;
+  return generation->prompt_tokens + generation->produced_tokens;
 }
 
-/* Recount what the reports show.  */
+/* Recount the running and waiting generations and the used memory.  */
 static void
-count_load (engine_batch_t *batch)
+recount_load (engine_batch_t *batch)
 {
   const generation_t *generation;
 
-  batch->now.running = 0;
-  batch->now.waiting = 0;
-  batch->now.used_tokens = 0;
-  for (generation = batch->first; generation != NULL;
+  batch->current.running = 0;
+  batch->current.waiting = 0;
+  batch->current.used_tokens = 0;
+  for (generation = batch->newest; generation != NULL;
        generation = generation->next)
     {
       if (is_waiting (generation))
-        batch->now.waiting++;
+        batch->current.waiting++;
       if (generation->state != GENERATION_RUNNING)
         continue;
-      batch->now.running++;
-      batch->now.used_tokens += size_of (generation);
+      batch->current.running++;
+      batch->current.used_tokens += count_held_tokens (generation);
     }
 }
 
-/* The one that gives way when memory is full: the lowest priority, and of
-   these the youngest.  */
+/* The generation to preempt when memory is full: the newest one of the lowest
+   priority.  */
 static generation_t *
 find_victim (engine_batch_t *batch)
 {
   generation_t *victim = NULL;
   generation_t *generation;
 
-  for (generation = batch->first; generation != NULL;
+  for (generation = batch->newest; generation != NULL;
        generation = generation->next)
     if (generation->state == GENERATION_RUNNING
         && (victim == NULL || generation->priority < victim->priority))
@@ -61,14 +61,14 @@
   return victim;
 }
 
-/* The one that is let in next: the highest priority, then the oldest.  */
+/* The generation to admit next: the oldest one of the highest priority.  */
 static generation_t *
-find_next (engine_batch_t *batch)
+find_next_waiting (engine_batch_t *batch)
 {
   generation_t *best = NULL;
   generation_t *generation;
 
-  for (generation = batch->first; generation != NULL;
+  for (generation = batch->newest; generation != NULL;
        generation = generation->next)
     if (is_waiting (generation)
         && (best == NULL || generation->priority >= best->priority))
@@ -82,91 +82,92 @@
   const engine_options_t *options = &batch->options;
   generation_t *generation;
 
-  while (
-      batch->now.running < options->slots
-      && (generation = find_next (batch)) != NULL
-      && (batch->now.running == 0
-          || batch->now.used_tokens + size_of (generation) + batch->now.running
-                 < options->memory_tokens))
+  while (batch->current.running < options->slots
+         && (generation = find_next_waiting (batch)) != NULL
+         && (batch->current.running == 0
+             || batch->current.used_tokens + count_held_tokens (generation)
+                        + batch->current.running
+                    < options->memory_tokens))
     {
       generation->state = GENERATION_RUNNING;
       generation->due_ms = now_ms + options->first_ms;
-      count_load (batch);
+      recount_load (batch);
     }
 }
 
-/* Make room for one more token.  One that fills the memory alone ends.  */
+/* Preempt generations until one more token fits into memory.  A generation
+   that fills the memory alone ends with the tokens that it has.  */
 static void
-make_room (engine_batch_t *batch)
+preempt_for_memory (engine_batch_t *batch)
 {
   generation_t *victim;
 
-  while (batch->now.used_tokens >= batch->options.memory_tokens)
+  while (batch->current.used_tokens >= batch->options.memory_tokens)
     {
       victim = find_victim (batch);
-      if (batch->now.running == 1)
+      if (batch->current.running == 1)
         {
-          victim->length = victim->made;
+          victim->length = victim->produced_tokens;
           victim->state = GENERATION_DONE;
-          pthread_cond_broadcast (&victim->news);
-          count_load (batch);
+          pthread_cond_broadcast (&victim->changed);
+          recount_load (batch);
           return;
         }
       victim->state = GENERATION_PREEMPTED;
       victim->preemptions++;
-      batch->now.preemptions++;
-      count_load (batch);
+      batch->current.preemptions++;
+      recount_load (batch);
     }
 }
 
 static void
-make_token (engine_batch_t *batch, generation_t *generation)
+produce_token (engine_batch_t *batch, generation_t *generation)
 {
-  make_room (batch);
+  preempt_for_memory (batch);
   if (generation->state != GENERATION_RUNNING)
     return;
-  generation->made++;
+  generation->produced_tokens++;
   generation->due_ms += batch->options.token_ms;
-  batch->now.used_tokens++;
-  if (generation->made >= generation->length)
+  batch->current.used_tokens++;
+  if (generation->produced_tokens >= generation->length)
     {
       generation->state = GENERATION_DONE;
-      count_load (batch);
+      recount_load (batch);
     }
-  pthread_cond_broadcast (&generation->news);
+  pthread_cond_broadcast (&generation->changed);
 }
 
-/* A generation whose caller is gone for the resume window.  */
+/* True when a generation had no connection for the whole resume window.  */
 static bool
 is_abandoned (const engine_batch_t *batch, const generation_t *generation,
               int64_t now_ms)
 {
-  return !generation->linked && engine_has_generation (generation)
-         && now_ms - generation->unlinked_ms
+  return !generation->connected && engine_is_resumable (generation)
+         && now_ms - generation->disconnected_ms
                 >= batch->options.resume_window_ms;
 }
 
-/* Make all tokens that are due; returns when the next one is.  */
+/* Produce all tokens that are due; returns when the next one is due.  */
 static int64_t
-make_due_tokens (engine_batch_t *batch, int64_t now_ms)
+produce_due_tokens (engine_batch_t *batch, int64_t now_ms)
 {
   int64_t next_ms = now_ms + IDLE_WAKE_MS;
   generation_t *generation;
 
-  for (generation = batch->first; generation != NULL;
+  for (generation = batch->newest; generation != NULL;
        generation = generation->next)
     {
       if (is_abandoned (batch, generation, now_ms))
         {
           generation->state = GENERATION_DROPPED;
-          count_load (batch);
+          recount_load (batch);
         }
       while (generation->state == GENERATION_RUNNING
              && generation->due_ms <= now_ms)
-        make_token (batch, generation);
+        produce_token (batch, generation);
     }
   admit_waiting (batch, now_ms);
-  for (generation = batch->first; generation != NULL;
+  for (generation = batch->newest; generation != NULL;
        generation = generation->next)
     if (generation->state == GENERATION_RUNNING
         && generation->due_ms < next_ms)
@@ -180,9 +181,9 @@
   if (now_ms < batch->report_due_ms)
     return;
   batch->report_due_ms = now_ms + batch->options.report_lag_ms;
-  batch->published = batch->coming;
-  batch->coming = batch->now;
-  batch->coming.report = batch->published.report + 1;
+  batch->published = batch->pending;
+  batch->pending = batch->current;
+  batch->pending.number = batch->published.number + 1;
 }
 
 static void
@@ -206,7 +207,7 @@
   for (;;)
     {
       now_ms = standin_now_ms ();
-      next_ms = make_due_tokens (batch, now_ms);
+      next_ms = produce_due_tokens (batch, now_ms);
       publish_report (batch, now_ms);
       wait_until (batch, next_ms);
     }
@@ -232,7 +233,7 @@
 {
   generation_t *generation;
 
-  for (generation = batch->first; generation != NULL;
+  for (generation = batch->newest; generation != NULL;
        generation = generation->next)
     if (strcmp (generation->id, id) == 0)
       return generation;
@@ -240,7 +241,7 @@
 }
 
 bool
-engine_has_generation (const generation_t *generation)
+engine_is_resumable (const generation_t *generation)
 {
   return generation->state != GENERATION_CANCELLED
          && generation->state != GENERATION_DROPPED;
@@ -249,55 +250,55 @@
 void
 engine_add_generation (engine_batch_t *batch, generation_t *generation)
 {
-  generation->number = ++batch->count;
+  generation->number = ++batch->generation_count;
   snprintf (generation->mark, sizeof generation->mark, "%s.%lld",
             batch->options.name, (long long)generation->number);
   generation->state = GENERATION_WAITING;
-  pthread_cond_init (&generation->news, NULL);
-  generation->next = batch->first;
-  batch->first = generation;
+  pthread_cond_init (&generation->changed, NULL);
+  generation->next = batch->newest;
+  batch->newest = generation;
   admit_waiting (batch, standin_now_ms ());
-  count_load (batch);
+  recount_load (batch);
   pthread_cond_signal (&batch->wake);
 }
 
 void
 engine_cancel_generation (engine_batch_t *batch, generation_t *generation)
 {
-  if (!engine_has_generation (generation)
+  if (!engine_is_resumable (generation)
       || generation->state == GENERATION_DONE)
     return;
   generation->state = GENERATION_CANCELLED;
-  pthread_cond_broadcast (&generation->news);
-  count_load (batch);
+  pthread_cond_broadcast (&generation->changed);
+  recount_load (batch);
   pthread_cond_signal (&batch->wake);
 }
 
 int64_t
-engine_open_link (generation_t *generation)
+engine_attach_connection (generation_t *generation)
 {
-  generation->links++;
-  generation->linked = true;
-  pthread_cond_broadcast (&generation->news);
-  return generation->links;
+  generation->connection_count++;
+  generation->connected = true;
+  pthread_cond_broadcast (&generation->changed);
+  return generation->connection_count;
 }
 
 void
-engine_close_link (generation_t *generation, int64_t link)
+engine_detach_connection (generation_t *generation, int64_t connection_number)
 {
-  if (link != generation->links)
+  if (connection_number != generation->connection_count)
     return;
-  generation->linked = false;
-  generation->unlinked_ms = standin_now_ms ();
+  generation->connected = false;
+  generation->disconnected_ms = standin_now_ms ();
 }
 
 const engine_report_t *
-engine_visible_report (engine_batch_t *batch)
+engine_get_report (engine_batch_t *batch)
 {
   if (batch->options.report_lag_ms > 0)
     return &batch->published;
-  batch->now.report++;
-  return &batch->now;
+  batch->current.number++;
+  return &batch->current;
 }
 
 static json_object *
@@ -319,9 +320,9 @@
   json_object_object_add (json, "length",
                           json_object_new_int64 (generation->length));
   json_object_object_add (json, "made",
-                          json_object_new_int64 (generation->made));
-  json_object_object_add (json, "links",
-                          json_object_new_int64 (generation->links));
+                          json_object_new_int64 (generation->produced_tokens));
+  json_object_object_add (
+      json, "links", json_object_new_int64 (generation->connection_count));
   json_object_object_add (json, "preemptions",
                           json_object_new_int64 (generation->preemptions));
   json_object_object_add (json, "state",
@@ -336,8 +337,8 @@
   const generation_t *generation;
   int64_t number;
 
-  for (number = 1; number <= batch->count; number++)
-    for (generation = batch->first; generation != NULL;
+  for (number = 1; number <= batch->generation_count; number++)
+    for (generation = batch->newest; generation != NULL;
          generation = generation->next)
       if (generation->number == number)
         json_object_array_add (list, describe_generation (generation));
--- a/tests/standin/engine-cache.c
+++ b/tests/standin/engine-cache.c
@@ -6,12 +6,13 @@
 #include <string.h>
 
 void
-engine_init_cache (engine_cache_t *cache, int64_t lag_ms, int64_t gap)
+engine_init_cache (engine_cache_t *cache, int64_t lag_ms,
+                   int64_t loss_interval)
 {
   memset (cache, 0, sizeof *cache);
   pthread_mutex_init (&cache->lock, NULL);
   cache->lag_ms = lag_ms;
-  cache->gap = gap;
+  cache->loss_interval = loss_interval;
 }
 
 static void
@@ -20,7 +21,7 @@
   cache_event_t event = { ++cache->next_seq, standin_now_ms () + cache->lag_ms,
                           stored, prefix };
 
-  if (cache->gap > 0 && event.seq % cache->gap == 0)
+  if (cache->loss_interval > 0 && event.seq % cache->loss_interval == 0)
     return;
   cache->events[cache->event_count++ % CACHE_EVENTS] = event;
 }
@@ -39,11 +40,11 @@
 void
 engine_store_prefix (engine_cache_t *cache, const char *prompt)
 {
-  char head[CACHE_PREFIX_BYTES + 1];
+  char prefix_text[CACHE_PREFIX_BYTES + 1];
   uint64_t prefix;
 
-  snprintf (head, sizeof head, "%s", prompt);
-  prefix = csp_hash_pair ("prefix", head);
+  snprintf (prefix_text, sizeof prefix_text, "%s", prompt);
+  prefix = csp_hash_pair ("prefix", prefix_text);
   pthread_mutex_lock (&cache->lock);
   if (!is_cached (cache, prefix))
     {
--- a/tests/standin/engine-fault.c
+++ b/tests/standin/engine-fault.c
@@ -35,7 +35,8 @@
 }
 
 void
-engine_take_faults (fault_table_t *table, bool resume, link_faults_t *faults)
+engine_take_faults (fault_table_t *table, bool resume,
+                    connection_faults_t *faults)
 {
   pending_fault_t *pending = resume ? table->on_resume : table->on_start;
   int kind;
--- a/tests/standin/engine-fault.h
+++ b/tests/standin/engine-fault.h
@@ -6,36 +6,39 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* Faults that a test asks an engine for.  Each is kept until a new link
-   takes it: {"op": "cut_after", "index": 5, "count": 1, "on": "start"}.  */
+/* Faults that a test injects into an engine.  Each applies to the next count
+   connections that start ("on": "start") or resume ("on": "resume") a
+   generation: {"op": "cut_after", "index": 5, "count": 1, "on": "start"}.  */
 typedef enum
 {
-  FAULT_REFUSE,      /* 503, X-Verdict: not run */
-  FAULT_FAIL,        /* 500, nothing was started */
-  FAULT_CUT_HEAD,    /* started, then the link ends before the answer */
-  FAULT_LATE_HEAD,   /* started, the answer's head comes for_ms later */
-  FAULT_STALL_AFTER, /* the link is silent for for_ms after token index */
-  FAULT_CUT_AFTER,   /* the link ends after token index */
-  FAULT_DUPLICATE,   /* token index comes twice */
-  FAULT_GAP,         /* token index doesn't come */
-  FAULT_FOREIGN,     /* token index comes from another generation */
-  FAULT_NO_DONE,     /* all tokens come, the closing [DONE] doesn't */
-  FAULT_DIE_AFTER,   /* the process ends after token index */
+  FAULT_REFUSE,      /* 503 with X-Verdict: not run */
+  FAULT_FAIL,        /* 500, the generation isn't started */
+  FAULT_CUT_HEAD,    /* started, but closed before the response head */
+  FAULT_LATE_HEAD,   /* started, the response head is sent for_ms later */
+  FAULT_STALL_AFTER, /* sends nothing for for_ms after token index */
+  FAULT_CUT_AFTER,   /* closes the connection after token index */
+  FAULT_DUPLICATE,   /* sends token index twice */
+  FAULT_GAP,         /* leaves token index out */
+  FAULT_FOREIGN,     /* sends token index with another generation's id */
+  FAULT_NO_DONE,     /* sends all tokens, but no [DONE] */
+  FAULT_DIE_AFTER,   /* the process exits after token index */
   FAULT_COUNT
 } fault_kind_t;
 
-/* The faults of one link: the token index each one strikes at, or -1.  */
+/* The faults of one connection: the token index at which each applies, or
+   -1 when the connection doesn't have that fault.  */
 typedef struct
 {
   int64_t index[FAULT_COUNT];
   int64_t for_ms[FAULT_COUNT];
-} link_faults_t;
+} connection_faults_t;
 
+/* A fault that waits for connections to apply to.  */
 typedef struct
 {
   int64_t index;
   int64_t for_ms;
-  int64_t count;
+  int64_t count; /* connections that still get it */
 } pending_fault_t;
 
 typedef struct
@@ -45,11 +48,12 @@
   pending_fault_t on_resume[FAULT_COUNT];
 } fault_table_t;
 
-/* Add what a test asked for; false when the op is unknown.  */
+/* Add the fault that a test asked for; false when its op is unknown.  */
 bool engine_add_fault (fault_table_t *table, json_object *json);
 
-/* Take the faults of a new link.  */
+/* Take the faults that apply to a new connection, which resumes a generation
+   or starts one, and count each of them down.  */
 void engine_take_faults (fault_table_t *table, bool resume,
-                         link_faults_t *faults);
+                         connection_faults_t *faults);
 
 #endif
--- a/tests/standin/engine-http.c
+++ b/tests/standin/engine-http.c
@@ -4,26 +4,29 @@
 #include <stdlib.h>
 #include <string.h>
 
-static const char not_run[] = "X-Verdict: not run\r\nRetry-After: 1\r\n";
+static const char not_run_headers[]
+    = "X-Verdict: not run\r\nRetry-After: 1\r\n";
 
-/* Add a generation and open its first link; false when the id is taken.  */
+/* Add a generation and attach its first connection; false when the id is in
+   use.  */
 static bool
-start_generation (engine_t *engine, generation_t *generation, int64_t *link)
+start_generation (engine_t *engine, generation_t *generation,
+                  int64_t *connection_number)
 {
   engine_batch_t *batch = &engine->batch;
-  bool fresh;
+  bool added;
 
   pthread_mutex_lock (&batch->lock);
-  fresh = engine_find_generation (batch, generation->id) == NULL;
-  if (fresh)
+  added = engine_find_generation (batch, generation->id) == NULL;
+  if (added)
     {
       engine_add_generation (batch, generation);
-      *link = engine_open_link (generation);
+      *connection_number = engine_attach_connection (generation);
     }
   pthread_mutex_unlock (&batch->lock);
-  if (fresh)
+  if (added)
     engine_store_prefix (&engine->cache, generation->prompt);
-  return fresh;
+  return added;
 }
 
 static int
@@ -32,8 +35,8 @@
   engine_t *engine = state;
   json_object *body = standin_read_json (conn);
   generation_t *generation = calloc (1, sizeof *generation);
-  link_faults_t faults;
-  int64_t link;
+  connection_faults_t faults;
+  int64_t connection_number;
   int status;
 
   if (generation == NULL)
@@ -48,16 +51,19 @@
       if (faults.index[FAULT_FAIL] >= 0)
         status = 500;
     }
-  if (status == 0 && !start_generation (engine, generation, &link))
+  if (status == 0
+      && !start_generation (engine, generation, &connection_number))
     status = 409;
   if (status == 0)
-    return engine_send_stream (engine, conn, generation, link, 0, &faults);
+    return engine_send_stream (engine, conn, generation, connection_number, 0,
+                               &faults);
   free (generation);
-  return standin_send_error (conn, status, status == 503 ? not_run : "",
+  return standin_send_error (conn, status,
+                             status == 503 ? not_run_headers : "",
                              status == 409 ? "generation_exists" : "refused");
 }
 
-/* Split "/v1/generations/G/OP"; false when it is something else.  */
+/* Split "/v1/generations/ID/OP"; false when the path has another form.  */
 static bool
 split_path (const char *path, char id[ENGINE_ID_BYTES], char op[16])
 {
@@ -71,19 +77,20 @@
   json_object *body = standin_read_json (conn);
   int64_t from = standin_json_number (body, "from_index", 0);
   generation_t *generation;
-  link_faults_t faults;
-  int64_t link = 0;
+  connection_faults_t faults;
+  int64_t connection_number = 0;
 
   json_object_put (body);
   pthread_mutex_lock (&engine->batch.lock);
   generation = engine_find_generation (&engine->batch, id);
-  if (generation != NULL && engine_has_generation (generation))
-    link = engine_open_link (generation);
+  if (generation != NULL && engine_is_resumable (generation))
+    connection_number = engine_attach_connection (generation);
   pthread_mutex_unlock (&engine->batch.lock);
-  if (link == 0)
+  if (connection_number == 0)
     return standin_send_error (conn, 404, "", "generation_unknown");
   engine_take_faults (&engine->faults, true, &faults);
-  return engine_send_stream (engine, conn, generation, link, from, &faults);
+  return engine_send_stream (engine, conn, generation, connection_number, from,
+                             &faults);
 }
 
 static int
@@ -116,10 +123,10 @@
   engine_report_t report;
 
   pthread_mutex_lock (&engine->batch.lock);
-  report = *engine_visible_report (&engine->batch);
+  report = *engine_get_report (&engine->batch);
   pthread_mutex_unlock (&engine->batch.lock);
   json_object_object_add (json, "report",
-                          json_object_new_int64 (report.report));
+                          json_object_new_int64 (report.number));
   json_object_object_add (
       json, "state",
       json_object_new_string (report.leaving ? "leaving" : "live"));
@@ -168,7 +175,7 @@
                               json_object_new_int64 (engine->orders.fence));
       return standin_send_json (conn, 409, "", answer);
     case ORDER_BUSY:
-      return standin_send_error (conn, 503, not_run, "order_busy");
+      return standin_send_error (conn, 503, not_run_headers, "order_busy");
     case ORDER_UNKNOWN:
       break;
     }
@@ -195,7 +202,7 @@
   json_object *json = standin_read_json (conn);
 
   pthread_mutex_lock (&engine->batch.lock);
-  engine->batch.now.leaving
+  engine->batch.current.leaving
       = strcmp (standin_json_string (json, "state", "live"), "leaving") == 0;
   pthread_mutex_unlock (&engine->batch.lock);
   json_object_put (json);
@@ -209,8 +216,8 @@
   json_object *json = json_object_new_object ();
 
   pthread_mutex_lock (&engine->batch.lock);
-  json_object_object_add (json, "starts",
-                          json_object_new_int64 (engine->batch.count));
+  json_object_object_add (
+      json, "starts", json_object_new_int64 (engine->batch.generation_count));
   json_object_object_add (json, "generations",
                           engine_list_generations (&engine->batch));
   pthread_mutex_unlock (&engine->batch.lock);
--- a/tests/standin/engine-http.h
+++ b/tests/standin/engine-http.h
@@ -16,17 +16,19 @@
   fault_table_t faults;
 } engine_t;
 
-/* Fill in a generation from a request's body and headers; the status to
-   refuse with, or 0.  */
+/* Fill in a generation from a request's body and headers.  Returns 0, or the
+   HTTP status to refuse the request with.  */
 int engine_read_request (engine_t *engine, struct mg_connection *conn,
                          json_object *body, generation_t *generation);
 
-/* Send a generation's tokens from an index on over a link that was opened.  */
+/* Send a generation's tokens, beginning with index from, over a connection
+   that was attached to it.  */
 int engine_send_stream (engine_t *engine, struct mg_connection *conn,
-                        generation_t *generation, int64_t link, int64_t from,
-                        const link_faults_t *faults);
+                        generation_t *generation, int64_t connection_number,
+                        int64_t from, const connection_faults_t *faults);
 
-/* The paths of docs/ENGINE.md and the controls for tests.  */
+/* The paths of docs/ENGINE.md, and those under /test/ that tests use to
+   control the engine.  */
 extern const standin_route_t engine_routes[];
 
 #endif
--- a/tests/standin/engine-orders.c
+++ b/tests/standin/engine-orders.c
@@ -27,27 +27,29 @@
   free (list);
 }
 
+/* Apply the running order.  The log keeps the order, so its strings stay
+   valid as the role.  */
 static void
 finish_order (engine_orders_t *orders)
 {
   const char *op = standin_json_string (orders->running, "op", "");
   const char *name = standin_json_string (orders->running, "name", "");
   const char *version = standin_json_string (orders->running, "version", "");
-  json_object *set
+  json_object *loaded
       = strstr (op, "model") != NULL ? orders->models : orders->adapters;
 
   if (strcmp (op, "set_role") == 0)
     orders->role = name;
   else if (strncmp (op, "unload", strlen ("unload")) == 0)
-    json_object_object_del (set, name);
+    json_object_object_del (loaded, name);
   else
-    json_object_object_add (set, name, json_object_new_string (version));
+    json_object_object_add (loaded, name, json_object_new_string (version));
   orders->running = NULL;
 }
 
-/* The order's members live on in the log.  */
+/* Finish the running order when its time has passed.  */
 static void
-settle_orders (engine_orders_t *orders)
+finish_due_order (engine_orders_t *orders)
 {
   if (orders->running != NULL && standin_now_ms () >= orders->busy_until_ms)
     finish_order (orders);
@@ -68,7 +70,7 @@
 }
 
 static order_result_t
-take_order (engine_orders_t *orders, json_object *order)
+accept_order (engine_orders_t *orders, json_object *order)
 {
   int64_t fence = standin_json_number (order, "fence", 0);
 
@@ -78,7 +80,7 @@
     return ORDER_FENCE_OLD;
   if (orders->running != NULL)
     return ORDER_BUSY;
-  /* An engine that ignores the number doesn't keep it either.  */
+  /* An engine that doesn't check the fence doesn't store it either.  */
   if (orders->checks_fence && fence > orders->fence)
     orders->fence = fence;
   orders->running = order;
@@ -94,8 +96,8 @@
   order_result_t result;
 
   pthread_mutex_lock (&orders->lock);
-  settle_orders (orders);
-  result = take_order (orders, order);
+  finish_due_order (orders);
+  result = accept_order (orders, order);
   json_object_object_add (order, "result",
                           json_object_new_string (results[result]));
   json_object_array_add (orders->log, order);
@@ -109,18 +111,18 @@
   bool found;
 
   pthread_mutex_lock (&orders->lock);
-  settle_orders (orders);
+  finish_due_order (orders);
   found = json_object_object_get_ex (orders->models, model, NULL);
   pthread_mutex_unlock (&orders->lock);
   return found;
 }
 
 static json_object *
-list_names (json_object *set)
+list_names (json_object *loaded)
 {
   json_object *list = json_object_new_array ();
 
-  json_object_object_foreach (set, name, version)
+  json_object_object_foreach (loaded, name, version)
   {
     (void)version;
     json_object_array_add (list, json_object_new_string (name));
@@ -129,11 +131,11 @@
 }
 
 static json_object *
-copy_versions (json_object *set)
+copy_versions (json_object *loaded)
 {
   json_object *copy = NULL;
 
-  json_object_deep_copy (set, &copy, NULL);
+  json_object_deep_copy (loaded, &copy, NULL);
   return copy;
 }
 
@@ -141,7 +143,7 @@
 engine_report_orders (engine_orders_t *orders, json_object *report)
 {
   pthread_mutex_lock (&orders->lock);
-  settle_orders (orders);
+  finish_due_order (orders);
   json_object_object_add (report, "models", list_names (orders->models));
   json_object_object_add (report, "adapters", list_names (orders->adapters));
   json_object_object_add (report, "model_versions",
--- a/tests/standin/engine-orders.h
+++ b/tests/standin/engine-orders.h
@@ -6,16 +6,16 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* What an engine has loaded and the orders that it was given.  */
+/* The models and adapters that an engine has loaded, and its orders.  */
 typedef struct
 {
   pthread_mutex_t lock;
   bool checks_fence;
-  int64_t order_ms;
-  int64_t fence;
+  int64_t order_ms; /* how long an order takes */
+  int64_t fence;    /* the highest one of an accepted order */
   int64_t busy_until_ms;
-  json_object *running; /* the order under way, or null */
-  json_object *models;  /* name: version */
+  json_object *running; /* the order being executed, or null */
+  json_object *models;  /* versions by name */
   json_object *adapters;
   json_object *log; /* every order, in the order of arrival */
   const char *role;
@@ -29,20 +29,22 @@
   ORDER_BUSY
 } order_result_t;
 
-/* models lists what is loaded at the start, between commas.  */
+/* models is a comma-separated list of the models loaded at the start.  */
 void engine_init_orders (engine_orders_t *orders, bool checks_fence,
                          int64_t order_ms, const char *models);
 
-/* Take an order over.  */
+/* Start an order, or refuse it, and log it with the result.  Takes ownership
+   of order.  */
 order_result_t engine_start_order (engine_orders_t *orders,
                                    json_object *order);
 
 bool engine_has_model (engine_orders_t *orders, const char *model);
 
-/* Add models, adapters, role, fence and order to a load report.  */
+/* Add models, adapters, their versions, role, fence and order to a load
+   report.  */
 void engine_report_orders (engine_orders_t *orders, json_object *report);
 
-/* Every order that came, with what it was answered.  */
+/* Every order received, with its result.  */
 json_object *engine_list_orders (engine_orders_t *orders);
 
 #endif
--- a/tests/standin/engine-request.c
+++ b/tests/standin/engine-request.c
@@ -9,12 +9,12 @@
 {
   BYTES_PER_TOKEN = 4,
   DEFAULT_MAX_TOKENS = 100000,
-  SHORTEST_ANSWER = 8,
-  ANSWER_SPREAD = 32
+  MIN_ANSWER_TOKENS = 8,
+  ANSWER_TOKENS_RANGE = 32
 };
 
 static bool
-is_plain_name (const char *text)
+is_valid_name (const char *text)
 {
   if (*text == '\0' || strlen (text) >= ENGINE_ID_BYTES)
     return false;
@@ -24,8 +24,8 @@
   return true;
 }
 
-/* The text that the answer's length is made of: the prompt or the last
-   message; adds up the bytes of all of it.  */
+/* The prompt or the content of the last message; null without either.
+   size_bytes is the size of the prompt or of all messages together.  */
 static const char *
 find_prompt (json_object *body, size_t *size_bytes)
 {
@@ -47,10 +47,11 @@
   return prompt;
 }
 
-/* "[tokens=40]" in the prompt says how long the answer gets; else it is made
-   of the prompt's own bytes, so that the same request gets the same.  */
+/* The answer's length in tokens: 40 for a prompt with "[tokens=40]", else
+   derived from a hash of the prompt, so that a repeated request gets an answer
+   of the same length.  */
 static int64_t
-length_of_answer (const char *prompt)
+choose_answer_length (const char *prompt)
 {
   static const char hint[] = "[tokens=";
   const char *found = strstr (prompt, hint);
@@ -60,7 +61,7 @@
     return strtoll (found + strlen (hint), NULL, 10);
   for (; *prompt != '\0'; prompt++)
     sum = sum * 31 + (unsigned char)*prompt;
-  return SHORTEST_ANSWER + sum % ANSWER_SPREAD;
+  return MIN_ANSWER_TOKENS + sum % ANSWER_TOKENS_RANGE;
 }
 
 int
@@ -75,11 +76,11 @@
   const char *prompt = find_prompt (body, &prompt_bytes);
   json_object *stream;
 
-  if (!is_plain_name (id) || prompt == NULL || max_tokens < 1
+  if (!is_valid_name (id) || prompt == NULL || max_tokens < 1
       || !json_object_object_get_ex (body, "stream", &stream)
       || !json_object_get_boolean (stream))
     return 400;
-  if (!is_plain_name (model) || !engine_has_model (&engine->orders, model))
+  if (!is_valid_name (model) || !engine_has_model (&engine->orders, model))
     return 404;
   snprintf (generation->id, sizeof generation->id, "%s", id);
   snprintf (generation->model, sizeof generation->model, "%s", model);
@@ -89,9 +90,9 @@
   generation->priority = atoll (standin_header (conn, "X-Priority"));
   generation->prompt_tokens
       = (int64_t)(prompt_bytes + BYTES_PER_TOKEN - 1) / BYTES_PER_TOKEN;
-  generation->length = length_of_answer (prompt);
-  generation->shortened = generation->length > max_tokens;
-  if (generation->shortened)
+  generation->length = choose_answer_length (prompt);
+  generation->truncated = generation->length > max_tokens;
+  if (generation->truncated)
     generation->length = max_tokens;
   generation->chat = json_object_object_get_ex (body, "messages", NULL);
   if (generation->prompt_tokens >= engine->batch.options.memory_tokens)
--- a/tests/standin/engine-stream.c
+++ b/tests/standin/engine-stream.c
@@ -19,7 +19,7 @@
 }
 
 static bool
-send_head (struct mg_connection *conn)
+send_response_head (struct mg_connection *conn)
 {
   return mg_printf (conn, "HTTP/1.1 200 OK\r\n"
                           "Content-Type: text/event-stream\r\n"
@@ -29,10 +29,10 @@
          > 0;
 }
 
-/* One token; foreign marks it as another generation's.  */
+/* Send one token; foreign gives it the id of another generation.  */
 static bool
 send_token (struct mg_connection *conn, const generation_t *generation,
-            int64_t index, const char *finish, bool foreign)
+            int64_t index, const char *finish_reason, bool foreign)
 {
   const char *suffix = foreign ? ".foreign" : "";
   char text[ENGINE_ID_BYTES + 64];
@@ -52,85 +52,92 @@
             "\"model\":\"%s\",\"choices\":[{\"index\":0,"
             "\"text\":\"%s\",\"finish_reason\":%s}],"
             "\"token\":{\"generation\":\"%s%s\",\"index\":%lld}}\n\n",
-      generation->id, suffix, generation->model, text, finish, generation->id,
-      suffix, (long long)index);
+      generation->id, suffix, generation->model, text, finish_reason,
+      generation->id, suffix, (long long)index);
   return standin_send_chunk (conn, event, (size_t)size);
 }
 
 static const char *
-finish_of (const generation_t *generation, int64_t index)
+get_finish_reason (const generation_t *generation, int64_t index)
 {
   if (index + 1 < generation->length)
     return "null";
-  return generation->shortened ? "\"length\"" : "\"stop\"";
+  return generation->truncated ? "\"length\"" : "\"stop\"";
 }
 
-/* Send token index with the faults that strike there; false when the link
-   ends with it.  */
+/* Send token index with the faults that apply to it; false when the
+   connection is to be closed.  */
 static bool
 send_faulty_token (struct mg_connection *conn, const generation_t *generation,
-                   int64_t index, const char *finish,
-                   const link_faults_t *faults)
+                   int64_t index, const char *finish_reason,
+                   const connection_faults_t *faults)
 {
-  const int64_t *at = faults->index;
+  const int64_t *fault_index = faults->index;
 
-  if (index != at[FAULT_GAP]
-      && !send_token (conn, generation, index, finish,
-                      index == at[FAULT_FOREIGN]))
+  if (index != fault_index[FAULT_GAP]
+      && !send_token (conn, generation, index, finish_reason,
+                      index == fault_index[FAULT_FOREIGN]))
     return false;
-  if (index == at[FAULT_DUPLICATE]
-      && !send_token (conn, generation, index, finish, false))
+  if (index == fault_index[FAULT_DUPLICATE]
+      && !send_token (conn, generation, index, finish_reason, false))
     return false;
-  if (index == at[FAULT_DIE_AFTER])
+  if (index == fault_index[FAULT_DIE_AFTER])
     _Exit (1);
-  if (index == at[FAULT_STALL_AFTER])
+  if (index == fault_index[FAULT_STALL_AFTER])
     sleep_ms (faults->for_ms[FAULT_STALL_AFTER]);
-  return index != at[FAULT_CUT_AFTER];
+  return index != fault_index[FAULT_CUT_AFTER];
 }
 
+/* The result of a wait for a token.  A stream is aborted when its generation
+   has a newer connection, or was cancelled or dropped.  */
 typedef enum
 {
-  NEXT_TOKEN,
-  NEXT_END,
-  NEXT_GONE
-} next_t;
-
-/* Wait for token index of a link.  */
-static next_t
-wait_token (engine_batch_t *batch, generation_t *generation, int64_t link,
-            int64_t index)
+  WAIT_TOKEN_READY,
+  WAIT_STREAM_ENDED,
+  WAIT_STREAM_ABORTED
+} wait_result_t;
+
+/* Wait until token index can be sent on a connection, or the stream ends.  */
+static wait_result_t
+wait_for_token (engine_batch_t *batch, generation_t *generation,
+                int64_t connection_number, int64_t index)
 {
-  next_t next = NEXT_GONE;
+  wait_result_t result = WAIT_STREAM_ABORTED;
 
   pthread_mutex_lock (&batch->lock);
-  while (generation->links == link && engine_has_generation (generation)
-         && generation->state != GENERATION_DONE && generation->made <= index)
-    pthread_cond_wait (&generation->news, &batch->lock);
-  if (generation->links == link && engine_has_generation (generation))
-    next = generation->made > index ? NEXT_TOKEN : NEXT_END;
+  while (generation->connection_count == connection_number
+         && engine_is_resumable (generation)
+         && generation->state != GENERATION_DONE
+         && generation->produced_tokens <= index)
+    pthread_cond_wait (&generation->changed, &batch->lock);
+  if (generation->connection_count == connection_number
+      && engine_is_resumable (generation))
+    result = generation->produced_tokens > index ? WAIT_TOKEN_READY
+                                                 : WAIT_STREAM_ENDED;
   pthread_mutex_unlock (&batch->lock);
-  return next;
+  return result;
 }
 
 static void
 send_tokens (engine_t *engine, struct mg_connection *conn,
-             generation_t *generation, int64_t link, int64_t from,
-             const link_faults_t *faults)
+             generation_t *generation, int64_t connection_number, int64_t from,
+             const connection_faults_t *faults)
 {
   static const char done[] = "data: [DONE]\n\n";
-  next_t next;
+  wait_result_t result;
   int64_t index;
 
   for (index = from;; index++)
     {
-      next = wait_token (&engine->batch, generation, link, index);
-      if (next != NEXT_TOKEN)
+      result = wait_for_token (&engine->batch, generation, connection_number,
+                               index);
+      if (result != WAIT_TOKEN_READY)
         break;
       if (!send_faulty_token (conn, generation, index,
-                              finish_of (generation, index), faults))
+                              get_finish_reason (generation, index), faults))
         return;
     }
-  if (next == NEXT_GONE)
+  if (result == WAIT_STREAM_ABORTED)
     return;
   if (faults->index[FAULT_NO_DONE] < 0)
     standin_send_chunk (conn, done, strlen (done));
@@ -139,15 +146,15 @@
 
 int
 engine_send_stream (engine_t *engine, struct mg_connection *conn,
-                    generation_t *generation, int64_t link, int64_t from,
-                    const link_faults_t *faults)
+                    generation_t *generation, int64_t connection_number,
+                    int64_t from, const connection_faults_t *faults)
 {
   if (faults->index[FAULT_LATE_HEAD] >= 0)
     sleep_ms (faults->for_ms[FAULT_LATE_HEAD]);
-  if (faults->index[FAULT_CUT_HEAD] < 0 && send_head (conn))
-    send_tokens (engine, conn, generation, link, from, faults);
+  if (faults->index[FAULT_CUT_HEAD] < 0 && send_response_head (conn))
+    send_tokens (engine, conn, generation, connection_number, from, faults);
   pthread_mutex_lock (&engine->batch.lock);
-  engine_close_link (generation, link);
+  engine_detach_connection (generation, connection_number);
   pthread_mutex_unlock (&engine->batch.lock);
   return 200;
 }
--- a/tests/standin/platform-store.c
+++ b/tests/standin/platform-store.c
@@ -6,7 +6,7 @@
 
 enum
 {
-  POLL_MS = 20 /* how often a lagging change is looked for */
+  VISIBILITY_POLL_MS = 20 /* how often a lagging change is looked for */
 };
 
 void
@@ -14,13 +14,13 @@
 {
   memset (platform, 0, sizeof *platform);
   pthread_mutex_init (&platform->lock, NULL);
-  pthread_cond_init (&platform->news, NULL);
+  pthread_cond_init (&platform->changed, NULL);
   platform->changes = json_object_new_array ();
-  platform->lists = json_object_new_array ();
+  platform->host_lists = json_object_new_array ();
 }
 
 int64_t
-platform_change (platform_t *platform, json_object *change)
+platform_add_change (platform_t *platform, json_object *change)
 {
   int64_t revision;
 
@@ -30,30 +30,30 @@
       change, "visible_ms",
       json_object_new_int64 (standin_now_ms () + platform->lag_ms));
   json_object_array_add (platform->changes, change);
-  pthread_cond_broadcast (&platform->news);
+  pthread_cond_broadcast (&platform->changed);
   pthread_mutex_unlock (&platform->lock);
   return revision;
 }
 
 int64_t
-platform_set_hosts (platform_t *platform, json_object *list)
+platform_add_host_list (platform_t *platform, json_object *list)
 {
   int64_t version;
 
   pthread_mutex_lock (&platform->lock);
-  version = (int64_t)json_object_array_length (platform->lists) + 1;
+  version = (int64_t)json_object_array_length (platform->host_lists) + 1;
   json_object_object_add (list, "version", json_object_new_int64 (version));
   json_object_object_add (list, "visible_ms",
                           json_object_new_int64 (standin_now_ms ()
                                                  + platform->lag_ms
                                                  + platform->host_lag_ms));
-  json_object_array_add (platform->lists, list);
-  pthread_cond_broadcast (&platform->news);
+  json_object_array_add (platform->host_lists, list);
+  pthread_cond_broadcast (&platform->changed);
   pthread_mutex_unlock (&platform->lock);
   return version;
 }
 
-/* How many of a history's entries show by now.  */
+/* How many entries of a history are visible by now.  */
 static int64_t
 count_visible (json_object *history)
 {
@@ -70,7 +70,7 @@
 }
 
 int64_t
-platform_revision (platform_t *platform)
+platform_get_revision (platform_t *platform)
 {
   int64_t revision = count_visible (platform->changes);
 
@@ -80,9 +80,9 @@
 }
 
 int64_t
-platform_version (platform_t *platform)
+platform_get_host_list_version (platform_t *platform)
 {
-  int64_t version = count_visible (platform->lists);
+  int64_t version = count_visible (platform->host_lists);
 
   if (platform->stale_version > 0 && platform->stale_version < version)
     return platform->stale_version;
@@ -101,13 +101,14 @@
   json_object_object_add (values, key, entry);
 }
 
-/* Apply one change to the values by key.  */
+/* Apply one change to values, an object by key.  With keep_deleted a deleted
+   key stays with a null value.  */
 static void
 apply_change (json_object *values, json_object *change, int64_t revision,
               bool keep_deleted)
 {
   json_object *set;
-  json_object *gone;
+  json_object *deleted;
   size_t i;
 
   if (json_object_object_get_ex (change, "set", &set))
@@ -117,12 +118,12 @@
         put_value (values, key, revision, value);
       }
     }
-  if (!json_object_object_get_ex (change, "delete", &gone))
+  if (!json_object_object_get_ex (change, "delete", &deleted))
     return;
-  for (i = 0; i < json_object_array_length (gone); i++)
+  for (i = 0; i < json_object_array_length (deleted); i++)
     {
       const char *name
-          = json_object_get_string (json_object_array_get_idx (gone, i));
+          = json_object_get_string (json_object_array_get_idx (deleted, i));
 
       json_object_object_del (values, name);
       if (keep_deleted)
@@ -130,8 +131,9 @@
     }
 }
 
+/* The text of a JSON object, which is released.  */
 static char *
-print_json (json_object *json)
+format_json (json_object *json)
 {
   char *text
       = strdup (json_object_to_json_string_ext (json, STANDIN_JSON_STYLE));
@@ -143,7 +145,7 @@
 char *
 platform_read_config (platform_t *platform, int64_t after)
 {
-  int64_t revision = platform_revision (platform);
+  int64_t revision = platform_get_revision (platform);
   bool full = after <= 0 || after > revision;
   int64_t i = full ? 0 : after;
   json_object *values = json_object_new_object ();
@@ -164,13 +166,13 @@
                           json_object_new_int64 (revision));
   json_object_object_add (answer, "full", json_object_new_boolean (full));
   json_object_object_add (answer, "values", list);
-  return print_json (answer);
+  return format_json (answer);
 }
 
 char *
 platform_read_hosts (platform_t *platform)
 {
-  int64_t version = platform_version (platform);
+  int64_t version = platform_get_host_list_version (platform);
   json_object *answer = json_object_new_object ();
   json_object *list = NULL;
   static const char *const members[] = { "hosts", "targets" };
@@ -178,7 +180,8 @@
   size_t i;
 
   if (version > 0)
-    list = json_object_array_get_idx (platform->lists, (size_t)version - 1);
+    list = json_object_array_get_idx (platform->host_lists,
+                                      (size_t)version - 1);
   json_object_object_add (answer, "version", json_object_new_int64 (version));
   for (i = 0; i < sizeof members / sizeof *members; i++)
     {
@@ -189,17 +192,17 @@
         member = json_object_new_array ();
       json_object_object_add (answer, members[i], member);
     }
-  return print_json (answer);
+  return format_json (answer);
 }
 
 void
 platform_wait (platform_t *platform, int64_t until_ms)
 {
-  int64_t poll_ms = standin_now_ms () + POLL_MS;
+  int64_t poll_ms = standin_now_ms () + VISIBILITY_POLL_MS;
   int64_t wake_ms = poll_ms < until_ms ? poll_ms : until_ms;
   struct timespec wake = { wake_ms / STANDIN_MS_PER_S,
                            (wake_ms % STANDIN_MS_PER_S) * STANDIN_NS_PER_MS };
 
-  pthread_cond_clockwait (&platform->news, &platform->lock, CLOCK_MONOTONIC,
+  pthread_cond_clockwait (&platform->changed, &platform->lock, CLOCK_MONOTONIC,
                           &wake);
 }
--- a/tests/standin/server.c
+++ b/tests/standin/server.c
@@ -25,7 +25,7 @@
 }
 
 static int
-ignore_log (const struct mg_connection *conn, const char *message)
+discard_log_message (const struct mg_connection *conn, const char *message)
 {
   (void)conn;
   (void)message;
@@ -36,7 +36,7 @@
 standin_serve (uint16_t port, unsigned threads, const standin_route_t *routes,
                void *state)
 {
-  struct mg_callbacks callbacks = { .log_message = ignore_log };
+  struct mg_callbacks callbacks = { .log_message = discard_log_message };
   struct mg_server_port bound = { 0 };
   struct mg_context *server;
   char port_text[32];
@@ -52,15 +52,15 @@
                             "connection_queue",
                             "1000",
                             NULL };
-  sigset_t stop;
+  sigset_t stop_signals;
   int signal_number;
 
-  /* Blocked before the server's threads exist, so that none of them takes
-     the signal that sigwait is here for.  */
-  sigemptyset (&stop);
-  sigaddset (&stop, SIGTERM);
-  sigaddset (&stop, SIGINT);
-  pthread_sigmask (SIG_BLOCK, &stop, NULL);
+  /* The signals are blocked before the server starts its threads: these
+     inherit the mask, so that only sigwait below receives the signals.  */
+  sigemptyset (&stop_signals);
+  sigaddset (&stop_signals, SIGTERM);
+  sigaddset (&stop_signals, SIGINT);
+  pthread_sigmask (SIG_BLOCK, &stop_signals, NULL);
   signal (SIGPIPE, SIG_IGN);
   snprintf (port_text, sizeof port_text, "127.0.0.1:%u", port);
   snprintf (thread_text, sizeof thread_text, "%u", threads);
@@ -74,35 +74,37 @@
     mg_set_request_handler (server, routes->path, routes->handler, state);
   printf ("ready http=%d\n", bound.port);
   fflush (stdout);
-  sigwait (&stop, &signal_number);
-  /* Open streams would hold mg_stop for as long as they last.  */
+  sigwait (&stop_signals, &signal_number);
+  /* mg_stop would wait for every open stream to end.  */
   _Exit (EXIT_SUCCESS);
 }
 
 char *
 standin_read_body (struct mg_connection *conn)
 {
-  size_t room = 4096;
-  size_t used = 0;
-  char *body = malloc (room);
-  int got;
+  size_t capacity_bytes = 4096;
+  size_t used_bytes = 0;
+  char *body = malloc (capacity_bytes);
+  int read_bytes;
 
   while (body != NULL
-         && (got = mg_read (conn, body + used, room - used - 1)) > 0)
+         && (read_bytes = mg_read (conn, body + used_bytes,
+                                   capacity_bytes - used_bytes - 1))
+                > 0)
     {
-      used += (size_t)got;
-      if (used + 1 < room)
+      used_bytes += (size_t)read_bytes;
+      if (used_bytes + 1 < capacity_bytes)
         continue;
-      room *= 2;
-      if (room > STANDIN_MAX_BODY_BYTES)
+      capacity_bytes *= 2;
+      if (capacity_bytes > STANDIN_MAX_BODY_BYTES)
         {
           free (body);
           return NULL;
         }
-      body = realloc (body, room);
+      body = realloc (body, capacity_bytes);
     }
   if (body != NULL)
-    body[used] = '\0';
+    body[used_bytes] = '\0';
   return body;
 }
 
@@ -140,7 +142,7 @@
 }
 
 int
-standin_send_text (struct mg_connection *conn, char *text)
+standin_send_json_text (struct mg_connection *conn, char *text)
 {
   mg_printf (conn,
              "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
@@ -169,47 +171,48 @@
                     size_t size_bytes)
 {
   char frame[4096];
-  int head = snprintf (frame, sizeof frame, "%zx\r\n", size_bytes);
+  int size_line_bytes = snprintf (frame, sizeof frame, "%zx\r\n", size_bytes);
 
-  if ((size_t)head + size_bytes + 2 > sizeof frame)
+  if ((size_t)size_line_bytes + size_bytes + 2 > sizeof frame)
     return mg_send_chunk (conn, data, (unsigned)size_bytes) > 0;
   if (size_bytes > 0)
-    memcpy (frame + head, data, size_bytes);
-  memcpy (frame + head + size_bytes, "\r\n", 2);
-  return mg_write (conn, frame, (size_t)head + size_bytes + 2) > 0;
+    memcpy (frame + size_line_bytes, data, size_bytes);
+  memcpy (frame + size_line_bytes + size_bytes, "\r\n", 2);
+  return mg_write (conn, frame, (size_t)size_line_bytes + size_bytes + 2) > 0;
 }
 
 int64_t
 standin_query_number (struct mg_connection *conn, const char *name,
-                      int64_t otherwise)
+                      int64_t default_value)
 {
   const char *query = mg_get_request_info (conn)->query_string;
   char text[32];
 
   if (query == NULL
       || mg_get_var (query, strlen (query), name, text, sizeof text) <= 0)
-    return otherwise;
+    return default_value;
   return strtoll (text, NULL, 10);
 }
 
 int64_t
-standin_json_number (json_object *json, const char *name, int64_t otherwise)
+standin_json_number (json_object *json, const char *name,
+                     int64_t default_value)
 {
   json_object *member;
 
   if (!json_object_object_get_ex (json, name, &member) || member == NULL)
-    return otherwise;
+    return default_value;
   return json_object_get_int64 (member);
 }
 
 const char *
 standin_json_string (json_object *json, const char *name,
-                     const char *otherwise)
+                     const char *default_value)
 {
   json_object *member;
 
   if (!json_object_object_get_ex (json, name, &member) || member == NULL)
-    return otherwise;
+    return default_value;
   return json_object_get_string (member);
 }
 
@@ -222,10 +225,10 @@
 }
 
 int
-standin_cut (struct mg_connection *conn)
+standin_drop_connection (struct mg_connection *conn)
 {
-  /* A handler that returns without having ended its answer has its link
-     closed by CivetWeb.  */
+  /* CivetWeb closes the connection when a handler returns before its answer
+     is complete.  */
   return mg_get_request_info (conn) == NULL ? 0 : 500;
 }
 
--- a/tests/standin/standin-caller.c
+++ b/tests/standin/standin-caller.c
@@ -1,5 +1,6 @@
-/* A caller for tests, the demo and the bench.  One request prints what came
-   back; --repeat N sends N side by side and prints a summary.  */
+/* A caller for tests, the demo and the bench.  Sends one request and prints
+   the answer, or with --repeat N sends N requests concurrently and prints a
+   summary.  */
 
 #include "caller-call.h"
 
@@ -27,12 +28,13 @@
 } caller_t;
 
 static const char *
-show (const char *text)
+value_or_dash (const char *text)
 {
   return *text == '\0' ? "-" : text;
 }
 
-/* The text without the marks of generations, which differ between runs.  */
+/* Print the text without the marks of generations, which differ between
+   runs.  */
 static void
 print_text (const answer_t *answer)
 {
@@ -59,16 +61,17 @@
       = { "none", "done", "error", "cut", "hung_up" };
 
   printf ("status=%lld end=%s verdict=%s reason=%s retry_after=%s\n",
-          (long long)answer->status, ends[answer->end], show (answer->verdict),
-          show (answer->reason), answer->retry_after_s >= 0 ? "yes" : "no");
+          (long long)answer->status, ends[answer->end],
+          value_or_dash (answer->verdict), value_or_dash (answer->reason),
+          answer->retry_after_s >= 0 ? "yes" : "no");
   if (options->service == NULL && options->path == NULL)
     printf ("tokens=%lld finish=%s complete=%s duplicates=%lld gaps=%lld "
             "generations=%lld\n",
-            (long long)answer->tokens, show (answer->finish),
+            (long long)answer->tokens, value_or_dash (answer->finish_reason),
             answer_is_complete (answer) ? "yes" : "no",
             (long long)answer->duplicates, (long long)answer->gaps,
             (long long)answer->generations);
-  if (options->text)
+  if (options->show_text)
     print_text (answer);
   if (options->show_body)
     printf ("body=%s\n", answer->text == NULL ? "" : answer->text);
@@ -79,7 +82,7 @@
 {
   caller_t *caller = state;
 
-  caller_run (caller->options, caller->number, &caller->answer);
+  caller_send_with_retries (caller->options, caller->number, &caller->answer);
   return NULL;
 }
 
@@ -110,36 +113,36 @@
 }
 
 static void
-print_times (const caller_t *callers, size_t count)
+print_latencies (const caller_t *callers, size_t count)
 {
-  size_t gap_count = 0;
+  size_t interval_count = 0;
   size_t first_count = 0;
-  int64_t *first;
-  int64_t *gaps;
+  int64_t *first_us;
+  int64_t *intervals_us;
   size_t i;
 
   for (i = 0; i < count; i++)
-    gap_count += callers[i].answer.gap_count;
-  first = calloc (count + 1, sizeof *first);
-  gaps = calloc (gap_count + 1, sizeof *gaps);
-  if (first == NULL || gaps == NULL)
+    interval_count += callers[i].answer.interval_count;
+  first_us = calloc (count + 1, sizeof *first_us);
+  intervals_us = calloc (interval_count + 1, sizeof *intervals_us);
+  if (first_us == NULL || intervals_us == NULL)
     abort ();
-  gap_count = 0;
+  interval_count = 0;
   for (i = 0; i < count; i++)
     {
       const answer_t *answer = &callers[i].answer;
 
       if (answer->first_us >= 0)
-        first[first_count++] = answer->first_us;
-      if (answer->gap_count > 0)
-        memcpy (gaps + gap_count, answer->gaps_us,
-                answer->gap_count * sizeof *gaps);
-      gap_count += answer->gap_count;
+        first_us[first_count++] = answer->first_us;
+      if (answer->interval_count > 0)
+        memcpy (intervals_us + interval_count, answer->intervals_us,
+                answer->interval_count * sizeof *intervals_us);
+      interval_count += answer->interval_count;
     }
-  print_percentiles ("first", first, first_count);
-  print_percentiles ("gap", gaps, gap_count);
-  free (first);
-  free (gaps);
+  print_percentiles ("first", first_us, first_count);
+  print_percentiles ("gap", intervals_us, interval_count);
+  free (first_us);
+  free (intervals_us);
 }
 
 static void
@@ -171,7 +174,7 @@
           (long long)ran, (long long)may_have_run,
           (long long)(count - complete - not_run - ran - may_have_run),
           (long long)wrong, (long long)tokens);
-  print_times (callers, (size_t)count);
+  print_latencies (callers, (size_t)count);
   putchar ('\n');
 }
 
@@ -185,7 +188,7 @@
 
   pthread_attr_init (&attributes);
   pthread_attr_setstacksize (&attributes, STACK_BYTES);
-  for (i = 0; i < options->repeat; i++)
+  for (i = 0; i < options->concurrency; i++)
     {
       callers[i].options = options;
       callers[i].number = i;
@@ -195,7 +198,7 @@
         abort ();
       nanosleep (&stagger, NULL);
     }
-  for (i = 0; i < options->repeat; i++)
+  for (i = 0; i < options->concurrency; i++)
     pthread_join (callers[i].thread, NULL);
   pthread_attr_destroy (&attributes);
 }
@@ -209,15 +212,15 @@
 
   caller_read_options (&options, argc, argv);
   curl_global_init (CURL_GLOBAL_DEFAULT);
-  callers = calloc ((size_t)options.repeat, sizeof *callers);
+  callers = calloc ((size_t)options.concurrency, sizeof *callers);
   if (callers == NULL)
     abort ();
   run_callers (&options, callers);
-  if (options.repeat == 1)
+  if (options.concurrency == 1)
     print_answer (&options, &callers[0].answer);
   else
-    print_summary (callers, options.repeat);
-  for (i = 0; i < options.repeat; i++)
+    print_summary (callers, options.concurrency);
+  for (i = 0; i < options.concurrency; i++)
     answer_free (&callers[i].answer);
   free (callers);
   curl_global_cleanup ();
--- a/tests/standin/standin-engine.c
+++ b/tests/standin/standin-engine.c
@@ -1,4 +1,4 @@
-/* A model engine that keeps docs/ENGINE.md, for tests and the demo.  */
+/* A model engine that implements docs/ENGINE.md, for tests and the demo.  */
 
 #include "engine-http.h"
 
--- a/tests/standin/standin-hostile.c
+++ b/tests/standin/standin-hostile.c
@@ -9,40 +9,44 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* A caller that means harm, or is broken: sends on a bare socket what no HTTP
-   library would.
+/* A malicious or broken caller: sends over a plain socket what no HTTP library
+   would send.
 
-     standin-hostile PORT send         each row of the table, and its answer
+     standin-hostile PORT send         sends each request of the table and
+                                       prints its answer
      standin-hostile PORT hold COUNT KIND LIMIT_MS
-                                       COUNT connections that say nothing
-                                       (silent), half a head, half a body,
-                                       drip a body or read nothing (unread);
-                                       says how many the host ended  */
+                                       opens COUNT connections that send
+                                       nothing (silent), a part of the head
+                                       (head) or of the body (body), the body
+                                       byte by byte (drip), or that don't
+                                       read the answer (unread); prints how
+                                       many of them the host closed  */
 
 enum
 {
   ANSWER_BYTES = 65536,
-  ROOM_BYTES = 4 << 20,
+  MAX_REQUEST_BYTES = 4 << 20,
   ANSWER_LIMIT_S = 20,
-  MAX_HELD = 100,
-  DRIP_MS = 100
+  MAX_HELD_CONNECTIONS = 100,
+  DRIP_INTERVAL_MS = 100
 };
 
 #define POST(PATH)                                                            \
   "POST " PATH " HTTP/1.1\r\nHost: h\r\n"                                     \
   "Authorization: Bearer key-llanfair\r\n"
 #define COMPLETION POST ("/v1/completions")
-#define SERVICE POST ("/v1/services/leases/score")
-#define KEYED COMPLETION "X-Non-Idempotent: true\r\nContent-Length: 34\r\n"
-#define GOOD "{\"model\":\"m-small\",\"prompt\":\"hello\"}"
+#define SERVICE_CALL POST ("/v1/services/leases/score")
+#define NON_IDEMPOTENT                                                        \
+  COMPLETION "X-Non-Idempotent: true\r\nContent-Length: 34\r\n"
+#define VALID_BODY "{\"model\":\"m-small\",\"prompt\":\"hello\"}"
 #define X10 "xxxxxxxxxx"
 #define X100 X10 X10 X10 X10 X10 X10 X10 X10 X10 X10
 #define X1000 X100 X100 X100 X100 X100 X100 X100 X100 X100 X100
-#define SIZED(BYTES) COMPLETION "Content-Length: " #BYTES "\r\n\r\n"
+#define WITH_LENGTH(BYTES) COMPLETION "Content-Length: " #BYTES "\r\n\r\n"
 #define CHUNKED "Transfer-Encoding: chunked\r\n\r\n"
 
-/* What is sent: head, filler_count times filler, tail; then, with half_close,
-   the end of the caller's side.  */
+/* A request: head, then filler repeated filler_count times, then tail.  With
+   half_close the caller then shuts down its sending side.  */
 typedef struct
 {
   const char *name;
@@ -52,24 +56,24 @@
   size_t filler_count;
   const char *tail;
   bool half_close;
-} row_t;
+} hostile_request_t;
 
 #define TEXT(NAME, WHOLE)                                                     \
   {                                                                           \
     .name = NAME, .head = WHOLE, .head_bytes = sizeof WHOLE - 1               \
   }
-#define CUT(NAME, WHOLE)                                                      \
+#define HALF_CLOSED(NAME, WHOLE)                                              \
   {                                                                           \
     .name = NAME, .head = WHOLE, .head_bytes = sizeof WHOLE - 1,              \
     .half_close = true                                                        \
   }
-#define FILLED(NAME, START, FILLER, COUNT, END)                               \
+#define REPEATED(NAME, START, FILLER, COUNT, END)                             \
   {                                                                           \
     .name = NAME, .head = START, .head_bytes = sizeof START - 1,              \
     .filler = FILLER, .filler_count = COUNT, .tail = END                      \
   }
 
-static const row_t rows[] = {
+static const hostile_request_t requests[] = {
   TEXT ("no HTTP", "hello\r\n\r\n"),
   TEXT ("a TLS hello", "\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\r\n\r\n"),
   TEXT ("NUL bytes", "\0\0\0\0\r\n\r\n"),
@@ -91,110 +95,115 @@
   TEXT ("dot segments in the path",
         POST ("/v1/services/leases/a/%2e%2e/%2e%2e/b") "Content-Length: "
                                                        "0\r\n\r\n"),
-  FILLED ("a head over the limit", "GET /v1/models HTTP/1.1\r\nX-Long: ", X10,
-          4000, "\r\n\r\n"),
-  FILLED ("a path over the limit", "GET /", X10, 4000, " HTTP/1.1\r\n\r\n"),
-  FILLED ("1000 fields", "GET /v1/models HTTP/1.1\r\n", "A: b\r\n", 1000,
-          "\r\n"),
-  FILLED ("a key of 8000 bytes",
-          "GET /v1/models HTTP/1.1\r\nAuthorization: Bearer ", "secret-key",
-          800, "\r\n\r\n"),
-  TEXT ("a length below zero", SIZED (-1) GOOD),
-  TEXT ("a length that is no number", SIZED (many) GOOD),
-  TEXT ("a length over 64 bits", SIZED (99999999999999999999) GOOD),
-  TEXT ("a length over the limit", SIZED (2000000000) GOOD),
-  TEXT ("two lengths",
-        COMPLETION "Content-Length: 5\r\nContent-Length: 34\r\n\r\n" GOOD),
-  TEXT ("a length that is too short", SIZED (5) GOOD),
-  CUT ("a length that is too long", SIZED (500) GOOD),
-  FILLED ("a chunked body over the limit", COMPLETION CHUNKED,
-          "3e8\r\n" X1000 "\r\n", 1500, "0\r\n\r\n"),
+  REPEATED ("a head over the limit",
+            "GET /v1/models HTTP/1.1\r\nX-Long: ", X10, 4000, "\r\n\r\n"),
+  REPEATED ("a path over the limit", "GET /", X10, 4000, " HTTP/1.1\r\n\r\n"),
+  REPEATED ("1000 fields", "GET /v1/models HTTP/1.1\r\n", "A: b\r\n", 1000,
+            "\r\n"),
+  REPEATED ("a key of 8000 bytes",
+            "GET /v1/models HTTP/1.1\r\nAuthorization: Bearer ", "secret-key",
+            800, "\r\n\r\n"),
+  TEXT ("a length below zero", WITH_LENGTH (-1) VALID_BODY),
+  TEXT ("a length that is no number", WITH_LENGTH (many) VALID_BODY),
+  TEXT ("a length over 64 bits",
+        WITH_LENGTH (99999999999999999999) VALID_BODY),
+  TEXT ("a length over the limit", WITH_LENGTH (2000000000) VALID_BODY),
+  TEXT ("two lengths", COMPLETION
+        "Content-Length: 5\r\nContent-Length: 34\r\n\r\n" VALID_BODY),
+  TEXT ("a length that is too short", WITH_LENGTH (5) VALID_BODY),
+  HALF_CLOSED ("a length that is too long", WITH_LENGTH (500) VALID_BODY),
+  REPEATED ("a chunked body over the limit", COMPLETION CHUNKED,
+            "3e8\r\n" X1000 "\r\n", 1500, "0\r\n\r\n"),
   TEXT ("a chunk size that is no number",
-        COMPLETION CHUNKED "zz\r\n" GOOD "\r\n0\r\n\r\n"),
+        COMPLETION CHUNKED "zz\r\n" VALID_BODY "\r\n0\r\n\r\n"),
   TEXT ("a chunk size over 64 bits",
-        COMPLETION CHUNKED "ffffffffffffffffff\r\n" GOOD),
-  CUT ("chunks without an end", COMPLETION CHUNKED "22\r\n" GOOD "\r\n"),
-  CUT ("chunks without an end, to a service",
-       SERVICE CHUNKED "22\r\n" GOOD "\r\n"),
-  CUT ("a chunk cut in the middle", SERVICE CHUNKED "22\r\n{\"model\""),
-  FILLED ("deep nesting", COMPLETION CHUNKED, "a\r\n[[[[[[[[[[\r\n", 5000,
-          "0\r\n\r\n"),
+        COMPLETION CHUNKED "ffffffffffffffffff\r\n" VALID_BODY),
+  HALF_CLOSED ("chunks without an end",
+               COMPLETION CHUNKED "22\r\n" VALID_BODY "\r\n"),
+  HALF_CLOSED ("chunks without an end, to a service",
+               SERVICE_CALL CHUNKED "22\r\n" VALID_BODY "\r\n"),
+  HALF_CLOSED ("a chunk cut in the middle",
+               SERVICE_CALL CHUNKED "22\r\n{\"model\""),
+  REPEATED ("deep nesting", COMPLETION CHUNKED, "a\r\n[[[[[[[[[[\r\n", 5000,
+            "0\r\n\r\n"),
   TEXT ("a NUL in the body",
-        SIZED (37) "{\"model\":\"m-small\",\"prompt\":\"he\0llo!\"}"),
+        WITH_LENGTH (37) "{\"model\":\"m-small\",\"prompt\":\"he\0llo!\"}"),
   TEXT ("bad UTF-8",
-        SIZED (34) "{\"model\":\"m-small\",\"prompt\":\"h\xff\xfelo\"}"),
-  TEXT ("a huge number", SIZED (52) "{\"model\":\"m-small\",\"prompt\":\"x\","
-                                    "\"max_tokens\":1e99999}"),
-  TEXT ("a key with control characters",
-        KEYED "Idempotency-Key: secret-\x01\x1b[2J\r\n\r\n" GOOD),
+        WITH_LENGTH (34) "{\"model\":\"m-small\",\"prompt\":\"h\xff\xfelo\"}"),
+  TEXT ("a huge number",
+        WITH_LENGTH (52) "{\"model\":\"m-small\",\"prompt\":\"x\","
+                         "\"max_tokens\":1e99999}"),
+  TEXT ("a key with control characters", NON_IDEMPOTENT
+        "Idempotency-Key: secret-\x01\x1b[2J\r\n\r\n" VALID_BODY),
   TEXT ("a key that is no UTF-8",
-        KEYED "Idempotency-Key: secret-\xff\xfe\r\n\r\n" GOOD),
-  FILLED ("a key for once of 3000 bytes",
-          KEYED "Idempotency-Key: ", "secret-key", 300, "\r\n\r\n" GOOD),
-  TEXT ("a class that is no UTF-8",
-        COMPLETION "X-Class: \xff\xfe\r\nContent-Length: 34\r\n\r\n" GOOD),
+        NON_IDEMPOTENT "Idempotency-Key: secret-\xff\xfe\r\n\r\n" VALID_BODY),
+  REPEATED ("a key for once of 3000 bytes", NON_IDEMPOTENT "Idempotency-Key: ",
+            "secret-key", 300, "\r\n\r\n" VALID_BODY),
+  TEXT ("a class that is no UTF-8", COMPLETION
+        "X-Class: \xff\xfe\r\nContent-Length: 34\r\n\r\n" VALID_BODY),
 };
 
 static int
-open_link (uint16_t port, int room_bytes)
+open_connection (uint16_t port, int receive_buffer_bytes)
 {
   struct sockaddr_in to = { .sin_family = AF_INET, .sin_port = htons (port) };
   struct timeval limit = { .tv_sec = ANSWER_LIMIT_S };
-  int link = socket (AF_INET, SOCK_STREAM, 0);
+  int fd = socket (AF_INET, SOCK_STREAM, 0);
 
   to.sin_addr.s_addr = htonl (INADDR_LOOPBACK);
-  if (room_bytes != 0)
-    setsockopt (link, SOL_SOCKET, SO_RCVBUF, &room_bytes, sizeof room_bytes);
-  setsockopt (link, SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof limit);
-  setsockopt (link, SOL_SOCKET, SO_SNDTIMEO, &limit, sizeof limit);
-  if (connect (link, (struct sockaddr *)&to, sizeof to) != 0)
+  if (receive_buffer_bytes != 0)
+    setsockopt (fd, SOL_SOCKET, SO_RCVBUF, &receive_buffer_bytes,
+                sizeof receive_buffer_bytes);
+  setsockopt (fd, SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof limit);
+  setsockopt (fd, SOL_SOCKET, SO_SNDTIMEO, &limit, sizeof limit);
+  if (connect (fd, (struct sockaddr *)&to, sizeof to) != 0)
     {
       perror ("connect");
       exit (1);
     }
-  return link;
+  return fd;
 }
 
-/* Sends as much as the host takes.  */
+/* Sends all data, or as much as the host accepts.  */
 static void
-send_all (int link, const char *data, size_t size_bytes)
+send_all (int fd, const char *data, size_t size_bytes)
 {
   ssize_t sent;
 
   for (; size_bytes > 0; size_bytes -= (size_t)sent, data += sent)
     {
-      sent = send (link, data, size_bytes, MSG_NOSIGNAL);
+      sent = send (fd, data, size_bytes, MSG_NOSIGNAL);
       if (sent <= 0)
         return;
     }
 }
 
 static void
-send_row (int link, const row_t *row)
+send_hostile_request (int fd, const hostile_request_t *request)
 {
-  char *data = malloc (ROOM_BYTES);
-  size_t size_bytes = row->head_bytes;
+  char *data = malloc (MAX_REQUEST_BYTES);
+  size_t size_bytes = request->head_bytes;
   size_t i;
 
-  memcpy (data, row->head, size_bytes);
-  for (i = 0; i < row->filler_count; i++)
+  memcpy (data, request->head, size_bytes);
+  for (i = 0; i < request->filler_count; i++)
     {
-      memcpy (data + size_bytes, row->filler, strlen (row->filler));
-      size_bytes += strlen (row->filler);
+      memcpy (data + size_bytes, request->filler, strlen (request->filler));
+      size_bytes += strlen (request->filler);
     }
-  if (row->tail != NULL)
+  if (request->tail != NULL)
     {
-      memcpy (data + size_bytes, row->tail, strlen (row->tail));
-      size_bytes += strlen (row->tail);
+      memcpy (data + size_bytes, request->tail, strlen (request->tail));
+      size_bytes += strlen (request->tail);
     }
-  send_all (link, data, size_bytes);
-  if (row->half_close)
-    shutdown (link, SHUT_WR);
+  send_all (fd, data, size_bytes);
+  if (request->half_close)
+    shutdown (fd, SHUT_WR);
   free (data);
 }
 
 static const char *
-get_text (json_object *object, const char *name)
+get_string (json_object *object, const char *name)
 {
   json_object *member = NULL;
 
@@ -205,7 +214,7 @@
 }
 
 static void
-print_answer (const row_t *row, const char *answer)
+print_answer (const hostile_request_t *request, const char *answer)
 {
   const char *body = strstr (answer, "\r\n\r\n");
   json_object *document = body == NULL ? NULL : json_tokener_parse (body + 4);
@@ -214,51 +223,53 @@
 
   if (sscanf (answer, "HTTP/1.1 %d", &status) != 1)
     {
-      printf ("%s: closed\n", row->name);
+      printf ("%s: closed\n", request->name);
       return;
     }
   json_object_object_get_ex (document, "error", &error);
-  printf ("%s: status=%d verdict=%s reason=%s\n", row->name, status,
-          get_text (error, "verdict"), get_text (error, "code"));
+  printf ("%s: status=%d verdict=%s reason=%s\n", request->name, status,
+          get_string (error, "verdict"), get_string (error, "code"));
   json_object_put (document);
 }
 
 static void
-try_row (uint16_t port, const row_t *row)
+try_request (uint16_t port, const hostile_request_t *request)
 {
   char *answer = calloc (1, ANSWER_BYTES);
-  size_t got_bytes = 0;
-  ssize_t got = 1;
-  int link = open_link (port, 0);
+  size_t received_bytes = 0;
+  ssize_t received = 1;
+  int fd = open_connection (port, 0);
 
-  send_row (link, row);
-  while (got > 0 && got_bytes < ANSWER_BYTES - 1)
+  send_hostile_request (fd, request);
+  while (received > 0 && received_bytes < ANSWER_BYTES - 1)
     {
-      got = recv (link, answer + got_bytes, ANSWER_BYTES - 1 - got_bytes, 0);
-      if (got > 0)
-        got_bytes += (size_t)got;
+      received = recv (fd, answer + received_bytes,
+                       ANSWER_BYTES - 1 - received_bytes, 0);
+      if (received > 0)
+        received_bytes += (size_t)received;
     }
-  if (got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK))
-    printf ("%s: left waiting\n", row->name);
+  if (received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK))
+    printf ("%s: left waiting\n", request->name);
   else
-    print_answer (row, answer);
-  close (link);
+    print_answer (request, answer);
+  close (fd);
   free (answer);
 }
 
+/* A way to hold connections open.  */
 typedef struct
 {
   const char *name;
-  const char *text;
-  bool drips;
-  bool reads;
-} hold_t;
+  const char *text; /* sent first */
+  bool drips;       /* sends a byte every DRIP_INTERVAL_MS */
+  bool reads;       /* reads what the host sends */
+} hold_kind_t;
 
-static const hold_t holds[] = {
+static const hold_kind_t hold_kinds[] = {
   { "silent", "", false, true },
   { "head", COMPLETION, false, true },
-  { "body", SIZED (500) "{\"model\"", false, true },
-  { "drip", SIZED (50000) "{", true, true },
+  { "body", WITH_LENGTH (500) "{\"model\"", false, true },
+  { "drip", WITH_LENGTH (50000) "{", true, true },
   { "unread",
     COMPLETION "Content-Length: 59\r\n\r\n"
                "{\"model\":\"m-small\",\"stream\":true,"
@@ -266,74 +277,75 @@
     false, false },
 };
 
-static const hold_t *
-find_hold (const char *name)
+static const hold_kind_t *
+find_hold_kind (const char *name)
 {
   size_t i;
 
-  for (i = 0; i < sizeof holds / sizeof *holds; i++)
-    if (strcmp (holds[i].name, name) == 0)
-      return &holds[i];
+  for (i = 0; i < sizeof hold_kinds / sizeof *hold_kinds; i++)
+    if (strcmp (hold_kinds[i].name, name) == 0)
+      return &hold_kinds[i];
   fprintf (stderr, "no such kind: %s\n", name);
   exit (2);
 }
 
-/* Whether the host has ended the connection.  One that reads nothing sees it
-   by the reset only.  */
+/* Whether the host has closed the connection.  A caller that doesn't read
+   never gets to the end of the data, so that poll must report the reset.  */
 static bool
-is_ended (int link, const hold_t *hold)
+is_closed_by_host (int fd, const hold_kind_t *kind)
 {
-  struct pollfd event = { .fd = link, .events = POLLRDHUP };
+  struct pollfd event = { .fd = fd, .events = POLLRDHUP };
   char data[4096];
-  ssize_t got = 1;
+  ssize_t received = 1;
 
-  while (hold->reads && got > 0)
-    got = recv (link, data, sizeof data, MSG_DONTWAIT);
-  if (hold->reads && got == 0)
+  while (kind->reads && received > 0)
+    received = recv (fd, data, sizeof data, MSG_DONTWAIT);
+  if (kind->reads && received == 0)
     return true;
   poll (&event, 1, 0);
   return (event.revents & (POLLERR | POLLHUP | POLLRDHUP)) != 0;
 }
 
 static int
-count_ended (const int *links, int count, const hold_t *hold)
+count_closed (const int *fds, int count, const hold_kind_t *kind)
 {
-  int ended = 0;
+  int closed = 0;
   int i;
 
   for (i = 0; i < count; i++)
     {
-      if (hold->drips)
-        send (links[i], "x", 1, MSG_NOSIGNAL | MSG_DONTWAIT);
-      if (is_ended (links[i], hold))
-        ended++;
+      if (kind->drips)
+        send (fds[i], "x", 1, MSG_NOSIGNAL | MSG_DONTWAIT);
+      if (is_closed_by_host (fds[i], kind))
+        closed++;
     }
-  return ended;
+  return closed;
 }
 
 static void
-hold_links (uint16_t port, int count, const hold_t *hold, int64_t limit_ms)
+hold_connections (uint16_t port, int count, const hold_kind_t *kind,
+                  int64_t limit_ms)
 {
-  int links[MAX_HELD];
+  int fds[MAX_HELD_CONNECTIONS];
   int64_t until_ms = standin_now_ms () + limit_ms;
-  int ended = 0;
+  int closed = 0;
   int i;
 
   for (i = 0; i < count; i++)
     {
-      links[i] = open_link (port, hold->reads ? 0 : 4096);
-      send_all (links[i], hold->text, strlen (hold->text));
+      fds[i] = open_connection (port, kind->reads ? 0 : 4096);
+      send_all (fds[i], kind->text, strlen (kind->text));
     }
   printf ("held=%d\n", count);
   fflush (stdout);
-  while (ended < count && standin_now_ms () < until_ms)
+  while (closed < count && standin_now_ms () < until_ms)
     {
-      usleep (DRIP_MS * STANDIN_US_PER_MS);
-      ended = count_ended (links, count, hold);
+      usleep (DRIP_INTERVAL_MS * STANDIN_US_PER_MS);
+      closed = count_closed (fds, count, kind);
     }
-  printf ("ended=%d\n", ended);
+  printf ("ended=%d\n", closed);
   for (i = 0; i < count; i++)
-    close (links[i]);
+    close (fds[i]);
 }
 
 int
@@ -347,15 +359,15 @@
     return 2;
   port = (uint16_t)strtoul (argv[1], NULL, 10);
   if (strcmp (argv[2], "send") == 0)
-    for (i = 0; i < sizeof rows / sizeof *rows; i++)
-      try_row (port, &rows[i]);
+    for (i = 0; i < sizeof requests / sizeof *requests; i++)
+      try_request (port, &requests[i]);
   else if (strcmp (argv[2], "hold") == 0 && argc == 6)
     {
       count = (int)strtoul (argv[3], NULL, 10);
-      if (count > MAX_HELD)
+      if (count > MAX_HELD_CONNECTIONS)
         return 2;
-      hold_links (port, count, find_hold (argv[4]),
-                  (int64_t)strtoul (argv[5], NULL, 10));
+      hold_connections (port, count, find_hold_kind (argv[4]),
+                        (int64_t)strtoul (argv[5], NULL, 10));
     }
   else
     return 2;
--- a/tests/standin/standin-platform.c
+++ b/tests/standin/standin-platform.c
@@ -1,5 +1,5 @@
-/* The platform's configuration service and host list as docs/PLATFORM.md has
-   them, for tests and the demo.  */
+/* The platform's configuration service and host list as docs/PLATFORM.md
+   describes them, for tests and the demo.  */
 
 #include "platform-store.h"
 #include "server.h"
@@ -18,16 +18,17 @@
   char *answer = NULL;
 
   pthread_mutex_lock (&platform->lock);
-  platform->reads[after > 0 ? READ_CONFIG_WATCH : READ_CONFIG_FULL]++;
-  while (!platform->away && after > 0 && after == platform_revision (platform)
+  platform->read_counts[after > 0 ? READ_CONFIG_WATCH : READ_CONFIG_FULL]++;
+  while (!platform->unavailable && after > 0
+         && after == platform_get_revision (platform)
          && standin_now_ms () < until_ms)
     platform_wait (platform, until_ms);
-  if (!platform->away)
+  if (!platform->unavailable)
     answer = platform_read_config (platform, after);
   pthread_mutex_unlock (&platform->lock);
   if (answer == NULL)
-    return standin_cut (conn);
-  return standin_send_text (conn, answer);
+    return standin_drop_connection (conn);
+  return standin_send_json_text (conn, answer);
 }
 
 static int
@@ -40,19 +41,20 @@
   char *answer = NULL;
 
   pthread_mutex_lock (&platform->lock);
-  platform->reads[READ_HOSTS]++;
-  while (!platform->away && after > 0 && after == platform_version (platform)
+  platform->read_counts[READ_HOSTS]++;
+  while (!platform->unavailable && after > 0
+         && after == platform_get_host_list_version (platform)
          && standin_now_ms () < until_ms)
     platform_wait (platform, until_ms);
-  if (!platform->away)
+  if (!platform->unavailable)
     answer = platform_read_hosts (platform);
   pthread_mutex_unlock (&platform->lock);
   if (answer == NULL)
-    return standin_cut (conn);
-  return standin_send_text (conn, answer);
+    return standin_drop_connection (conn);
+  return standin_send_json_text (conn, answer);
 }
 
-/* The controls for tests take their change and answer with its number.  */
+/* Answer a test's change with its revision or version.  */
 static int
 send_number (struct mg_connection *conn, const char *name, int64_t number)
 {
@@ -70,19 +72,19 @@
 
   if (change == NULL)
     return standin_send_error (conn, 400, "", "not_an_object");
-  revision = platform_change (state, change);
+  revision = platform_add_change (state, change);
   return send_number (conn, "revision", revision);
 }
 
 static int
-handle_list (struct mg_connection *conn, void *state)
+handle_host_list (struct mg_connection *conn, void *state)
 {
   json_object *list = standin_read_json (conn);
   int64_t version;
 
   if (list == NULL)
     return standin_send_error (conn, 400, "", "not_an_object");
-  version = platform_set_hosts (state, list);
+  version = platform_add_host_list (state, list);
   return send_number (conn, "version", version);
 }
 
@@ -95,13 +97,14 @@
   if (mode == NULL)
     return standin_send_error (conn, 400, "", "not_an_object");
   pthread_mutex_lock (&platform->lock);
-  platform->away = standin_json_number (mode, "away", platform->away) != 0;
+  platform->unavailable
+      = standin_json_number (mode, "away", platform->unavailable) != 0;
   platform->stale_revision = standin_json_number (mode, "stale_revision", 0);
   platform->stale_version = standin_json_number (mode, "stale_version", 0);
   platform->lag_ms = standin_json_number (mode, "lag_ms", platform->lag_ms);
   platform->host_lag_ms
       = standin_json_number (mode, "host_lag_ms", platform->host_lag_ms);
-  pthread_cond_broadcast (&platform->news);
+  pthread_cond_broadcast (&platform->changed);
   pthread_mutex_unlock (&platform->lock);
   json_object_put (mode);
   return standin_send_json (conn, 200, "", json_object_new_object ());
@@ -110,21 +113,22 @@
 static int
 handle_counts (struct mg_connection *conn, void *state)
 {
-  static const char *const kinds[READ_KINDS]
+  static const char *const kinds[READ_KIND_COUNT]
       = { "config_full", "config_watch", "hosts" };
   platform_t *platform = state;
   json_object *answer = json_object_new_object ();
   int kind;
 
   pthread_mutex_lock (&platform->lock);
-  for (kind = 0; kind < READ_KINDS; kind++)
-    json_object_object_add (answer, kinds[kind],
-                            json_object_new_int64 (platform->reads[kind]));
+  for (kind = 0; kind < READ_KIND_COUNT; kind++)
+    json_object_object_add (
+        answer, kinds[kind],
+        json_object_new_int64 (platform->read_counts[kind]));
   pthread_mutex_unlock (&platform->lock);
   return standin_send_json (conn, 200, "", answer);
 }
 
-/* Load what "cowslipctl bundle" printed as one change.  */
+/* Load the output of "cowslipctl bundle" as one change.  */
 static bool
 load_bundle (platform_t *platform, const char *path)
 {
@@ -139,7 +143,7 @@
     }
   change = json_object_new_object ();
   json_object_object_add (change, "set", json_object_get (values));
-  platform_change (platform, change);
+  platform_add_change (platform, change);
   json_object_put (bundle);
   return true;
 }
@@ -152,13 +156,14 @@
           { "bundle", required_argument, NULL, 'b' },
           { "host-lag-ms", required_argument, NULL, 'l' },
           { NULL, 0, NULL, 0 } };
-  static const standin_route_t routes[] = { { "/v1/config$", handle_config },
-                                            { "/v1/hosts$", handle_hosts },
-                                            { "/test/config$", handle_change },
-                                            { "/test/hosts$", handle_list },
-                                            { "/test/mode$", handle_mode },
-                                            { "/test/counts$", handle_counts },
-                                            { NULL, NULL } };
+  static const standin_route_t routes[]
+      = { { "/v1/config$", handle_config },
+          { "/v1/hosts$", handle_hosts },
+          { "/test/config$", handle_change },
+          { "/test/hosts$", handle_host_list },
+          { "/test/mode$", handle_mode },
+          { "/test/counts$", handle_counts },
+          { NULL, NULL } };
   static platform_t platform;
   int64_t port = 0;
   int option;
--- a/tests/standin/standin-service.c
+++ b/tests/standin/standin-service.c
@@ -1,4 +1,4 @@
-/* A plain service that counts its calls, for tests and the demo.  */
+/* A plain service that logs its calls, for tests and the demo.  */
 
 #include "server.h"
 
@@ -12,7 +12,7 @@
 typedef enum
 {
   SERVICE_FAULT_DELAY,  /* runs the call, answers for_ms later */
-  SERVICE_FAULT_CUT,    /* runs the call, ends the link without an answer */
+  SERVICE_FAULT_CUT,    /* runs the call, closes without an answer */
   SERVICE_FAULT_REFUSE, /* 503 with X-Verdict: not run */
   SERVICE_FAULT_FAIL,   /* runs the call, answers 500 */
   SERVICE_FAULT_COUNT
@@ -26,21 +26,22 @@
   pthread_mutex_t lock;
   const char *name;
   json_object *calls;
-  int64_t left[SERVICE_FAULT_COUNT];
-  int64_t for_ms;
+  int64_t remaining[SERVICE_FAULT_COUNT]; /* calls that still get each fault */
+  int64_t for_ms;                         /* of the delay */
 } service_t;
 
+/* True when a fault applies to this call; counts the fault down.  */
 static bool
 take_fault (service_t *service, service_fault_t fault)
 {
-  bool taken = service->left[fault] > 0;
+  bool taken = service->remaining[fault] > 0;
 
   if (taken)
-    service->left[fault]--;
+    service->remaining[fault]--;
   return taken;
 }
 
-/* Note a call that runs; returns its number.  */
+/* Log a call that runs; returns its number.  */
 static int64_t
 log_call (service_t *service, struct mg_connection *conn, const char *body)
 {
@@ -100,7 +101,7 @@
   pthread_mutex_unlock (&service->lock);
   nanosleep (&delay, NULL);
   if (cut)
-    status = standin_cut (conn);
+    status = standin_drop_connection (conn);
   else if (status == 200)
     status = answer_call (service, conn, number, body == NULL ? "" : body);
   else
@@ -123,7 +124,7 @@
   for (fault = 0; fault < SERVICE_FAULT_COUNT; fault++)
     if (strcmp (op, fault_names[fault]) == 0)
       {
-        service->left[fault] = standin_json_number (json, "count", 1);
+        service->remaining[fault] = standin_json_number (json, "count", 1);
         service->for_ms = standin_json_number (json, "for_ms", 0);
         break;
       }
