--- a/tests/soak/short.sh
+++ b/tests/soak/short.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# A short soak for each line of tests/soak/seeds: real gateways under faults,
-# with what callers and servers see held against the promises of the pages.
-# Reports like a check program, so tests/run.sh counts it.
+# Runs a short soak for each line of tests/soak/seeds: real gateways under
+# faults, checked against the documented guarantees.  Reports its result in the
+# format of a check program, so tests/run.sh counts it.
 BUILD=${BUILD:-build/plain}
 here=$(dirname "$0")
 work=$(mktemp -d "$BUILD/soak.XXXXXX")
--- a/tests/soak/soak-announce.c
+++ b/tests/soak/soak-announce.c
@@ -3,25 +3,27 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* What servers say of themselves in their answers: that they leave, before the
-   store says so, and for how long a host is to send them nothing.  Their draws
-   are their own.  */
+/* What servers announce in their answers: that they are leaving, before the
+   store lists them as leaving, and for how long a host shall send them
+   nothing.  These faults use a random generator of their own, so that they
+   don't change the other faults of a seed.  */
 
 enum
 {
-  QUIET_START_MS = 3000,
-  /* A tick is 100 ms.  */
-  LEAVES_OF_1000 = 15,
-  SWAMPED_OF_1000 = 40,
+  FAULT_FREE_START_MS = 3000,
+  /* Chances for each tick of 100 ms.  */
+  LEAVE_PER_MILLE = 15,
+  OVERLOAD_PER_MILLE = 40,
   PER_MILLE = 1000,
-  OTHERS_LEAST = 2,
-  UNTOLD_LEAST_MS = 2500,
-  UNTOLD_SPREAD_MS = 3000,
+  OTHER_SERVERS_MIN = 2,
+  LISTING_DELAY_MIN_MS = 2500,
+  LISTING_DELAY_SPREAD_MS = 3000,
   LEAVES_FOR_MS = 2500,
-  SWAMPED_LEAST_MS = 300,
-  SWAMPED_SPREAD_MS = 2500,
-  /* Requests that were on their way when it asked for the wait.  */
-  ON_WAY_MS = 500,
+  OVERLOAD_MIN_MS = 300,
+  OVERLOAD_SPREAD_MS = 2500,
+  /* Requests that were already sent when the server asked for the wait may
+     still arrive for this long.  */
+  IN_FLIGHT_MS = 500,
   ARRIVALS_MAX = 2
 };
 
@@ -34,12 +36,15 @@
 const char *
 server_leaving_field (const server_t *server)
 {
-  bool leaves = server->state == SERVER_LEAVING || server->untold_until_ms > 0;
+  bool leaves
+      = server->state == SERVER_LEAVING || server->leave_listed_at_ms > 0;
 
-  return server->soak->announces && leaves ? "Server-Leaving: 1\r\n" : "";
+  return server->soak->announce_enabled && leaves ? "Server-Leaving: 1\r\n"
+                                                  : "";
 }
 
-/* A ready server of a service that keeps enough others; NULL where none.  */
+/* Picks a ready server whose service keeps enough other ready servers; NULL
+   if the one drawn doesn't qualify.  */
 static server_t *
 draw_server (soak_t *soak)
 {
@@ -50,15 +55,16 @@
 
   for (i = 0; i < soak->server_count; i++)
     others += soak->servers[i]->state == SERVER_READY
-              && soak->servers[i]->untold_until_ms == 0
+              && soak->servers[i]->leave_listed_at_ms == 0
               && strcmp (soak->servers[i]->service, server->service) == 0;
-  return server->state == SERVER_READY && server->untold_until_ms == 0
-                 && others > OTHERS_LEAST
+  return server->state == SERVER_READY && server->leave_listed_at_ms == 0
+                 && others > OTHER_SERVERS_MIN
              ? server
              : NULL;
 }
 
-/* It says so in its answers; the store is told some seconds later.  */
+/* The server announces at once in its answers that it is leaving; the store
+   lists it as leaving some seconds later.  */
 static void
 begin_leaving (soak_t *soak, uint64_t now_ms)
 {
@@ -67,30 +73,32 @@
   if (server == NULL)
     return;
   soak->faults++;
-  server->untold_until_ms
-      = now_ms + UNTOLD_LEAST_MS
-        + csp_random_below (&soak->announce_random, UNTOLD_SPREAD_MS);
-  soak_note (soak, "%s leaves, and says so in its answers alone", server->id);
+  server->leave_listed_at_ms
+      = now_ms + LISTING_DELAY_MIN_MS
+        + csp_random_below (&soak->announce_random, LISTING_DELAY_SPREAD_MS);
+  soak_log_event (soak, "%s announces in its answers alone that it leaves",
+                  server->id);
   server_open (soak, server->service);
 }
 
 static void
-begin_swamped (soak_t *soak, uint64_t now_ms)
+begin_overload (soak_t *soak, uint64_t now_ms)
 {
   server_t *server = draw_server (soak);
 
   if (server == NULL)
     return;
   soak->faults++;
-  server->swamped_until_ms
-      = now_ms + SWAMPED_LEAST_MS
-        + csp_random_below (&soak->announce_random, SWAMPED_SPREAD_MS);
-  soak_note (soak, "%s is swamped until %.1f s", server->id,
-             (double)(server->swamped_until_ms - soak->began_ms) / 1000);
+  server->overloaded_until_ms
+      = now_ms + OVERLOAD_MIN_MS
+        + csp_random_below (&soak->announce_random, OVERLOAD_SPREAD_MS);
+  soak_log_event (soak, "%s is overloaded until %.1f s", server->id,
+                  (double)(server->overloaded_until_ms - soak->began_ms)
+                      / 1000);
 }
 
 static void
-tell_store (soak_t *soak, uint64_t now_ms)
+list_due_leaves (soak_t *soak, uint64_t now_ms)
 {
   size_t i;
 
@@ -98,8 +106,8 @@
     {
       server_t *server = soak->servers[i];
 
-      if (server->state == SERVER_READY && server->untold_until_ms > 0
-          && (soak->quiet_end || now_ms >= server->untold_until_ms))
+      if (server->state == SERVER_READY && server->leave_listed_at_ms > 0
+          && (soak->faults_ended || now_ms >= server->leave_listed_at_ms))
         server_leave (server, LEAVES_FOR_MS, false);
     }
 }
@@ -109,101 +117,114 @@
 {
   uint64_t now_ms = soak_now_ms (soak);
 
-  if (!soak->announces || now_ms < soak->began_ms + QUIET_START_MS)
+  if (!soak->announce_enabled || now_ms < soak->began_ms + FAULT_FREE_START_MS)
     return;
-  tell_store (soak, now_ms);
-  if (soak->quiet_end)
+  list_due_leaves (soak, now_ms);
+  if (soak->faults_ended)
     return;
-  if (csp_random_below (&soak->announce_random, PER_MILLE) < LEAVES_OF_1000)
+  if (csp_random_below (&soak->announce_random, PER_MILLE) < LEAVE_PER_MILLE)
     begin_leaving (soak, now_ms);
-  if (csp_random_below (&soak->announce_random, PER_MILLE) < SWAMPED_OF_1000)
-    begin_swamped (soak, now_ms);
+  if (csp_random_below (&soak->announce_random, PER_MILLE)
+      < OVERLOAD_PER_MILLE)
+    begin_overload (soak, now_ms);
 }
 
-/* What a server has told one start of a host.  */
-static announced_t *
-announced_to (server_t *server, size_t host)
+/* What a server has announced to the current process of a host.  */
+static announcements_t *
+find_announcements (server_t *server, size_t host)
 {
   soak_t *soak = server->soak;
-  announced_t *told;
+  announcements_t *announcements;
 
-  if (server->announced == NULL)
-    server->announced = calloc (soak->host_count, sizeof *server->announced);
-  if (server->announced == NULL)
+  if (server->announcements == NULL)
+    server->announcements
+        = calloc (soak->host_count, sizeof *server->announcements);
+  if (server->announcements == NULL)
     abort ();
-  told = &server->announced[host];
-  if (told->boot != soak->hosts[host].boot)
-    *told = (announced_t){ .boot = soak->hosts[host].boot };
-  return told;
+  announcements = &server->announcements[host];
+  if (announcements->incarnation != soak->hosts[host].incarnation)
+    *announcements
+        = (announcements_t){ .incarnation = soak->hosts[host].incarnation };
+  return announcements;
 }
 
-/* Whether its link or its host has had a fault since.  */
+/* Whether the server's connections or the host have been disturbed by a
+   fault since then.  */
 static bool
-is_excused (const server_t *server, const host_t *host, uint64_t since_ms)
+was_disturbed_since (const server_t *server, const host_t *host,
+                     uint64_t since_ms)
 {
-  return server->disturbed_until_ms > since_ms || host->stopped
-         || host->frozen_ms >= since_ms;
+  return server->disturbed_until_ms > since_ms || host->paused
+         || host->pause_changed_ms >= since_ms;
 }
 
 void
-announce_passed_on (soak_t *soak, const request_t *request,
-                    const wire_message_t *head)
+announce_head_delivered (soak_t *soak, const request_t *request,
+                         const wire_message_t *head)
 {
-  announced_t *told;
+  announcements_t *announcements;
 
   if (wire_field (head, "Server-Leaving") == NULL || request->server == NULL)
     return;
-  told = announced_to ((server_t *)request->server, request->host);
-  if (told->leaving_ms == 0 && request->host_boot == told->boot)
-    told->leaving_ms = soak_now_ms (soak);
+  announcements
+      = find_announcements ((server_t *)request->server, request->host);
+  if (announcements->leaving_ms == 0
+      && request->host_incarnation == announcements->incarnation)
+    announcements->leaving_ms = soak_now_ms (soak);
 }
 
 static void
-check_leaving (const server_t *server, const announced_t *told,
+check_leaving (const server_t *server, const announcements_t *announcements,
                const request_t *request, const char *id)
 {
   soak_t *soak = server->soak;
 
-  if (told->leaving_ms == 0 || request->host_boot != told->boot
-      || request->sent_ms <= told->leaving_ms + SOAK_DRAIN_MS
-      || is_excused (server, &soak->hosts[request->host], told->leaving_ms))
+  if (announcements->leaving_ms == 0
+      || request->host_incarnation != announcements->incarnation
+      || request->sent_ms <= announcements->leaving_ms + SOAK_DRAIN_MS
+      || was_disturbed_since (server, &soak->hosts[request->host],
+                              announcements->leaving_ms))
     return;
-  soak_violation (soak, "DRAIN",
-                  "%s reached %s %llu ms behind an answer that said that it "
-                  "leaves",
-                  id, server->id,
-                  (unsigned long long)(soak_now_ms (soak) - told->leaving_ms));
+  soak_report_violation (
+      soak, "DRAIN",
+      "%s reached %s %llu ms after an answer that announced that it "
+      "leaves",
+      id, server->id,
+      (unsigned long long)(soak_now_ms (soak) - announcements->leaving_ms));
 }
 
 static void
-check_wait (const server_t *server, announced_t *told,
+check_wait (const server_t *server, announcements_t *announcements,
             const request_t *request, const char *id)
 {
   soak_t *soak = server->soak;
   uint64_t now_ms = soak_now_ms (soak);
 
-  if (now_ms <= told->wait_from_ms + ON_WAY_MS || now_ms >= told->wait_until_ms
-      || is_excused (server, &soak->hosts[request->host], told->wait_from_ms)
-      || ++told->arrivals != ARRIVALS_MAX + 1)
+  if (now_ms <= announcements->wait_from_ms + IN_FLIGHT_MS
+      || now_ms >= announcements->wait_until_ms
+      || was_disturbed_since (server, &soak->hosts[request->host],
+                              announcements->wait_from_ms)
+      || ++announcements->arrivals != ARRIVALS_MAX + 1)
     return;
-  soak_violation (soak, "BUDGET", "%s is the third at %s within its wait", id,
-                  server->id);
+  soak_report_violation (soak, "BUDGET",
+                         "%s is the third to reach %s within its Retry-After",
+                         id, server->id);
 }
 
-/* Turn it away for a while, some of it in fractions.  */
+/* Refuses the request with Retry-After, in fractions of a second.  */
 static void
-ask_to_wait (server_t *server, announced_t *told, wire_t *wire)
+ask_to_wait (server_t *server, announcements_t *announcements, wire_t *wire)
 {
   uint64_t now_ms = soak_now_ms (server->soak);
-  uint64_t wait_ms = server->swamped_until_ms - now_ms;
+  uint64_t wait_ms = server->overloaded_until_ms - now_ms;
 
-  if (now_ms >= told->wait_until_ms)
+  if (now_ms >= announcements->wait_until_ms)
     {
-      told->wait_from_ms = now_ms;
-      told->arrivals = 0;
+      announcements->wait_from_ms = now_ms;
+      announcements->arrivals = 0;
     }
-  if (now_ms + wait_ms > told->wait_until_ms)
-    told->wait_until_ms = now_ms + wait_ms;
+  if (now_ms + wait_ms > announcements->wait_until_ms)
+    announcements->wait_until_ms = now_ms + wait_ms;
   wire_print (wire,
               "HTTP/1.1 503 Swamped\r\nX-Not-Executed: 1\r\n%s"
               "Retry-After: %.3f\r\nContent-Length: 0\r\n\r\n",
@@ -211,22 +232,22 @@
 }
 
 bool
-announce_turns_away (server_t *server, wire_t *wire,
-                     const wire_message_t *message)
+announce_refuse_request (server_t *server, wire_t *wire,
+                         const wire_message_t *message)
 {
   const char *id = wire_field (message, "X-Attempt-Id");
   soak_t *soak = server->soak;
   const request_t *request = ledger_find (soak, id);
-  announced_t *told;
+  announcements_t *announcements;
 
-  if (!soak->announces || request == NULL
-      || request->host_boot != soak->hosts[request->host].boot)
+  if (!soak->announce_enabled || request == NULL
+      || request->host_incarnation != soak->hosts[request->host].incarnation)
     return false;
-  told = announced_to (server, request->host);
-  check_leaving (server, told, request, id);
-  check_wait (server, told, request, id);
-  if (soak_now_ms (soak) >= server->swamped_until_ms)
+  announcements = find_announcements (server, request->host);
+  check_leaving (server, announcements, request, id);
+  check_wait (server, announcements, request, id);
+  if (soak_now_ms (soak) >= server->overloaded_until_ms)
     return false;
-  ask_to_wait (server, told, wire);
+  ask_to_wait (server, announcements, wire);
   return true;
 }
--- a/tests/soak/soak-caller.c
+++ b/tests/soak/soak-caller.c
@@ -4,39 +4,40 @@
 #include <string.h>
 
 /* Callers: each has one connection at a time and sends one request after
-   another on it, to a host that the balancer would give it.  */
+   another on it, to a host that a load balancer would choose.  */
 
 enum
 {
-  PAUSE_LEAST_MS = 10,
+  PAUSE_MIN_MS = 10,
   PAUSE_SPREAD_MS = 300,
-  TIME_LEFT_PLAIN_MS = 2500,
-  TIME_LEFT_STREAM_MS = 15000,
-  /* A host that answers nothing until then is late.  */
-  LATE_MS = 1000,
-  KEEP_PER_CENT = 85,
-  LEAVE_PER_CENT = 6,
-  LEAVE_SPREAD_MS = 700,
-  LATE_ALLOWED = 8,
+  PLAIN_TIMEOUT_MS = 2500,
+  STREAM_TIMEOUT_MS = 15000,
+  /* An answer that hasn't come this long after the request's deadline is
+     late.  */
+  LATE_MARGIN_MS = 1000,
+  KEEP_ALIVE_PER_CENT = 85,
+  HANG_UP_PER_CENT = 6,
+  HANG_UP_SPREAD_MS = 700,
+  LATE_ANSWERS_MAX = 8,
   PER_CENT = 100
 };
 
 typedef struct
 {
-  callers_t *all;
+  callers_t *group;
   soak_t *soak;
   uv_timer_t timer;
   wire_t *wire;
   size_t host;
-  uint32_t host_boot;
+  uint32_t host_incarnation;
   request_t *request;
   char id[SOAK_ID_BYTES];
-  bool leaves;
+  bool hangs_up;
   /* The answer.  */
   uint16_t status;
   bool chunked;
   bool closes;
-  bool signed_well;
+  bool signature_matches;
   size_t text_bytes;
   char text[WIRE_BODY_BYTES];
 } caller_t;
@@ -45,7 +46,7 @@
 {
   soak_t *soak;
   bool stopping;
-  uint32_t late;
+  uint32_t late_answers;
   size_t count;
   caller_t *callers;
 };
@@ -53,26 +54,27 @@
 static void on_timer (uv_timer_t *timer);
 
 static void
-rest (caller_t *caller)
+schedule_next_request (caller_t *caller)
 {
   uint32_t pause_ms
-      = PAUSE_LEAST_MS
+      = PAUSE_MIN_MS
         + csp_random_below (&caller->soak->random, PAUSE_SPREAD_MS);
 
   caller->request = NULL;
-  if (!caller->all->stopping)
+  if (!caller->group->stopping)
     uv_timer_start (&caller->timer, on_timer, pause_ms, 0);
 }
 
 static void
-hang_up (caller_t *caller)
+close_connection (caller_t *caller)
 {
   if (caller->wire != NULL)
     wire_close (caller->wire);
   caller->wire = NULL;
 }
 
-/* The answer is over; closed: with its connection, and not as it says.  */
+/* Checks a finished answer.  closed: the connection ended before the framing
+   said that the answer was complete.  */
 static void
 check_answer (caller_t *caller, bool closed)
 {
@@ -83,22 +85,24 @@
   if (closed || caller->status / 100 != 2)
     return;
   ledger_body (caller->id, body);
-  if (!caller->signed_well)
-    soak_violation (soak, "MIXED", "%s: a success without its signature",
-                    caller->id);
+  if (!caller->signature_matches)
+    soak_report_violation (
+        soak, "MIXED", "%s: a success without a valid signature", caller->id);
   if (request->kind == KIND_STREAM)
     {
       request->complete = request->events == request->length;
       if (!request->complete)
-        soak_violation (soak, "ORDER", "%s ends well behind event %u of %u",
-                        caller->id, request->events, request->length);
+        soak_report_violation (soak, "ORDER",
+                               "%s ends without an error after event %u of %u",
+                               caller->id, request->events, request->length);
     }
   else if (strcmp (caller->text, body) != 0)
-    soak_violation (soak, "MIXED", "%s: got \"%s\"", caller->id, caller->text);
+    soak_report_violation (soak, "MIXED", "%s: got \"%s\"", caller->id,
+                           caller->text);
 }
 
 static void
-finish (caller_t *caller, bool closed)
+finish_request (caller_t *caller, bool closed)
 {
   soak_t *soak = caller->soak;
   request_t *request = caller->request;
@@ -110,14 +114,14 @@
   if (!closed
       && (caller->status == 401 || caller->status == 403
           || caller->status == 404 || caller->status == 400))
-    soak_violation (soak, "DENIED", "%s got %u from %s", caller->id,
-                    caller->status, host->name);
+    soak_report_violation (soak, "DENIED", "%s got %u from %s", caller->id,
+                           caller->status, host->name);
   if (closed)
     ledger_cut (soak, request, caller->id);
   if (caller->closes || closed
-      || csp_random_below (&soak->random, PER_CENT) >= KEEP_PER_CENT)
-    hang_up (caller);
-  rest (caller);
+      || csp_random_below (&soak->random, PER_CENT) >= KEEP_ALIVE_PER_CENT)
+    close_connection (caller);
+  schedule_next_request (caller);
 }
 
 static void
@@ -130,23 +134,25 @@
 
   if (caller->request == NULL)
     {
-      soak_violation (caller->soak, "MIXED", "an answer that nobody awaits");
+      soak_report_violation (caller->soak, "MIXED",
+                             "an answer without a request");
       return;
     }
-  announce_passed_on (caller->soak, caller->request, head);
+  announce_head_delivered (caller->soak, caller->request, head);
   caller->status = head->status;
   caller->closes = closes != NULL && strcmp (closes, "close") == 0;
-  caller->signed_well = id != NULL && strcmp (id, caller->id) == 0
-                        && signature != NULL
-                        && strcmp (signature + strlen ("s."), caller->id) == 0;
+  caller->signature_matches
+      = id != NULL && strcmp (id, caller->id) == 0 && signature != NULL
+        && strcmp (signature + strlen ("s."), caller->id) == 0;
   if (id != NULL && strcmp (id, caller->id) != 0)
-    soak_violation (caller->soak, "MIXED", "%s got the answer to %s",
-                    caller->id, id);
+    soak_report_violation (caller->soak, "MIXED", "%s got the answer to %s",
+                           caller->id, id);
 }
 
-/* Whole events at the front of what came: the next ones, and none else.  */
+/* Consumes complete events from the front of the buffer.  Each must be the
+   next event of the stream.  */
 static void
-take_events (caller_t *caller)
+consume_events (caller_t *caller)
 {
   request_t *request = caller->request;
   char event[128];
@@ -160,8 +166,9 @@
         return;
       if (strncmp (caller->text, event, size_bytes) != 0)
         {
-          soak_violation (caller->soak, "ORDER", "%s: behind event %u came %s",
-                          caller->id, request->events, caller->text);
+          soak_report_violation (caller->soak, "ORDER",
+                                 "%s: after event %u came %s", caller->id,
+                                 request->events, caller->text);
           caller->text_bytes = 0;
           return;
         }
@@ -181,8 +188,8 @@
     return;
   if (caller->text_bytes + size_bytes >= sizeof caller->text)
     {
-      soak_violation (caller->soak, "MIXED", "%s: an answer too long",
-                      caller->id);
+      soak_report_violation (caller->soak, "MIXED",
+                             "%s: the answer is too long", caller->id);
       caller->text_bytes = 0;
       return;
     }
@@ -190,7 +197,7 @@
   caller->text_bytes += size_bytes;
   caller->text[caller->text_bytes] = '\0';
   if (caller->request->kind == KIND_STREAM && caller->status == 200)
-    take_events (caller);
+    consume_events (caller);
 }
 
 static void
@@ -199,7 +206,7 @@
   caller_t *caller = wire_owner (wire);
 
   if (caller->request != NULL)
-    finish (caller, false);
+    finish_request (caller, false);
 }
 
 static void
@@ -209,7 +216,7 @@
 
   caller->wire = NULL;
   if (caller->request != NULL)
-    finish (caller, true);
+    finish_request (caller, true);
 }
 
 static const wire_events_t events = { .answered = on_answered,
@@ -217,7 +224,7 @@
                                       .ended = on_ended,
                                       .closed = on_closed };
 
-/* A host in rotation; where there is none, any.  */
+/* A random host in rotation; if there is none, any host.  */
 static size_t
 choose_host (soak_t *soak)
 {
@@ -230,7 +237,7 @@
   return first;
 }
 
-static kind_t
+static request_kind_t
 draw_kind (soak_t *soak)
 {
   uint32_t draw = csp_random_below (&soak->random, 10);
@@ -242,15 +249,15 @@
 send_request (caller_t *caller)
 {
   soak_t *soak = caller->soak;
-  kind_t kind = draw_kind (soak);
-  uint32_t left_ms
-      = kind == KIND_STREAM ? TIME_LEFT_STREAM_MS : TIME_LEFT_PLAIN_MS;
+  request_kind_t kind = draw_kind (soak);
+  uint32_t timeout_ms
+      = kind == KIND_STREAM ? STREAM_TIMEOUT_MS : PLAIN_TIMEOUT_MS;
   char body[WIRE_TEXT_BYTES];
 
   caller->request = ledger_add (soak, kind, caller->host, caller->id);
   if (caller->request == NULL)
     return;
-  caller->request->deadline_ms = caller->request->sent_ms + left_ms;
+  caller->request->deadline_ms = caller->request->sent_ms + timeout_ms;
   caller->status = 0;
   caller->closes = false;
   caller->text_bytes = 0;
@@ -261,7 +268,7 @@
                 "GET /safe/a?b=%%20c HTTP/1.1\r\nHost: h\r\n"
                 "X-Attempt-Id: %s\r\nX-Deadline-Ms: %u\r\n"
                 "X-Credential: key-a\r\n\r\n",
-                caller->id, left_ms);
+                caller->id, timeout_ms);
   else
     wire_print (caller->wire,
                 "POST %s HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: %s\r\n"
@@ -270,31 +277,32 @@
                 "X-Token-Usage: 1500,600\r\nX-Length-Hint: 300\r\n"
                 "Content-Length: %zu\r\n\r\n%s",
                 kind == KIND_ONCE ? "/once/a" : "/stream/a", caller->id,
-                left_ms, strlen (body), body);
-  caller->leaves
+                timeout_ms, strlen (body), body);
+  caller->hangs_up
       = kind == KIND_STREAM
-        && csp_random_below (&soak->random, PER_CENT) < LEAVE_PER_CENT;
+        && csp_random_below (&soak->random, PER_CENT) < HANG_UP_PER_CENT;
   uv_timer_start (&caller->timer, on_timer,
-                  caller->leaves
-                      ? csp_random_below (&soak->random, LEAVE_SPREAD_MS)
-                      : left_ms + LATE_MS,
+                  caller->hangs_up
+                      ? csp_random_below (&soak->random, HANG_UP_SPREAD_MS)
+                      : timeout_ms + LATE_MARGIN_MS,
                   0);
 }
 
-/* The request was not answered in time, or its caller has had enough.  */
+/* The request was not answered in time, or its caller hangs up on purpose.  */
 static void
-give_up (caller_t *caller)
+abandon_request (caller_t *caller)
 {
   soak_t *soak = caller->soak;
   host_t *host = &soak->hosts[caller->host];
 
-  caller->request->left_ms = soak_now_ms (soak);
-  if (!caller->leaves && host_in_touch (soak, host)
-      && ++caller->all->late > LATE_ALLOWED)
-    soak_violation (soak, "CONFIG", "%s: no final answer from %s in time",
-                    caller->id, host->name);
-  hang_up (caller);
-  rest (caller);
+  caller->request->hung_up_ms = soak_now_ms (soak);
+  if (!caller->hangs_up && host_is_undisturbed (soak, host)
+      && ++caller->group->late_answers > LATE_ANSWERS_MAX)
+    soak_report_violation (soak, "CONFIG",
+                           "%s: no final answer from %s in time", caller->id,
+                           host->name);
+  close_connection (caller);
+  schedule_next_request (caller);
 }
 
 static void
@@ -305,14 +313,15 @@
 
   if (caller->request != NULL)
     {
-      give_up (caller);
+      abandon_request (caller);
       return;
     }
   if (caller->wire == NULL)
     {
       caller->host = choose_host (soak);
-      caller->wire = wire_connect (
-          &soak->loop, &soak->hosts[caller->host].front, &events, caller);
+      caller->wire = wire_connect (&soak->loop,
+                                   &soak->hosts[caller->host].caller_address,
+                                   &events, caller);
     }
   send_request (caller);
 }
@@ -332,11 +341,11 @@
     {
       caller_t *caller = &callers->callers[i];
 
-      caller->all = callers;
+      caller->group = callers;
       caller->soak = soak;
       uv_timer_init (&soak->loop, &caller->timer);
       caller->timer.data = caller;
-      rest (caller);
+      schedule_next_request (caller);
     }
   return callers;
 }
@@ -350,6 +359,6 @@
   for (i = 0; i < callers->count; i++)
     {
       uv_timer_stop (&callers->callers[i].timer);
-      hang_up (&callers->callers[i]);
+      close_connection (&callers->callers[i]);
     }
 }
--- a/tests/soak/soak-host.c
+++ b/tests/soak/soak-host.c
@@ -8,30 +8,30 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-/* Gateways as processes: started, signalled by their numbers, and asked
-   whether they are ready as a balancer does.  */
+/* Gateways as child processes: starts them, signals them by process id, and
+   probes their readiness as a load balancer does.  */
 
 enum
 {
   RESTART_MS = 200,
-  ASK_MS = 1000,
-  MISSES_OUT = 2,
+  PROBE_MS = 1000,
+  FAILED_PROBES_MAX = 2,
   SEEDS = 3,
   SETTINGS_BYTES = 1024,
   PATH_BYTES = 300
 };
 
 bool
-host_in_touch (const soak_t *soak, const host_t *host)
+host_is_undisturbed (const soak_t *soak, const host_t *host)
 {
-  return host->pid != 0 && !host->stopped
+  return host->pid != 0 && !host->paused
          && soak_now_ms (soak) >= host->disturbed_until_ms;
 }
 
 void
-host_disturb (soak_t *soak, host_t *host, uint64_t for_ms)
+host_mark_disturbed (soak_t *soak, host_t *host, uint64_t for_ms)
 {
-  uint64_t until_ms = soak_now_ms (soak) + for_ms + SOAK_CONTACT_MS;
+  uint64_t until_ms = soak_now_ms (soak) + for_ms + SOAK_SETTLE_MS;
 
   if (until_ms > host->disturbed_until_ms)
     host->disturbed_until_ms = until_ms;
@@ -47,12 +47,13 @@
 
   if (file == NULL)
     abort ();
-  soak_print_address (&host->front, addresses[0]);
-  soak_print_address (&host->ready, addresses[1]);
-  soak_print_address (&host->peers, addresses[2]);
-  soak_print_address (&host->store, addresses[3]);
+  soak_print_address (&host->caller_address, addresses[0]);
+  soak_print_address (&host->ready_address, addresses[1]);
+  soak_print_address (&host->peer_address, addresses[2]);
+  soak_print_address (&host->store_address, addresses[3]);
   for (i = 0; i < SEEDS; i++)
-    soak_print_address (&soak->hosts[i % soak->host_count].peers, seeds[i]);
+    soak_print_address (&soak->hosts[i % soak->host_count].peer_address,
+                        seeds[i]);
   fprintf (
       file,
       "{\"host\":\"%s\",\"data_centre\":\"%s\",\"callers\":\"%s\","
@@ -66,9 +67,10 @@
   fclose (file);
 }
 
-/* In the child: standard output goes to the host's log.  */
+/* Runs in the child: redirects standard output and standard error to the
+   host's log and executes the gateway.  */
 static void
-become_host (const soak_t *soak, const host_t *host, const char *settings)
+exec_host (const soak_t *soak, const host_t *host, const char *settings)
 {
   char log[PATH_BYTES];
   int descriptor;
@@ -88,15 +90,15 @@
 
   snprintf (settings, sizeof settings, "%s/%s.json", soak->work, host->name);
   write_settings (soak, host, settings);
-  host->boot++;
-  host->flips_seen = 0;
-  host->stopped = false;
+  host->incarnation++;
+  host->switches_seen = 0;
+  host->paused = false;
   host->terminating = false;
   host->started_ms = soak_now_ms (soak);
-  host_disturb (soak, host, 0);
+  host_mark_disturbed (soak, host, 0);
   host->pid = fork ();
   if (host->pid == 0)
-    become_host (soak, host, settings);
+    exec_host (soak, host, settings);
   if (host->pid < 0)
     abort ();
 }
@@ -110,21 +112,21 @@
   switch (number)
     {
     case SIGSTOP:
-      host->stopped = true;
-      host->frozen_ms = soak_now_ms (soak);
-      host_disturb (soak, host, 0);
+      host->paused = true;
+      host->pause_changed_ms = soak_now_ms (soak);
+      host_mark_disturbed (soak, host, 0);
       break;
     case SIGCONT:
-      host->stopped = false;
-      host->frozen_ms = soak_now_ms (soak);
-      host_disturb (soak, host, 0);
+      host->paused = false;
+      host->pause_changed_ms = soak_now_ms (soak);
+      host_mark_disturbed (soak, host, 0);
       break;
     case SIGTERM:
       host->terminating = true;
       host->terminated_ms = soak_now_ms (soak);
       break;
     case SIGKILL:
-      host_disturb (soak, host, 0);
+      host_mark_disturbed (soak, host, 0);
       break;
     default:
       break;
@@ -142,17 +144,18 @@
 
       if (host->pid != pid)
         continue;
-      /* SIGTERM ends a process by itself where it has only just begun.  */
+      /* SIGTERM kills a process that has not yet installed its handler.  */
       if (WIFSIGNALED (status) && WTERMSIG (status) != SIGKILL
               ? WTERMSIG (status) != SIGTERM
               : !WIFSIGNALED (status)
                     && (!host->terminating || WEXITSTATUS (status) != 0))
-        soak_violation (soak, "FAULT", "%s ended by itself: status %d",
-                        host->name, status);
+        soak_report_violation (soak, "FAULT",
+                               "%s exited unexpectedly: status %d", host->name,
+                               status);
       host->pid = 0;
       host->in_rotation = false;
       host->restart_at_ms = soak_now_ms (soak) + RESTART_MS;
-      host_disturb (soak, host, RESTART_MS);
+      host_mark_disturbed (soak, host, RESTART_MS);
     }
 }
 
@@ -163,80 +166,80 @@
   uv_timer_t timer;
   wire_t *wire;
   bool answered;
-} question_t;
+} probe_t;
 
 static void
-free_question (uv_handle_t *handle)
+free_probe (uv_handle_t *handle)
 {
   free (handle->data);
 }
 
 static void
-end_question (question_t *question, bool ready)
+finish_probe (probe_t *probe, bool ready)
 {
-  host_t *host = question->host;
+  host_t *host = probe->host;
 
-  if (question->wire != NULL)
-    wire_close (question->wire);
-  question->wire = NULL;
-  host->misses = ready ? 0 : (uint8_t)(host->misses + 1);
+  if (probe->wire != NULL)
+    wire_close (probe->wire);
+  probe->wire = NULL;
+  host->failed_probes = ready ? 0 : (uint8_t)(host->failed_probes + 1);
   if (ready)
     host->in_rotation = true;
-  else if (host->misses >= MISSES_OUT)
+  else if (host->failed_probes >= FAILED_PROBES_MAX)
     host->in_rotation = false;
-  uv_close ((uv_handle_t *)&question->timer, free_question);
+  uv_close ((uv_handle_t *)&probe->timer, free_probe);
 }
 
 static void
-on_ready_answered (wire_t *wire, const wire_message_t *head)
+on_probe_answered (wire_t *wire, const wire_message_t *head)
 {
-  question_t *question = wire_owner (wire);
+  probe_t *probe = wire_owner (wire);
 
-  question->answered = true;
-  end_question (question, head->status == 200);
+  probe->answered = true;
+  finish_probe (probe, head->status == 200);
 }
 
 static void
-on_ready_closed (wire_t *wire)
+on_probe_closed (wire_t *wire)
 {
-  question_t *question = wire_owner (wire);
+  probe_t *probe = wire_owner (wire);
 
-  question->wire = NULL;
-  if (!question->answered)
-    end_question (question, false);
+  probe->wire = NULL;
+  if (!probe->answered)
+    finish_probe (probe, false);
 }
 
 static void
-on_ready_late (uv_timer_t *timer)
+on_probe_timeout (uv_timer_t *timer)
 {
-  end_question (timer->data, false);
+  finish_probe (timer->data, false);
 }
 
 static void
-on_ready_end (wire_t *wire)
+on_probe_ended (wire_t *wire)
 {
   (void)wire;
 }
 
-static const wire_events_t ready_events = { .answered = on_ready_answered,
-                                            .ended = on_ready_end,
-                                            .closed = on_ready_closed };
+static const wire_events_t probe_events = { .answered = on_probe_answered,
+                                            .ended = on_probe_ended,
+                                            .closed = on_probe_closed };
 
 static void
-ask_ready (soak_t *soak, host_t *host)
+probe_readiness (soak_t *soak, host_t *host)
 {
-  question_t *question = calloc (1, sizeof *question);
+  probe_t *probe = calloc (1, sizeof *probe);
 
-  if (question == NULL)
+  if (probe == NULL)
     abort ();
-  question->soak = soak;
-  question->host = host;
-  uv_timer_init (&soak->loop, &question->timer);
-  question->timer.data = question;
-  uv_timer_start (&question->timer, on_ready_late, ASK_MS, 0);
-  question->wire
-      = wire_connect (&soak->loop, &host->ready, &ready_events, question);
-  wire_print (question->wire, "GET /readyz HTTP/1.1\r\nHost: h\r\n\r\n");
+  probe->soak = soak;
+  probe->host = host;
+  uv_timer_init (&soak->loop, &probe->timer);
+  probe->timer.data = probe;
+  uv_timer_start (&probe->timer, on_probe_timeout, PROBE_MS, 0);
+  probe->wire
+      = wire_connect (&soak->loop, &host->ready_address, &probe_events, probe);
+  wire_print (probe->wire, "GET /readyz HTTP/1.1\r\nHost: h\r\n\r\n");
 }
 
 void
@@ -246,26 +249,26 @@
 
   if (host->pid == 0 && now_ms >= host->restart_at_ms)
     host_start (soak, host);
-  if (host->stopped && now_ms >= host->continue_at_ms)
+  if (host->paused && now_ms >= host->continue_at_ms)
     host_signal (soak, host, SIGCONT);
   if (host->terminating && host->pid != 0
       && now_ms >= host->terminated_ms + SOAK_GRACE_MS)
     {
-      soak_note (soak, "%s is killed behind its grace", host->name);
+      soak_log_event (soak, "%s is killed after its grace period", host->name);
       host_signal (soak, host, SIGKILL);
     }
   if (proxy_mode (host->store_proxy) != PROXY_PASS
       && now_ms >= host->store_heals_ms)
     {
       proxy_set_mode (host->store_proxy, PROXY_PASS, 0);
-      host_disturb (soak, host, 0);
+      host_mark_disturbed (soak, host, 0);
     }
-  if (now_ms / ASK_MS != (now_ms - 100) / ASK_MS)
-    ask_ready (soak, host);
+  if (now_ms / PROBE_MS != (now_ms - 100) / PROBE_MS)
+    probe_readiness (soak, host);
 }
 
 void
-host_end_all (soak_t *soak)
+host_kill_all (soak_t *soak)
 {
   size_t i;
 
--- a/tests/soak/soak-ledger.c
+++ b/tests/soak/soak-ledger.c
@@ -3,31 +3,33 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* The promises of the pages, by request.  */
+/* Checks the documented guarantees for each request.  */
 
 enum
 {
   HEXADECIMAL = 16,
-  /* A run that goes on elsewhere may overlap with the old one by that much. */
+  /* A run that is resumed on another server may overlap with the old run for
+     this long.  */
   OVERLAP_MS = 400,
-  /* How long a server may work on behind its caller's leaving: half a second,
-     and what a busy machine adds.  */
-  LEFT_MS = 1500,
-  /* Requests may still be on their way by the version before for that long.
-   */
-  ROLLBACK_MS = 250,
-  /* The host counts from the request's first byte.  */
+  /* How long after its caller hung up a request may still start on a server:
+     half a second, and the delays of a busy machine.  */
+  CANCEL_LIMIT_MS = 1500,
+  /* Requests that were routed by the previous configuration may still arrive
+     for this long.  */
+  PREVIOUS_VERSION_MS = 250,
+  /* The host counts the deadline from the request's first byte.  */
   DEADLINE_MARGIN_MS = 200,
   GRACE_PARTS = 6,
   GRACE_FULL_PARTS = 5,
-  CUT_ALLOWED = 3,
-  LENGTH_LEAST = 5,
+  UNEXPLAINED_CUTS_MAX = 3,
+  LENGTH_MIN = 5,
   LENGTH_SPREAD = 120,
   PER_CENT = 100
 };
 
 request_t *
-ledger_add (soak_t *soak, kind_t kind, size_t host, char id[SOAK_ID_BYTES])
+ledger_add (soak_t *soak, request_kind_t kind, size_t host,
+            char id[SOAK_ID_BYTES])
 {
   request_t *request;
 
@@ -39,9 +41,9 @@
   soak->request_count++;
   request->kind = kind;
   request->host = (uint16_t)host;
-  request->host_boot = soak->hosts[host].boot;
+  request->host_incarnation = soak->hosts[host].incarnation;
   request->sent_ms = soak_now_ms (soak);
-  request->length = ledger_length (soak, id);
+  request->length = ledger_stream_length (soak, id);
   return request;
 }
 
@@ -74,17 +76,18 @@
 }
 
 uint32_t
-ledger_length (const soak_t *soak, const char *id)
+ledger_stream_length (const soak_t *soak, const char *id)
 {
   csp_random_t random;
 
   csp_seed_random (&random,
                    soak->seed * LENGTH_SPREAD
                        + strtoul (id + HEXADECIMAL / 2, NULL, HEXADECIMAL));
-  return LENGTH_LEAST + csp_random_below (&random, LENGTH_SPREAD);
+  return LENGTH_MIN + csp_random_below (&random, LENGTH_SPREAD);
 }
 
-/* The request at the server is the caller's, with what the system sets.  */
+/* Checks that the server got what the caller sent, with the fields that the
+   system sets.  */
 static void
 check_request (soak_t *soak, const wire_message_t *message,
                const request_t *request, const char *id)
@@ -94,62 +97,71 @@
   const char *tenant = wire_field (message, "X-Tenant");
   char body[WIRE_TEXT_BYTES];
 
-  if (request->poison != 0)
-    poison_body (request->poison, body);
+  if (request->poison_series != 0)
+    poison_body (request->poison_series, body);
   else
     ledger_body (id, body);
   if (strcmp (message->target, paths[request->kind]) != 0
       || strcmp (message->method, request->kind == KIND_SAFE ? "GET" : "POST")
              != 0
       || (request->kind != KIND_SAFE && strcmp (message->body, body) != 0))
-    soak_violation (soak, "UNASKED", "%s: %s %s with body \"%s\"", id,
-                    message->method, message->target, message->body);
+    soak_report_violation (soak, "UNASKED", "%s: %s %s with body \"%s\"", id,
+                           message->method, message->target, message->body);
   if (tenant == NULL || strcmp (tenant, "tenant-a") != 0
       || wire_field (message, "X-Credential") != NULL)
-    soak_violation (soak, "UNASKED", "%s: tenant %s, key %s", id,
-                    tenant == NULL ? "none" : tenant,
-                    wire_field (message, "X-Credential") == NULL ? "not passed"
-                                                                 : "passed");
+    soak_report_violation (soak, "UNASKED", "%s: tenant %s, key %s", id,
+                           tenant == NULL ? "none" : tenant,
+                           wire_field (message, "X-Credential") == NULL
+                               ? "not passed"
+                               : "passed");
 }
 
-/* Which service may run a request: the one before a switch of routes until it
-   must be in force, and never again behind one that the host has shown.  */
+/* Checks which service runs a request.  After a switch of routes the
+   previous service is allowed until the switch must be in force, but no
+   longer once the host has used the new one.  */
 static void
 check_service (soak_t *soak, const request_t *request, const char *id,
                const char *service)
 {
   host_t *host = &soak->hosts[request->host];
-  uint32_t shown = host->boot == request->host_boot ? host->flips_seen : 0;
-  uint32_t flip = soak->flips;
+  uint32_t seen = host->incarnation == request->host_incarnation
+                      ? host->switches_seen
+                      : 0;
+  uint32_t route_switch = soak->route_switches;
   const char *names[] = { "plain-a", "plain-b" };
 
   if (request->kind == KIND_STREAM)
     {
       if (strcmp (service, "engines") != 0)
-        soak_violation (soak, "ROUTE", "%s: a stream runs at %s", id, service);
+        soak_report_violation (soak, "ROUTE", "%s: a stream runs on %s", id,
+                               service);
       return;
     }
-  /* The newest switch that explains it.  */
-  while (flip > 0 && strcmp (names[flip % 2], service) != 0)
-    flip--;
-  if (strcmp (names[flip % 2], service) != 0)
+  /* The newest switch under which this service is right.  */
+  while (route_switch > 0 && strcmp (names[route_switch % 2], service) != 0)
+    route_switch--;
+  if (strcmp (names[route_switch % 2], service) != 0)
     {
-      soak_violation (soak, "ROUTE", "%s: runs at %s", id, service);
+      soak_report_violation (soak, "ROUTE", "%s: runs on %s", id, service);
       return;
     }
-  if (flip < shown && host_in_touch (soak, host)
-      && request->sent_ms > host->flips_seen_ms + ROLLBACK_MS)
-    soak_violation (soak, "CONFIG", "%s: host %s went back to switch %u of %u",
-                    id, host->name, flip, shown);
-  if (flip < soak->flips && host_in_touch (soak, host)
+  if (route_switch < seen && host_is_undisturbed (soak, host)
+      && request->sent_ms > host->switches_seen_ms + PREVIOUS_VERSION_MS)
+    soak_report_violation (soak, "CONFIG",
+                           "%s: host %s went back to route switch %u of %u",
+                           id, host->name, route_switch, seen);
+  if (route_switch < soak->route_switches && host_is_undisturbed (soak, host)
       && soak_now_ms (soak) >= soak->store_disturbed_until_ms
-      && request->sent_ms > soak->flip_ms[flip + 1] + SOAK_APPLY_MS)
-    soak_violation (soak, "CONFIG", "%s: host %s serves by switch %u of %u",
-                    id, host->name, flip, soak->flips);
-  if (host->boot != request->host_boot || flip <= host->flips_seen)
+      && request->sent_ms
+             > soak->route_switch_ms[route_switch + 1] + SOAK_APPLY_MS)
+    soak_report_violation (soak, "CONFIG",
+                           "%s: host %s still uses route switch %u of %u", id,
+                           host->name, route_switch, soak->route_switches);
+  if (host->incarnation != request->host_incarnation
+      || route_switch <= host->switches_seen)
     return;
-  host->flips_seen = flip;
-  host->flips_seen_ms = soak_now_ms (soak);
+  host->switches_seen = route_switch;
+  host->switches_seen_ms = soak_now_ms (soak);
 }
 
 typedef struct
@@ -157,7 +169,7 @@
   uv_timer_t timer;
   soak_t *soak;
   char id[SOAK_ID_BYTES];
-  uint32_t host_boot;
+  uint32_t host_incarnation;
 } overlap_t;
 
 static void
@@ -173,15 +185,15 @@
   soak_t *soak = overlap->soak;
   request_t *request = ledger_find (soak, overlap->id);
 
-  if (request->running > 1
-      && host_in_touch (soak, &soak->hosts[request->host]))
-    soak_violation (soak, "TWICE", "%s: %u runs at once for 400 ms",
-                    overlap->id, request->running);
+  if (request->active_runs > 1
+      && host_is_undisturbed (soak, &soak->hosts[request->host]))
+    soak_report_violation (soak, "TWICE", "%s: %u concurrent runs for 400 ms",
+                           overlap->id, request->active_runs);
   uv_close ((uv_handle_t *)timer, free_overlap);
 }
 
 static void
-watch_overlap (soak_t *soak, const char *id)
+check_overlap_later (soak_t *soak, const char *id)
 {
   overlap_t *overlap = calloc (1, sizeof *overlap);
 
@@ -195,36 +207,40 @@
 }
 
 void
-ledger_run (soak_t *soak, const wire_message_t *message,
-            const server_t *server, bool resumed)
+ledger_run_started (soak_t *soak, const wire_message_t *message,
+                    const server_t *server, bool resumed)
 {
   const char *id = wire_field (message, "X-Attempt-Id");
   request_t *request = ledger_find (soak, id);
 
   if (request == NULL)
     {
-      soak_violation (soak, "UNASKED", "a server runs %s, which nobody sent",
-                      id == NULL ? "a request without id" : id);
+      soak_report_violation (soak, "UNASKED",
+                             "a server runs %s, which nobody sent",
+                             id == NULL ? "a request without id" : id);
       return;
     }
-  request->running++;
+  request->active_runs++;
   request->server = server;
-  if (resumed && request->running > 1)
-    watch_overlap (soak, id);
+  if (resumed && request->active_runs > 1)
+    check_overlap_later (soak, id);
   check_request (soak, message, request, id);
   check_service (soak, request, id, server_service (server));
   if (resumed)
     return;
-  request->runs++;
-  if (request->kind != KIND_SAFE && request->runs > 1)
-    soak_violation (soak, "TWICE", "%s ran %u times", id, request->runs);
-  /* What a cut held up comes when it heals; its sender has closed by then.  */
-  if (request->left_ms != 0 && server_is_calm (server)
-      && soak_now_ms (soak) > request->left_ms + LEFT_MS
-      && host_in_touch (soak, &soak->hosts[request->host]))
-    soak_violation (
-        soak, "GONE", "%s came %llu ms behind its caller's leave", id,
-        (unsigned long long)(soak_now_ms (soak) - request->left_ms));
+  request->starts++;
+  if (request->kind != KIND_SAFE && request->starts > 1)
+    soak_report_violation (soak, "TWICE", "%s ran %u times", id,
+                           request->starts);
+  /* A request that a disconnected proxy held arrives when the proxy passes
+     traffic again, after its sender closed the connection; so it isn't
+     counted.  */
+  if (request->hung_up_ms != 0 && server_is_undisturbed (server)
+      && soak_now_ms (soak) > request->hung_up_ms + CANCEL_LIMIT_MS
+      && host_is_undisturbed (soak, &soak->hosts[request->host]))
+    soak_report_violation (
+        soak, "GONE", "%s reached a server %llu ms after its caller hung up",
+        id, (unsigned long long)(soak_now_ms (soak) - request->hung_up_ms));
 }
 
 void
@@ -232,8 +248,8 @@
 {
   request_t *request = ledger_find (soak, id);
 
-  if (request != NULL && request->running > 0)
-    request->running--;
+  if (request != NULL && request->active_runs > 0)
+    request->active_runs--;
 }
 
 void
@@ -243,39 +259,43 @@
   request->status = status;
 }
 
-/* A host that is stopped in order ends what it has begun, but for what is
-   still at work near the end of its time, and what its caller's time has run
-   out for: a stream on a connection that fell silent lasts until then.  */
+/* A host that gets SIGTERM completes its open requests.  Two cases are
+   allowed: requests still running near the end of the grace period, and
+   requests whose deadline has passed; a stream on a connection that fell
+   silent lasts until its deadline.  */
 void
 ledger_cut (soak_t *soak, request_t *request, const char *id)
 {
   const host_t *host = &soak->hosts[request->host];
   uint64_t now_ms = soak_now_ms (soak);
   bool stops
-      = host->terminating && request->host_boot == host->boot
+      = host->terminating && request->host_incarnation == host->incarnation
         && now_ms < host->terminated_ms
                         + SOAK_GRACE_MS * GRACE_FULL_PARTS / GRACE_PARTS;
 
-  if (request->server == NULL || !server_is_calm (request->server)
-      || now_ms < host->disturbed_until_ms || host->stopped
+  if (request->server == NULL || !server_is_undisturbed (request->server)
+      || now_ms < host->disturbed_until_ms || host->paused
       || now_ms + DEADLINE_MARGIN_MS >= request->deadline_ms)
     return;
   if (stops)
-    soak_violation (soak, "LOST", "%s: cut as %s stops", id, host->name);
-  else if (request->events == 0 && ++soak->cut > CUT_ALLOWED)
-    soak_violation (soak, "LOST", "%s: %s closed without an answer", id,
-                    host->name);
+    soak_report_violation (soak, "LOST", "%s: cut off while %s shuts down", id,
+                           host->name);
+  else if (request->events == 0
+           && ++soak->unexplained_cuts > UNEXPLAINED_CUTS_MAX)
+    soak_report_violation (soak, "LOST", "%s: %s closed without an answer", id,
+                           host->name);
 }
 
 static bool
-is_promise (uint16_t status)
+promises_not_executed (uint16_t status)
 {
   return status == 408 || status == 421 || status == 429 || status == 503;
 }
 
-/* A promise holds for ever, so it is looked at when all is over.  */
+/* An answer that promises "not executed" must stay true, so the check runs
+   at the end of the soak.  */
 void
-ledger_close (soak_t *soak)
+ledger_check_final (soak_t *soak)
 {
   uint32_t sent = 0;
   uint32_t served = 0;
@@ -285,15 +305,17 @@
     {
       const request_t *request = &soak->requests[i];
 
-      if (request->kind != KIND_SAFE && is_promise (request->status)
-          && request->runs > 0)
-        soak_violation (soak, "REFUSED", "%08x%08zx got %u and ran",
-                        (unsigned)soak->seed, i, request->status);
-      /* The last of them may be cut by the end of the soak.  */
-      if (!soak->quiet_end || request->left_ms != 0 || request->poison != 0
-          || request->sent_ms + SOAK_CONTACT_MS
+      if (request->kind != KIND_SAFE && promises_not_executed (request->status)
+          && request->starts > 0)
+        soak_report_violation (soak, "REFUSED", "%08x%08zx got %u and ran",
+                               (unsigned)soak->seed, i, request->status);
+      /* Requests sent near the end are left out, since the end of the soak
+         may cut them.  */
+      if (!soak->faults_ended || request->hung_up_ms != 0
+          || request->poison_series != 0
+          || request->sent_ms + SOAK_SETTLE_MS
                  < soak->began_ms + soak->length_ms
-          || request->sent_ms + SOAK_CONTACT_MS / 2
+          || request->sent_ms + SOAK_SETTLE_MS / 2
                  > soak->began_ms + soak->length_ms)
         continue;
       sent++;
@@ -301,7 +323,8 @@
                 && (request->kind != KIND_STREAM || request->events > 0);
     }
   if (sent > 0 && served * PER_CENT < sent * 90)
-    soak_violation (soak, "RECOVER", "%u of %u served when all was well again",
-                    served, sent);
-  soak_note (soak, "at the end %u of %u served", served, sent);
+    soak_report_violation (soak, "RECOVER",
+                           "%u of %u served after the faults ended", served,
+                           sent);
+  soak_log_event (soak, "at the end %u of %u requests served", served, sent);
 }
--- a/tests/soak/soak-move.c
+++ b/tests/soak/soak-move.c
@@ -4,13 +4,13 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Copies of runs' memory between engines, and runs that go on from them.  */
+/* Copies of runs' KV cache between engines, and runs that resume from them. */
 
 enum
 {
-  COPY_LEAST_MS = 20,
+  COPY_MIN_MS = 20,
   COPY_SPREAD_MS = 120,
-  ROOM_PER_CENT = 85,
+  ACCEPT_PER_CENT = 85,
   PER_CENT = 100
 };
 
@@ -57,7 +57,7 @@
                     "Content-Length: 0\r\n\r\n");
 }
 
-/* A copy that this server holds under a handle and that nobody used.  */
+/* Finds an unused copy that this server holds under a handle.  */
 static copy_t *
 find_copy (server_t *server, const char *handle)
 {
@@ -70,7 +70,8 @@
   return NULL;
 }
 
-/* Go on with a run from "ADDRESS/HANDLE" behind an event.  */
+/* Resumes a run from the copy "ADDRESS/HANDLE", after the event in
+   Last-Event-Id.  */
 void
 server_resume_run (server_t *server, wire_t *wire,
                    const wire_message_t *message, const char *from)
@@ -86,14 +87,14 @@
       return;
     }
   if (strcmp (copy->id, id) != 0)
-    soak_violation (server->soak, "MIXED", "%s goes on from the run of %s", id,
-                    copy->id);
+    soak_report_violation (server->soak, "MIXED",
+                           "%s resumes from the run of %s", id, copy->id);
   copy->used = true;
   server_begin_run (server, wire, message,
                     last == NULL ? 1 : (uint32_t)strtoul (last, NULL, 10) + 1);
 }
 
-/* A request to copy a run that is being answered.  */
+/* A request to copy a run, whose answer is still pending.  */
 typedef struct
 {
   uv_timer_t timer;
@@ -101,18 +102,18 @@
   char handle[ID_BYTES];
   uint32_t events;
   uint16_t status;
-} answering_t;
+} move_answer_t;
 
 void
-server_forget_asker (void *asker)
+server_detach_move (void *move_answer)
 {
-  answering_t *answering = asker;
+  move_answer_t *answer = move_answer;
 
-  answering->wire = NULL;
+  answer->wire = NULL;
 }
 
 static void
-free_answering (uv_handle_t *handle)
+free_move_answer (uv_handle_t *handle)
 {
   free (handle->data);
 }
@@ -120,23 +121,23 @@
 static void
 on_copied (uv_timer_t *timer)
 {
-  answering_t *answering = timer->data;
+  move_answer_t *answer = timer->data;
   char body[128];
 
-  if (answering->wire != NULL)
+  if (answer->wire != NULL)
     {
-      *wire_state (answering->wire) = NULL;
+      *wire_state (answer->wire) = NULL;
       snprintf (body, sizeof body, "{\"handle\":\"%s\",\"created\":%u}",
-                answering->handle, answering->events);
-      wire_print (answering->wire,
+                answer->handle, answer->events);
+      wire_print (answer->wire,
                   "HTTP/1.1 %u Copied\r\nContent-Length: %zu\r\n\r\n%s",
-                  answering->status, strlen (body), body);
+                  answer->status, strlen (body), body);
     }
-  uv_close ((uv_handle_t *)timer, free_answering);
+  uv_close ((uv_handle_t *)timer, free_move_answer);
 }
 
-/* The run stops: its stream is closed without its end, and its memory stays.
- */
+/* Stops the run: closes its stream without the final chunk.  Its KV cache has
+   already been kept as a copy.  */
 static void
 stop_run (run_t *run)
 {
@@ -151,35 +152,36 @@
              bool last)
 {
   soak_t *soak = server->soak;
-  answering_t *answering = calloc (1, sizeof *answering);
-  bool room = to != NULL && to->state == SERVER_READY
-              && csp_random_below (&soak->random, PER_CENT) < ROOM_PER_CENT;
+  move_answer_t *answer = calloc (1, sizeof *answer);
+  bool accepted
+      = to != NULL && to->state == SERVER_READY
+        && csp_random_below (&soak->random, PER_CENT) < ACCEPT_PER_CENT;
 
-  if (answering == NULL)
+  if (answer == NULL)
     abort ();
-  answering->wire = wire;
-  *wire_state (wire) = answering;
-  answering->status = room ? 200 : 503;
-  answering->events = run->next_event - 1;
-  snprintf (answering->handle, sizeof answering->handle, "%.20s-%u",
-            server->id, ++server->next_handle);
+  answer->wire = wire;
+  *wire_state (wire) = answer;
+  answer->status = accepted ? 200 : 503;
+  answer->events = run->next_event - 1;
+  snprintf (answer->handle, sizeof answer->handle, "%.20s-%u", server->id,
+            ++server->next_handle);
   if (last)
     {
-      server_add_copy (room ? to : server, answering->handle, run->id);
+      server_add_copy (accepted ? to : server, answer->handle, run->id);
       stop_run (run);
     }
-  else if (!room)
-    answering->handle[0] = '\0';
-  uv_timer_init (&soak->loop, &answering->timer);
-  answering->timer.data = answering;
+  else if (!accepted)
+    answer->handle[0] = '\0';
+  uv_timer_init (&soak->loop, &answer->timer);
+  answer->timer.data = answer;
   uv_timer_start (
-      &answering->timer, on_copied,
-      COPY_LEAST_MS + csp_random_below (&soak->random, COPY_SPREAD_MS), 0);
+      &answer->timer, on_copied,
+      COPY_MIN_MS + csp_random_below (&soak->random, COPY_SPREAD_MS), 0);
 }
 
 void
-server_take_move (server_t *server, wire_t *wire,
-                  const wire_message_t *message)
+server_handle_move (server_t *server, wire_t *wire,
+                    const wire_message_t *message)
 {
   json_object *object = json_tokener_parse (message->body);
   json_object *id = NULL;
--- a/tests/soak/soak-proxy.c
+++ b/tests/soak/soak-proxy.c
@@ -9,7 +9,7 @@
   READ_BYTES = 65536
 };
 
-/* A piece on its way.  */
+/* A piece of data queued in the proxy.  */
 typedef struct piece
 {
   struct piece *next;
@@ -21,29 +21,29 @@
 
 typedef struct pair pair_t;
 
-/* One direction of a connection.  */
+/* One direction of a proxied connection.  */
 typedef struct
 {
   pair_t *pair;
   uv_tcp_t *from;
   uv_tcp_t *to;
-  bool back;
-  bool ended; /* nothing more comes */
+  bool towards_client;
+  bool ended; /* the sender closed the connection */
   piece_t *first;
   piece_t **last;
   uv_timer_t timer;
-} way_t;
+} direction_t;
 
 struct pair
 {
   proxy_t *proxy;
   pair_t *next;
-  pair_t **place;
+  pair_t **previous_next;
   uv_tcp_t client;
   uv_tcp_t server;
   uv_connect_t connect;
-  way_t there;
-  way_t back;
+  direction_t to_server;
+  direction_t to_client;
   bool connected;
   bool silent;
   bool closing;
@@ -59,42 +59,42 @@
   pair_t *pairs;
 };
 
-static char read_room[READ_BYTES];
+static char read_buffer[READ_BYTES];
 
 static void
-free_pieces (way_t *way)
+free_pieces (direction_t *direction)
 {
-  while (way->first != NULL)
+  while (direction->first != NULL)
     {
-      piece_t *piece = way->first;
+      piece_t *piece = direction->first;
 
-      way->first = piece->next;
+      direction->first = piece->next;
       free (piece);
     }
 }
 
 static void
-let_go (pair_t *pair)
+release_handle (pair_t *pair)
 {
   if (--pair->open_handles > 0)
     return;
-  free_pieces (&pair->there);
-  free_pieces (&pair->back);
+  free_pieces (&pair->to_server);
+  free_pieces (&pair->to_client);
   free (pair);
 }
 
 static void
 on_socket_closed (uv_handle_t *handle)
 {
-  let_go (handle->data);
+  release_handle (handle->data);
 }
 
 static void
 on_timer_closed (uv_handle_t *handle)
 {
-  way_t *way = handle->data;
+  direction_t *direction = handle->data;
 
-  let_go (way->pair);
+  release_handle (direction->pair);
 }
 
 static void
@@ -103,24 +103,26 @@
   if (pair->closing)
     return;
   pair->closing = true;
-  *pair->place = pair->next;
+  *pair->previous_next = pair->next;
   if (pair->next != NULL)
-    pair->next->place = pair->place;
+    pair->next->previous_next = pair->previous_next;
   if (!reset || uv_tcp_close_reset (&pair->client, on_socket_closed) != 0)
     uv_close ((uv_handle_t *)&pair->client, on_socket_closed);
   if (!reset || uv_tcp_close_reset (&pair->server, on_socket_closed) != 0)
     uv_close ((uv_handle_t *)&pair->server, on_socket_closed);
-  uv_close ((uv_handle_t *)&pair->there.timer, on_timer_closed);
-  uv_close ((uv_handle_t *)&pair->back.timer, on_timer_closed);
+  uv_close ((uv_handle_t *)&pair->to_server.timer, on_timer_closed);
+  uv_close ((uv_handle_t *)&pair->to_client.timer, on_timer_closed);
 }
 
 static bool
-is_held (const way_t *way)
+is_held (const direction_t *direction)
 {
-  proxy_mode_t mode = way->pair->proxy->mode;
+  proxy_mode_t mode = direction->pair->proxy->mode;
 
-  return way->pair->silent || mode == PROXY_HOLD_BOTH
-         || mode == (way->back ? PROXY_HOLD_BACK : PROXY_HOLD_TO);
+  return direction->pair->silent || mode == PROXY_HOLD_BOTH
+         || mode
+                == (direction->towards_client ? PROXY_HOLD_TO_CLIENT
+                                              : PROXY_HOLD_TO_SERVER);
 }
 
 static void
@@ -132,32 +134,34 @@
 
 static void on_due (uv_timer_t *timer);
 
-/* Pass on what is due.  */
+/* Sends the queued pieces that are due.  */
 static void
-flush (way_t *way)
+flush (direction_t *direction)
 {
-  uint64_t now_ms = uv_now (way->timer.loop);
+  uint64_t now_ms = uv_now (direction->timer.loop);
 
-  if (way->pair->closing || !way->pair->connected || is_held (way))
+  if (direction->pair->closing || !direction->pair->connected
+      || is_held (direction))
     return;
-  while (way->first != NULL && way->first->due_ms <= now_ms)
+  while (direction->first != NULL && direction->first->due_ms <= now_ms)
     {
-      piece_t *piece = way->first;
+      piece_t *piece = direction->first;
       uv_buf_t buffer = uv_buf_init (piece->data, (unsigned)piece->size_bytes);
 
-      way->first = piece->next;
-      if (way->first == NULL)
-        way->last = &way->first;
+      direction->first = piece->next;
+      if (direction->first == NULL)
+        direction->last = &direction->first;
       piece->request.data = piece;
-      if (uv_write (&piece->request, (uv_stream_t *)way->to, &buffer, 1,
+      if (uv_write (&piece->request, (uv_stream_t *)direction->to, &buffer, 1,
                     on_written)
           != 0)
         free (piece);
     }
-  if (way->first != NULL)
-    uv_timer_start (&way->timer, on_due, way->first->due_ms - now_ms, 0);
-  else if (way->ended)
-    close_pair (way->pair, false);
+  if (direction->first != NULL)
+    uv_timer_start (&direction->timer, on_due,
+                    direction->first->due_ms - now_ms, 0);
+  else if (direction->ended)
+    close_pair (direction->pair, false);
 }
 
 static void
@@ -167,31 +171,31 @@
 }
 
 static void
-give_room (uv_handle_t *handle, size_t wanted, uv_buf_t *room)
+provide_buffer (uv_handle_t *handle, size_t wanted, uv_buf_t *buffer)
 {
   (void)handle;
   (void)wanted;
-  *room = uv_buf_init (read_room, sizeof read_room);
+  *buffer = uv_buf_init (read_buffer, sizeof read_buffer);
 }
 
 static void
-take_bytes (way_t *way, ssize_t size_bytes, const char *data)
+queue_bytes (direction_t *direction, ssize_t size_bytes, const char *data)
 {
-  const proxy_t *proxy = way->pair->proxy;
+  const proxy_t *proxy = direction->pair->proxy;
   piece_t *piece;
 
-  if (way->pair->closing || size_bytes == 0)
+  if (direction->pair->closing || size_bytes == 0)
     return;
   if (size_bytes == UV_ECONNRESET)
     {
-      close_pair (way->pair, true);
+      close_pair (direction->pair, true);
       return;
     }
   if (size_bytes < 0)
     {
-      uv_read_stop ((uv_stream_t *)way->from);
-      way->ended = true;
-      flush (way);
+      uv_read_stop ((uv_stream_t *)direction->from);
+      direction->ended = true;
+      flush (direction);
       return;
     }
   piece = malloc (sizeof *piece + (size_t)size_bytes);
@@ -199,28 +203,30 @@
     abort ();
   piece->next = NULL;
   piece->size_bytes = (size_t)size_bytes;
-  piece->due_ms = uv_now (way->timer.loop)
-                  + (proxy->mode == PROXY_SLOW ? proxy->delay_ms : 0);
+  piece->due_ms = uv_now (direction->timer.loop)
+                  + (proxy->mode == PROXY_DELAY ? proxy->delay_ms : 0);
   memcpy (piece->data, data, (size_t)size_bytes);
-  *way->last = piece;
-  way->last = &piece->next;
-  flush (way);
+  *direction->last = piece;
+  direction->last = &piece->next;
+  flush (direction);
 }
 
 static void
-on_client_read (uv_stream_t *stream, ssize_t size_bytes, const uv_buf_t *room)
+on_client_read (uv_stream_t *stream, ssize_t size_bytes,
+                const uv_buf_t *buffer)
 {
   pair_t *pair = stream->data;
 
-  take_bytes (&pair->there, size_bytes, room->base);
+  queue_bytes (&pair->to_server, size_bytes, buffer->base);
 }
 
 static void
-on_server_read (uv_stream_t *stream, ssize_t size_bytes, const uv_buf_t *room)
+on_server_read (uv_stream_t *stream, ssize_t size_bytes,
+                const uv_buf_t *buffer)
 {
   pair_t *pair = stream->data;
 
-  take_bytes (&pair->back, size_bytes, room->base);
+  queue_bytes (&pair->to_client, size_bytes, buffer->base);
 }
 
 static void
@@ -236,20 +242,21 @@
       return;
     }
   pair->connected = true;
-  uv_read_start ((uv_stream_t *)&pair->server, give_room, on_server_read);
-  flush (&pair->there);
+  uv_read_start ((uv_stream_t *)&pair->server, provide_buffer, on_server_read);
+  flush (&pair->to_server);
 }
 
 static void
-open_way (way_t *way, pair_t *pair, uv_tcp_t *from, uv_tcp_t *to, bool back)
+init_direction (direction_t *direction, pair_t *pair, uv_tcp_t *from,
+                uv_tcp_t *to, bool towards_client)
 {
-  way->pair = pair;
-  way->from = from;
-  way->to = to;
-  way->back = back;
-  way->last = &way->first;
-  uv_timer_init (from->loop, &way->timer);
-  way->timer.data = way;
+  direction->pair = pair;
+  direction->from = from;
+  direction->to = to;
+  direction->towards_client = towards_client;
+  direction->last = &direction->first;
+  uv_timer_init (from->loop, &direction->timer);
+  direction->timer.data = direction;
 }
 
 static void
@@ -264,17 +271,17 @@
   if (pair == NULL)
     abort ();
   pair->proxy = proxy;
-  pair->place = &proxy->pairs;
+  pair->previous_next = &proxy->pairs;
   pair->next = proxy->pairs;
   if (pair->next != NULL)
-    pair->next->place = &pair->next;
+    pair->next->previous_next = &pair->next;
   proxy->pairs = pair;
   uv_tcp_init (stream->loop, &pair->client);
   uv_tcp_init (stream->loop, &pair->server);
   pair->client.data = pair;
   pair->server.data = pair;
-  open_way (&pair->there, pair, &pair->client, &pair->server, false);
-  open_way (&pair->back, pair, &pair->server, &pair->client, true);
+  init_direction (&pair->to_server, pair, &pair->client, &pair->server, false);
+  init_direction (&pair->to_client, pair, &pair->server, &pair->client, true);
   pair->open_handles = 4;
   if (uv_accept (stream, (uv_stream_t *)&pair->client) != 0
       || proxy->mode == PROXY_REFUSE)
@@ -284,7 +291,7 @@
     }
   uv_tcp_nodelay (&pair->client, 1);
   uv_tcp_nodelay (&pair->server, 1);
-  uv_read_start ((uv_stream_t *)&pair->client, give_room, on_client_read);
+  uv_read_start ((uv_stream_t *)&pair->client, provide_buffer, on_client_read);
   pair->connect.data = pair;
   uv_tcp_connect (&pair->connect, &pair->server,
                   (const struct sockaddr *)&proxy->server, on_connected);
@@ -344,9 +351,9 @@
   for (pair = proxy->pairs; pair != NULL; pair = next)
     {
       next = pair->next;
-      flush (&pair->there);
+      flush (&pair->to_server);
       if (!pair->closing)
-        flush (&pair->back);
+        flush (&pair->to_client);
     }
 }
 
--- a/tests/soak/soak-proxy.h
+++ b/tests/soak/soak-proxy.h
@@ -6,34 +6,36 @@
 #include <stdint.h>
 #include <uv.h>
 
-/* A TCP proxy on loopback, which spoils what goes through it.  */
+/* A TCP proxy on loopback that injects connection faults.  */
 
 typedef enum
 {
   PROXY_PASS,
-  PROXY_SLOW,      /* each piece comes delay_ms later */
-  PROXY_HOLD_TO,   /* nothing passes towards the server */
-  PROXY_HOLD_BACK, /* nothing passes back */
-  PROXY_HOLD_BOTH, /* as behind a cut: nothing passes until it heals */
-  PROXY_REFUSE     /* connections are reset as they come */
+  PROXY_DELAY,          /* each piece is sent delay_ms later */
+  PROXY_HOLD_TO_SERVER, /* holds data to the server */
+  PROXY_HOLD_TO_CLIENT, /* holds data to the client */
+  PROXY_HOLD_BOTH, /* holds both directions, as a network partition does */
+  PROXY_REFUSE     /* resets new connections */
 } proxy_mode_t;
 
 typedef struct proxy proxy_t;
 
-/* Listen at an address, and pass on to the server's.  *address is written as
-   wire_listen does.  NULL where it can't be had.  */
+/* Listens at an address and forwards connections to the server.  *address is
+   written back as by wire_listen.  Returns NULL if the address can't be
+   bound.  */
 proxy_t *proxy_open (uv_loop_t *loop, struct sockaddr_in *address,
                      const struct sockaddr_in *server);
 void proxy_close (proxy_t *proxy);
 
-/* From now on, for open connections too; what was held then goes on.  */
+/* Sets the mode for open and new connections.  Data that the new mode
+   doesn't hold is sent.  */
 void proxy_set_mode (proxy_t *proxy, proxy_mode_t mode, uint32_t delay_ms);
 proxy_mode_t proxy_mode (const proxy_t *proxy);
 
 /* Reset all open connections.  */
 void proxy_reset_all (proxy_t *proxy);
 
-/* All open connections fall silent for good; new ones pass.  */
+/* Open connections carry no data any more, but stay open; new ones pass.  */
 void proxy_silence_all (proxy_t *proxy);
 
 #endif
--- a/tests/soak/soak-server-imp.h
+++ b/tests/soak/soak-server-imp.h
@@ -13,22 +13,22 @@
   ADDRESS_BYTES = 32
 };
 
-/* A request at work.  */
+/* A request that runs on a server.  */
 typedef struct run
 {
   bool used;
   server_t *server;
-  wire_t *wire; /* NULL: its stream was closed by a stop */
+  wire_t *wire; /* NULL: the caller's connection was closed */
   char id[SOAK_ID_BYTES];
   uint32_t next_event;
-  uint32_t length; /* 0: a plain request */
+  uint32_t length; /* 0: a request to a plain service */
   bool head_sent;
   bool moving;
   char backup[ADDRESS_BYTES];
   uv_timer_t timer;
 } run_t;
 
-/* A copy of a run's memory, or what a stopped run left.  */
+/* A copy of a run's KV cache, or the cache that a stopped run left.  */
 typedef struct
 {
   char handle[ID_BYTES];
@@ -36,15 +36,16 @@
   bool used;
 } copy_t;
 
-/* What a server has told one start of a host.  */
+/* What a server has announced to one process of a host.  */
 typedef struct
 {
-  uint32_t boot;
-  uint64_t leaving_ms; /* an answer that says so came through; 0: none */
+  uint32_t incarnation;
+  uint64_t leaving_ms; /* when an answer that announced it reached a caller; 0:
+                          none */
   uint64_t wait_from_ms;
   uint64_t wait_until_ms;
-  uint32_t arrivals; /* within that wait */
-} announced_t;
+  uint32_t arrivals; /* requests that arrived within that wait */
+} announcements_t;
 
 struct server
 {
@@ -52,60 +53,69 @@
   size_t number;
   char id[ID_BYTES];
   char service[ID_BYTES];
-  char address[ADDRESS_BYTES]; /* as listed: its proxy */
-  struct sockaddr_in listed;
+  char address[ADDRESS_BYTES]; /* as listed in the store: the address of its
+                                  proxy */
+  struct sockaddr_in listed_address;
   wire_listener_t *listener;
   proxy_t *proxy;
   server_state_t state;
-  bool silently;
-  uint64_t left_ms; /* when its leaving was acknowledged */
-  uint64_t gone_at_ms;
-  uint64_t lapses_at_ms; /* its row goes; 0: it is gone, or lives */
+  bool without_notice;
+  uint64_t leave_acknowledged_ms; /* when the store acknowledged that it is
+                                     leaving */
+  uint64_t closes_at_ms;
+  uint64_t row_expires_ms; /* when the row of a crashed server is removed; 0:
+                              not pending */
   uint64_t hangs_until_ms;
-  uint64_t spoiled_until_ms;
+  uint64_t faulty_until_ms;
   uint64_t disturbed_until_ms;
   uint64_t cold_until_ms;
-  uint64_t untold_until_ms; /* it leaves, and the store isn't told before */
-  uint64_t swamped_until_ms;
-  announced_t *announced; /* one for each host; NULL: none was told any */
+  uint64_t leave_listed_at_ms; /* when the store lists it as leaving, some time
+                                  after its own announcement; 0: none */
+  uint64_t overloaded_until_ms;
+  announcements_t *announcements; /* for each host; NULL: none yet */
   uint64_t arrivals;
-  uint64_t arrivals_ms[SOAK_COLD_BOUND]; /* of the last requests, in turn */
-  uint64_t beat_ms;
-  uint32_t beats;
+  uint64_t arrivals_ms[SOAK_COLD_BOUND]; /* of the last requests, as a ring */
+  uint64_t next_heartbeat_ms;
+  uint32_t heartbeats;
   uint32_t next_handle;
   size_t copy_count;
   copy_t copies[COPIES_MAX];
   run_t *runs[RUNS_MAX];
 };
 
-/* The run is over; its connection stays.  */
+/* Ends a run; its connection stays open.  */
 void server_end_run (run_t *run);
 
-/* Begin to work on a request, from an event on.  */
+/* Starts to run a request, beginning with first_event.  */
 void server_begin_run (server_t *server, wire_t *wire,
                        const wire_message_t *message, uint32_t first_event);
 
-/* The server that is listed at an address; NULL where none is.  */
+/* The server listed at an address; NULL if there is none.  */
 server_t *server_find (soak_t *soak, const char *address, size_t size_bytes);
 
-/* A copy of a run's memory lies at a server.  */
+/* Adds a copy of a run's KV cache to a server.  */
 void server_add_copy (server_t *server, const char *handle, const char *id);
 
-/* Go on with a run from "ADDRESS/HANDLE" behind an event.  */
+/* Resumes a run from the copy "ADDRESS/HANDLE", after the event in
+   Last-Event-Id.  */
 void server_resume_run (server_t *server, wire_t *wire,
                         const wire_message_t *message, const char *from);
 
-/* Copy a run's memory elsewhere, or stop the run for the rest.  */
-void server_take_move (server_t *server, wire_t *wire,
-                       const wire_message_t *message);
+/* Handles a request to copy a run's KV cache to another server; if the copy
+   is the last one, the run stops.  */
+void server_handle_move (server_t *server, wire_t *wire,
+                         const wire_message_t *message);
 
-/* The field of its answers that says that it leaves; "" while it doesn't.  */
+/* The header field that announces that the server leaves; "" while it
+   doesn't.  */
 const char *server_leaving_field (const server_t *server);
 
-/* Whether the server ends under what it runs; the run is over then.  */
-bool poison_ends (run_t *run);
+/* Crashes the server if the run's request is poison.  Returns whether it
+   did; the run is freed then.  */
+bool poison_crashes_server (run_t *run);
 
-/* Who asked for a copy has gone.  */
-void server_forget_asker (void *asker);
+/* The client that requested a copy closed its connection; drops the pending
+   answer.  */
+void server_detach_move (void *move_answer);
 
 #endif
--- a/tests/soak/soak-server.c
+++ b/tests/soak/soak-server.c
@@ -3,21 +3,21 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Engines and plain servers, as the platform's pages describe them.  An
-   engine's run lives apart from its connection only while it is moved: when
-   its connection closes, the run is dropped.  */
+/* Engines and plain servers, as the platform documents them.  When the
+   connection of an engine's run closes, the run is dropped.  A moved run
+   continues on another connection, from a copy of its KV cache.  */
 
 enum
 {
   EVENT_MS = 15,
-  READ_LEAST_MS = 20,
-  READ_SPREAD_MS = 60,
+  PREFILL_MIN_MS = 20,
+  PREFILL_SPREAD_MS = 60,
   WORK_SPREAD_MS = 25,
   HEARTBEAT_MS = 1200,
-  /* A server that says nothing loses its row after three of those.  */
-  LAPSE_MS = 3600,
-  BACKED_UP_EVENTS = 4,
-  SPOIL_PER_CENT = 25,
+  /* A server that sends no heartbeat loses its row after three intervals.  */
+  ROW_EXPIRY_MS = 3600,
+  BACKUP_AT_EVENT = 4,
+  BAD_ANSWER_PER_CENT = 25,
   PER_CENT = 100
 };
 
@@ -61,12 +61,12 @@
 }
 
 static bool
-is_spoiled (const server_t *server)
+draws_bad_answer (const server_t *server)
 {
   soak_t *soak = server->soak;
 
-  return soak_now_ms (soak) < server->spoiled_until_ms
-         && csp_random_below (&soak->random, PER_CENT) < SPOIL_PER_CENT;
+  return soak_now_ms (soak) < server->faulty_until_ms
+         && csp_random_below (&soak->random, PER_CENT) < BAD_ANSWER_PER_CENT;
 }
 
 static void
@@ -80,13 +80,13 @@
   snprintf (id, sizeof id, "%s", run->id);
   ledger_body (id, body);
   server_end_run (run);
-  if (is_spoiled (server))
+  if (draws_bad_answer (server))
     switch (csp_random_below (&server->soak->random, 4))
       {
-      case 0: /* it ran, and its answer is lost */
+      case 0: /* the request ran and its answer is lost */
         wire_reset (wire);
         return;
-      case 1: /* the answer breaks off */
+      case 1: /* the answer is truncated */
         wire_print (wire,
                     "HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\n"
                     "X-Engine-Signature: s.%s\r\n%sContent-Length: 500\r\n\r\n"
@@ -94,14 +94,14 @@
                     id, id, server_leaving_field (server));
         wire_close (wire);
         return;
-      case 2: /* an error of its own */
+      case 2: /* the server answers with an error */
         wire_print (wire,
                     "HTTP/1.1 500 Error\r\nX-Attempt-Id: %s\r\n"
                     "X-Engine-Signature: s.%s\r\n%sContent-Length: 3\r\n\r\n"
                     "err",
                     id, id, server_leaving_field (server));
         return;
-      default: /* and a second answer behind it */
+      default: /* a second, unrequested answer follows */
         wire_print (wire,
                     "HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\n"
                     "X-Engine-Signature: s.%s\r\nContent-Length: %zu\r\n\r\n%s"
@@ -128,9 +128,9 @@
   run->next_event++;
 }
 
-/* The run's memory has arrived where it is backed up to.  */
+/* The run's KV cache has been copied to its backup server.  */
 static void
-back_up (run_t *run)
+add_backup_copy (run_t *run)
 {
   server_t *backup
       = server_find (run->server->soak, run->backup, strlen (run->backup));
@@ -155,12 +155,12 @@
   run->head_sent = true;
   if (run->next_event <= run->length)
     send_event (run);
-  if (run->next_event == BACKED_UP_EVENTS)
-    back_up (run);
+  if (run->next_event == BACKUP_AT_EVENT)
+    add_backup_copy (run);
   if (run->next_event <= run->length)
     return;
   server_end_run (run);
-  if (is_spoiled (server))
+  if (draws_bad_answer (server))
     wire_reset (wire);
   else
     wire_print (wire, "0\r\n\r\n");
@@ -176,7 +176,7 @@
       uv_timer_start (timer, on_step, EVENT_MS, 0);
       return;
     }
-  if (poison_ends (run))
+  if (poison_crashes_server (run))
     return;
   if (run->length == 0)
     {
@@ -187,7 +187,8 @@
   step_stream (run);
 }
 
-/* Orders of the pages that a request must keep to reach a server at all.  */
+/* Checks that no request reaches a server that has been listed as leaving
+   for longer than hosts may take to apply it.  */
 static void
 check_leaving (server_t *server, const wire_message_t *message)
 {
@@ -197,14 +198,15 @@
   uint64_t now_ms = soak_now_ms (soak);
 
   if (request == NULL || server->state != SERVER_LEAVING
-      || now_ms <= server->left_ms + SOAK_DRAIN_MS
+      || now_ms <= server->leave_acknowledged_ms + SOAK_DRAIN_MS
       || now_ms < soak->store_disturbed_until_ms
-      || server->disturbed_until_ms > server->left_ms
-      || !host_in_touch (soak, &soak->hosts[request->host]))
+      || server->disturbed_until_ms > server->leave_acknowledged_ms
+      || !host_is_undisturbed (soak, &soak->hosts[request->host]))
     return;
-  soak_violation (soak, "DRAIN", "%s reached %s %llu ms behind its notice",
-                  wire_field (message, "X-Attempt-Id"), server->id,
-                  (unsigned long long)(now_ms - server->left_ms));
+  soak_report_violation (
+      soak, "DRAIN", "%s reached %s %llu ms after it was listed as leaving",
+      wire_field (message, "X-Attempt-Id"), server->id,
+      (unsigned long long)(now_ms - server->leave_acknowledged_ms));
 }
 
 void
@@ -217,8 +219,9 @@
   run_t *run = calloc (1, sizeof *run);
   uint32_t wait_ms
       = first_event > 1
-            ? READ_LEAST_MS
-            : READ_LEAST_MS + csp_random_below (&soak->random, READ_SPREAD_MS);
+            ? PREFILL_MIN_MS
+            : PREFILL_MIN_MS
+                  + csp_random_below (&soak->random, PREFILL_SPREAD_MS);
   size_t i = 0;
 
   if (run == NULL)
@@ -232,7 +235,7 @@
                         "Content-Length: 0\r\n\r\n");
       return;
     }
-  ledger_run (soak, message, server, first_event > 1);
+  ledger_run_started (soak, message, server, first_event > 1);
   server->runs[i] = run;
   run->server = server;
   run->wire = wire;
@@ -241,7 +244,7 @@
             backup == NULL ? "" : backup);
   run->next_event = first_event;
   if (strcmp (server->service, "engines") == 0)
-    run->length = ledger_length (soak, run->id);
+    run->length = ledger_stream_length (soak, run->id);
   else
     wait_ms = csp_random_below (&soak->random, WORK_SPREAD_MS);
   uv_timer_init (&soak->loop, &run->timer);
@@ -275,13 +278,14 @@
     }
   if (strcmp (message->target, "/kv-move") == 0)
     {
-      server_take_move (server, wire, message);
+      server_handle_move (server, wire, message);
       return;
     }
   if (expected == NULL || strcmp (expected, server->id) != 0)
     {
       if (expected == NULL)
-        soak_violation (server->soak, "ROUTE", "a request names no server");
+        soak_report_violation (server->soak, "ROUTE",
+                               "a request without X-Expect-Instance");
       wire_print (wire, "HTTP/1.1 421 Other\r\nContent-Length: 0\r\n\r\n");
       return;
     }
@@ -289,7 +293,7 @@
   zone_check (server, message);
   poison_check (server, ledger_find (server->soak,
                                      wire_field (message, "X-Attempt-Id")));
-  if (announce_turns_away (server, wire, message))
+  if (announce_refuse_request (server, wire, message))
     return;
   if (from != NULL)
     server_resume_run (server, wire, message, from);
@@ -308,12 +312,12 @@
     if (run != NULL && server->runs[i] == run)
       {
         run->wire = NULL;
-        /* What was copied as it grew is there to go on from.  */
+        /* Copies made earlier stay at other servers for a resume.  */
         server_end_run (run);
         return;
       }
   if (run != NULL)
-    server_forget_asker ((void *)run);
+    server_detach_move ((void *)run);
 }
 
 static const wire_events_t events
@@ -336,7 +340,7 @@
             server->service, server->address,
             zone_name (server->soak, server->number),
             server->state == SERVER_READY ? "ready" : "draining",
-            server->beats++, (unsigned long long)cold_ms);
+            server->heartbeats++, (unsigned long long)cold_ms);
   store_put (server->soak->store, key, value);
 }
 
@@ -359,22 +363,22 @@
     abort ();
   server->soak = soak;
   server->number = soak->server_count;
-  /* The first ones are there before anybody calls.  */
-  if (soak->zones && soak->callers != NULL)
+  /* Servers opened before the callers start are warm.  */
+  if (soak->zones_enabled && soak->callers != NULL)
     server->cold_until_ms = soak_now_ms (soak) + SOAK_COLD_MS;
   snprintf (server->id, sizeof server->id, "i-%zu", soak->server_count);
   snprintf (server->service, sizeof server->service, "%s", service);
   server->listener = wire_listen (&soak->loop, &address, &events, server);
-  server->listed = soak_address (soak, 3, 0);
+  server->listed_address = soak_address (soak, 3, 0);
   if (server->listener == NULL)
     abort ();
-  server->proxy = proxy_open (&soak->loop, &server->listed, &address);
+  server->proxy = proxy_open (&soak->loop, &server->listed_address, &address);
   if (server->proxy == NULL)
     abort ();
-  soak_print_address (&server->listed, server->address);
+  soak_print_address (&server->listed_address, server->address);
   soak->servers[soak->server_count++] = server;
   list_server (server);
-  server->beat_ms
+  server->next_heartbeat_ms
       = soak_now_ms (soak) + csp_random_below (&soak->random, HEARTBEAT_MS);
 }
 
@@ -398,50 +402,50 @@
 }
 
 void
-server_leave (server_t *server, uint64_t for_ms, bool silently)
+server_leave (server_t *server, uint64_t for_ms, bool without_notice)
 {
   soak_t *soak = server->soak;
 
   server->state = SERVER_LEAVING;
-  server->silently = silently;
-  if (silently)
+  server->without_notice = without_notice;
+  if (without_notice)
     unlist_server (server);
   else
     list_server (server);
-  server->left_ms = soak_now_ms (soak);
-  server->gone_at_ms = server->left_ms + for_ms;
+  server->leave_acknowledged_ms = soak_now_ms (soak);
+  server->closes_at_ms = server->leave_acknowledged_ms + for_ms;
 }
 
 void
 server_crash (server_t *server)
 {
   close_server (server);
-  server->lapses_at_ms = soak_now_ms (server->soak) + LAPSE_MS;
+  server->row_expires_ms = soak_now_ms (server->soak) + ROW_EXPIRY_MS;
 }
 
 void
 server_hang (server_t *server, uint64_t for_ms)
 {
   server->hangs_until_ms = soak_now_ms (server->soak) + for_ms;
-  server_disturb (server, server->hangs_until_ms);
+  server_mark_disturbed (server, server->hangs_until_ms);
 }
 
 void
-server_spoil (server_t *server, uint64_t for_ms)
+server_inject_errors (server_t *server, uint64_t for_ms)
 {
-  server->spoiled_until_ms = soak_now_ms (server->soak) + for_ms;
-  server_disturb (server, server->spoiled_until_ms);
+  server->faulty_until_ms = soak_now_ms (server->soak) + for_ms;
+  server_mark_disturbed (server, server->faulty_until_ms);
 }
 
 void
-server_disturb (server_t *server, uint64_t until_ms)
+server_mark_disturbed (server_t *server, uint64_t until_ms)
 {
-  if (until_ms + SOAK_CONTACT_MS > server->disturbed_until_ms)
-    server->disturbed_until_ms = until_ms + SOAK_CONTACT_MS;
+  if (until_ms + SOAK_SETTLE_MS > server->disturbed_until_ms)
+    server->disturbed_until_ms = until_ms + SOAK_SETTLE_MS;
 }
 
 bool
-server_is_calm (const server_t *server)
+server_is_undisturbed (const server_t *server)
 {
   return server->state == SERVER_READY
          && soak_now_ms (server->soak) >= server->disturbed_until_ms;
@@ -452,22 +456,22 @@
 {
   uint64_t now_ms = soak_now_ms (server->soak);
 
-  if (server->lapses_at_ms != 0 && now_ms >= server->lapses_at_ms)
+  if (server->row_expires_ms != 0 && now_ms >= server->row_expires_ms)
     {
-      server->lapses_at_ms = 0;
+      server->row_expires_ms = 0;
       unlist_server (server);
     }
   if (server->state == SERVER_GONE)
     return;
-  if (server->state == SERVER_LEAVING && now_ms >= server->gone_at_ms)
+  if (server->state == SERVER_LEAVING && now_ms >= server->closes_at_ms)
     {
-      if (!server->silently)
+      if (!server->without_notice)
         unlist_server (server);
       close_server (server);
       return;
     }
-  if (now_ms < server->beat_ms || server->silently)
+  if (now_ms < server->next_heartbeat_ms || server->without_notice)
     return;
-  server->beat_ms = now_ms + HEARTBEAT_MS;
+  server->next_heartbeat_ms = now_ms + HEARTBEAT_MS;
   list_server (server);
 }
--- a/tests/soak/soak-store.c
+++ b/tests/soak/soak-store.c
@@ -5,17 +5,17 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* The platform's store, as its page says: items with revisions, ranges by
-   pages, and watches that wait.  */
+/* The platform's store, as documented: items with revisions, paged range
+   reads and long-polling watches.  */
 
 enum
 {
   ITEMS_MAX = 2048,
   HISTORY_MAX = 4096,
   KEY_BYTES = 128,
-  PAGE = 50,
+  PAGE_ITEMS = 50,
   SLOW_MS = 240,
-  WAITING_MAX = 1024
+  WATCHES_MAX = 1024
 };
 
 typedef struct
@@ -25,7 +25,7 @@
   int64_t revision;
 } item_t;
 
-/* A watch that waits, or an answer that is late.  */
+/* A waiting watch, or an answer that is delayed.  */
 typedef struct
 {
   store_t *store;
@@ -40,11 +40,11 @@
   wire_listener_t *listener;
   store_mode_t mode;
   int64_t revision;
-  int64_t oldest; /* history behind this is known */
+  int64_t oldest_revision; /* watches from an earlier revision get 410 */
   size_t item_count;
   item_t items[ITEMS_MAX];
   size_t watch_count;
-  watch_t *watches[WAITING_MAX];
+  watch_t *watches[WATCHES_MAX];
 };
 
 static void
@@ -91,26 +91,27 @@
   return object;
 }
 
-/* Answer with what changed behind a revision; false where nothing did.  */
+/* Answers with the items changed after a revision.  Returns whether there
+   were any; without any it answers only if send_empty.  */
 static bool
-answer_changes (store_t *store, wire_t *wire, int64_t after, bool even_none)
+answer_changes (store_t *store, wire_t *wire, int64_t after, bool send_empty)
 {
   json_object *answer = json_object_new_object ();
   json_object *events = json_object_new_array ();
-  bool some;
+  bool any;
   size_t i;
 
   for (i = 0; i < store->item_count; i++)
     if (store->items[i].revision > after)
       json_object_array_add (events, describe_item (&store->items[i]));
-  some = json_object_array_length (events) > 0;
+  any = json_object_array_length (events) > 0;
   json_object_object_add (answer, "events", events);
   json_object_object_add (answer, "as_of",
                           json_object_new_int64 (store->revision));
-  if (some || even_none)
+  if (any || send_empty)
     answer_json (wire, json_object_to_json_string (answer));
   json_object_put (answer);
-  return some;
+  return any;
 }
 
 static int
@@ -136,18 +137,18 @@
         && strcmp (store->items[i].key, after) > 0)
       sorted[count++] = &store->items[i];
   qsort (sorted, count, sizeof sorted[0], compare_items);
-  for (i = 0; i < count && i < PAGE; i++)
+  for (i = 0; i < count && i < PAGE_ITEMS; i++)
     json_object_array_add (items, describe_item (sorted[i]));
   json_object_object_add (answer, "items", items);
   json_object_object_add (answer, "has_more",
-                          json_object_new_boolean (count > PAGE));
+                          json_object_new_boolean (count > PAGE_ITEMS));
   json_object_object_add (answer, "as_of",
                           json_object_new_int64 (store->revision));
   answer_json (wire, json_object_to_json_string (answer));
   json_object_put (answer);
 }
 
-/* The value of a part of the query, up to its end.  */
+/* Copies the value that follows name in the query, up to the next "&".  */
 static void
 read_query (const char *target, const char *name, char text[KEY_BYTES])
 {
@@ -166,7 +167,7 @@
 }
 
 static void
-on_watch_end (uv_timer_t *timer)
+on_watch_timeout (uv_timer_t *timer)
 {
   watch_t *watch = timer->data;
   store_t *store = watch->store;
@@ -179,19 +180,18 @@
 }
 
 static void
-wait_for_changes (store_t *store, wire_t *wire, int64_t after,
-                  uint64_t wait_ms)
+add_watch (store_t *store, wire_t *wire, int64_t after, uint64_t wait_ms)
 {
   watch_t *watch = calloc (1, sizeof *watch);
 
-  if (watch == NULL || store->watch_count == WAITING_MAX)
+  if (watch == NULL || store->watch_count == WATCHES_MAX)
     abort ();
   watch->store = store;
   watch->wire = wire;
   watch->after = after;
   uv_timer_init (&store->soak->loop, &watch->timer);
   watch->timer.data = watch;
-  uv_timer_start (&watch->timer, on_watch_end, wait_ms, 0);
+  uv_timer_start (&watch->timer, on_watch_timeout, wait_ms, 0);
   *wire_state (wire) = watch;
   store->watches[store->watch_count++] = watch;
 }
@@ -212,7 +212,7 @@
     case STORE_BUSY:
       wire_print (wire, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
       return;
-    case STORE_WELL:
+    case STORE_NORMAL:
     case STORE_SLOW:
       break;
     }
@@ -223,12 +223,12 @@
     }
   read_query (request->target, "wait_ms=", wait);
   revision = strtoll (after, NULL, 10);
-  if (revision < store->oldest)
+  if (revision < store->oldest_revision)
     wire_print (wire, "HTTP/1.1 410 Gone\r\nContent-Length: 0\r\n\r\n");
   else if (store->mode == STORE_SLOW)
-    wait_for_changes (store, wire, revision, SLOW_MS);
+    add_watch (store, wire, revision, SLOW_MS);
   else if (!answer_changes (store, wire, revision, false))
-    wait_for_changes (store, wire, revision, strtoull (wait, NULL, 10));
+    add_watch (store, wire, revision, strtoull (wait, NULL, 10));
 }
 
 static void
@@ -255,7 +255,7 @@
 }
 
 static void
-tell_watches (store_t *store)
+notify_watches (store_t *store)
 {
   size_t i;
 
@@ -265,7 +265,7 @@
       wire_t *wire = watch->wire;
       int64_t after = watch->after;
 
-      if (store->mode != STORE_WELL)
+      if (store->mode != STORE_NORMAL)
         continue;
       drop_watch (store, watch);
       answer_changes (store, wire, after, true);
@@ -299,7 +299,7 @@
   EVP_EncodeBlock ((unsigned char *)item->value, (const unsigned char *)value,
                    (int)size_bytes);
   item->revision = ++store->revision;
-  tell_watches (store);
+  notify_watches (store);
 }
 
 void
@@ -310,27 +310,27 @@
   free (item->value);
   item->value = NULL;
   item->revision = ++store->revision;
-  tell_watches (store);
+  notify_watches (store);
 }
 
 void
 store_set_mode (store_t *store, store_mode_t mode)
 {
   store->mode = mode;
-  tell_watches (store);
+  notify_watches (store);
 }
 
 void
 store_compact (store_t *store)
 {
-  store->oldest = ++store->revision;
+  store->oldest_revision = ++store->revision;
 }
 
 void
-soak_publish (soak_t *soak)
+soak_publish_config (soak_t *soak)
 {
   static const char *const plain[] = { "plain-a", "plain-b" };
-  const char *service = plain[soak->flips % 2];
+  const char *service = plain[soak->route_switches % 2];
   char text[4096];
 
   snprintf (text, sizeof text,
@@ -350,8 +350,8 @@
             "\"route_kind\":\"streaming\",\"service\":\"engines\","
             "\"timeout_ms\":20000,\"max_attempts\":1,\"slo_ms\":1800}],"
             "\"tenants\":[{\"name\":\"tenant-a\",\"api_keys\":[\"key-a\"]}]}",
-            (unsigned)(10 + 3 * soak->flips),
-            soak->zones ? SOAK_COLD_MS / 1000 : 0,
-            soak->zones ? SOAK_COLD_PER_S : 0, service, service);
+            (unsigned)(10 + 3 * soak->route_switches),
+            soak->zones_enabled ? SOAK_COLD_MS / 1000 : 0,
+            soak->zones_enabled ? SOAK_COLD_PER_S : 0, service, service);
   store_put (soak->store, "op/config", text);
 }
--- a/tests/soak/soak-wire.c
+++ b/tests/soak/soak-wire.c
@@ -41,16 +41,16 @@
   char data[];
 } write_t;
 
-static char read_room[READ_BYTES];
+static char read_buffer[READ_BYTES];
 
 static void
-append (char *text, size_t room_bytes, const char *at, size_t size_bytes)
+append (char *text, size_t capacity_bytes, const char *at, size_t size_bytes)
 {
   size_t length = strlen (text);
-  size_t room = room_bytes - 1 - length;
+  size_t free_bytes = capacity_bytes - 1 - length;
 
-  if (size_bytes > room)
-    size_bytes = room;
+  if (size_bytes > free_bytes)
+    size_bytes = free_bytes;
   memcpy (text + length, at, size_bytes);
   text[length + size_bytes] = '\0';
 }
@@ -181,7 +181,7 @@
 }
 
 static void
-tell_closed (wire_t *wire)
+report_closed (wire_t *wire)
 {
   if (wire->closing)
     return;
@@ -190,15 +190,15 @@
 }
 
 static void
-give_room (uv_handle_t *handle, size_t wanted, uv_buf_t *room)
+provide_buffer (uv_handle_t *handle, size_t wanted, uv_buf_t *buffer)
 {
   (void)handle;
   (void)wanted;
-  *room = uv_buf_init (read_room, sizeof read_room);
+  *buffer = uv_buf_init (read_buffer, sizeof read_buffer);
 }
 
 static void
-on_read (uv_stream_t *stream, ssize_t size_bytes, const uv_buf_t *room)
+on_read (uv_stream_t *stream, ssize_t size_bytes, const uv_buf_t *buffer)
 {
   wire_t *wire = stream->data;
   size_t read_bytes = size_bytes > 0 ? (size_t)size_bytes : 0;
@@ -206,10 +206,10 @@
   if (wire->closing || size_bytes == 0)
     return;
   if (size_bytes < 0
-      || http_parser_execute (&wire->parser, &parser_settings, room->base,
+      || http_parser_execute (&wire->parser, &parser_settings, buffer->base,
                               read_bytes)
              != read_bytes)
-    tell_closed (wire);
+    report_closed (wire);
 }
 
 static wire_t *
@@ -245,7 +245,7 @@
       return;
     }
   uv_tcp_nodelay (&wire->tcp, 1);
-  uv_read_start ((uv_stream_t *)&wire->tcp, give_room, on_read);
+  uv_read_start ((uv_stream_t *)&wire->tcp, provide_buffer, on_read);
 }
 
 wire_listener_t *
@@ -286,9 +286,9 @@
   wire_t *wire = connect->data;
 
   if (status != 0)
-    tell_closed (wire);
+    report_closed (wire);
   else
-    uv_read_start ((uv_stream_t *)&wire->tcp, give_room, on_read);
+    uv_read_start ((uv_stream_t *)&wire->tcp, provide_buffer, on_read);
 }
 
 wire_t *
@@ -334,12 +334,12 @@
 wire_print (wire_t *wire, const char *format, ...)
 {
   char text[PRINT_BYTES];
-  va_list rest;
+  va_list arguments;
   int size_bytes;
 
-  va_start (rest, format);
-  size_bytes = vsnprintf (text, sizeof text, format, rest);
-  va_end (rest);
+  va_start (arguments, format);
+  size_bytes = vsnprintf (text, sizeof text, format, arguments);
+  va_end (arguments);
   if (size_bytes < 0 || (size_t)size_bytes >= sizeof text)
     abort ();
   wire_send (wire, text, (size_t)size_bytes);
--- a/tests/soak/soak-wire.h
+++ b/tests/soak/soak-wire.h
@@ -7,9 +7,9 @@
 #include <stdint.h>
 #include <uv.h>
 
-/* HTTP/1.1 connections of the soak: of its engines and its store, which serve,
-   and of its callers.  They read with the packaged parser and not with the
-   product's own reader, so that a fault there shows.  */
+/* HTTP/1.1 connections of the soak's engines and store (servers) and of its
+   callers (clients).  They use the packaged parser instead of the product's
+   own reader, so that a fault of that reader shows.  */
 
 enum
 {
@@ -33,30 +33,30 @@
   size_t field_count;
   wire_field_t fields[WIRE_FIELDS_MAX];
   size_t body_bytes;
-  char body[WIRE_BODY_BYTES]; /* of a request; ends with a zero byte */
+  char body[WIRE_BODY_BYTES]; /* of a request; NUL-terminated */
 } wire_message_t;
 
 typedef struct wire wire_t;
 
-/* What the owner of connections is told.  */
+/* Callbacks to the owner of a connection.  */
 typedef struct
 {
-  /* Server: a whole request came.  */
+  /* Server: a complete request was received.  */
   void (*requested) (wire_t *wire, const wire_message_t *request);
-  /* Client: the head of an answer, pieces of its body, and its end, which is
-     told only where the framing says so.  */
+  /* Client: the head of an answer, pieces of its body, and its end.  The end
+     is reported only when the framing marks it.  */
   void (*answered) (wire_t *wire, const wire_message_t *head);
   void (*piece) (wire_t *wire, const char *data, size_t size_bytes);
   void (*ended) (wire_t *wire);
-  /* The other side closed or reset it, or sent what can't be read; it is
-     closed behind this.  */
+  /* The peer closed or reset the connection, or sent something that can't be
+     parsed.  The connection is closed after this call.  */
   void (*closed) (wire_t *wire);
 } wire_events_t;
 
 typedef struct wire_listener wire_listener_t;
 
-/* Listen at an address; port 0 takes one of the kernel's choice, which is
-   written back.  NULL where it can't be had.  */
+/* Listens at an address.  With port 0 the kernel picks the port, which is
+   written back.  Returns NULL if the address can't be bound.  */
 wire_listener_t *wire_listen (uv_loop_t *loop, struct sockaddr_in *address,
                               const wire_events_t *events, void *owner);
 void wire_close_listener (wire_listener_t *listener);
@@ -68,16 +68,16 @@
 void wire_print (wire_t *wire, const char *format, ...)
     __attribute__ ((format (printf, 2, 3)));
 
-/* Close in order, or with a reset; nothing is told behind it.  */
+/* Closes normally, or with a reset.  No callback follows.  */
 void wire_close (wire_t *wire);
 void wire_reset (wire_t *wire);
 
 void *wire_owner (const wire_t *wire);
 
-/* A place for the owner's state of one connection.  */
+/* The owner's own pointer for one connection.  */
 void **wire_state (wire_t *wire);
 
-/* A field's value; NULL where there is none.  */
+/* A header field's value; NULL if there is none.  */
 const char *wire_field (const wire_message_t *message, const char *name);
 
 #endif
--- a/tests/soak/soak-zone.c
+++ b/tests/soak/soak-zone.c
@@ -2,16 +2,17 @@
 
 #include <string.h>
 
-/* Zones that the operator evacuates and takes back, and engines that are cold
-   behind their start.  Both have draws of their own, so that a seed has the
-   same other faults with and without them.  */
+/* Zones that the operator evacuates and restores, and engines that are cold
+   after their start.  These faults use a random generator of their own, so
+   that a seed has the same other faults with and without them.  */
 
 enum
 {
-  QUIET_START_MS = 3000,
-  /* A tick is 100 ms: some zone every two and a half seconds.  */
-  EVACUATED_OF_1000 = 40,
-  EVACUATED_LEAST_MS = 300,
+  FAULT_FREE_START_MS = 3000,
+  /* The chance for each tick of 100 ms: an evacuation every two and a half
+     seconds.  */
+  EVACUATE_PER_MILLE = 40,
+  EVACUATED_MIN_MS = 300,
   EVACUATED_SPREAD_MS = 8000,
   PER_MILLE = 1000,
   WINDOW_MS = 1000
@@ -22,7 +23,7 @@
 {
   static const char *const names[SOAK_ZONES] = { "z-0", "z-1", "z-2" };
 
-  return soak->zones ? names[number % SOAK_ZONES] : "z";
+  return soak->zones_enabled ? names[number % SOAK_ZONES] : "z";
 }
 
 static void
@@ -35,8 +36,8 @@
     store_put (soak->store, key, "{}");
   else
     store_delete (soak->store, key);
-  soak_note (soak, "%s is %s", zone_name (soak, zone),
-             on ? "evacuated" : "taken back");
+  soak_log_event (soak, "%s is %s", zone_name (soak, zone),
+                  on ? "evacuated" : "restored");
   soak->evacuated_ms[zone] = on ? soak_now_ms (soak) : 0;
 }
 
@@ -47,18 +48,18 @@
   csp_random_t *random = &soak->zone_random;
   size_t i;
 
-  if (!soak->zones || now_ms < soak->began_ms + QUIET_START_MS)
+  if (!soak->zones_enabled || now_ms < soak->began_ms + FAULT_FREE_START_MS)
     return;
   for (i = 0; i < SOAK_ZONES; i++)
     if (soak->evacuated_ms[i] != 0
-        && (soak->quiet_end || now_ms >= soak->evacuated_until_ms[i]))
+        && (soak->faults_ended || now_ms >= soak->evacuated_until_ms[i]))
       evacuate (soak, i, false);
-  if (soak->quiet_end
-      || csp_random_below (random, PER_MILLE) >= EVACUATED_OF_1000)
+  if (soak->faults_ended
+      || csp_random_below (random, PER_MILLE) >= EVACUATE_PER_MILLE)
     return;
   i = csp_random_below (random, SOAK_ZONES);
   soak->evacuated_until_ms[i]
-      = now_ms + EVACUATED_LEAST_MS
+      = now_ms + EVACUATED_MIN_MS
         + csp_random_below (random, EVACUATED_SPREAD_MS);
   if (soak->evacuated_ms[i] != 0)
     return;
@@ -66,7 +67,8 @@
   evacuate (soak, i, true);
 }
 
-/* The zone has been evacuated for so long that its host must know.  */
+/* Checks that no request reaches a zone that has been evacuated for longer
+   than hosts may take to apply it.  */
 static void
 check_evacuated (const server_t *server, const request_t *request,
                  const char *id)
@@ -78,13 +80,15 @@
   if (since_ms == 0 || now_ms <= since_ms + SOAK_EVACUATE_MS
       || now_ms < soak->store_disturbed_until_ms
       || server->disturbed_until_ms > since_ms
-      || !host_in_touch (soak, &soak->hosts[request->host]))
+      || !host_is_undisturbed (soak, &soak->hosts[request->host]))
     return;
-  soak_violation (soak, "EVAC", "%s reached %s %llu ms behind its evacuation",
-                  id, server->id, (unsigned long long)(now_ms - since_ms));
+  soak_report_violation (soak, "EVAC",
+                         "%s reached %s %llu ms after its evacuation", id,
+                         server->id, (unsigned long long)(now_ms - since_ms));
 }
 
-/* All hosts together send no more to a cold engine than it stands.  */
+/* Checks that all hosts together send a cold engine no more requests than it
+   can take.  */
 static void
 check_cold (server_t *server, const char *id)
 {
@@ -93,11 +97,13 @@
   uint64_t *oldest
       = &server->arrivals_ms[server->arrivals++ % SOAK_COLD_BOUND];
 
-  /* What its proxy holds comes together when it is let go.  */
+  /* Requests that a proxy held arrive all at once when the proxy passes
+     traffic again, so engines with disturbed connections aren't checked.  */
   if (now_ms < server->cold_until_ms && *oldest != 0
       && now_ms < *oldest + WINDOW_MS && server->disturbed_until_ms == 0)
-    soak_violation (soak, "FAILBACK", "%s is more than %d in a second at %s",
-                    id, SOAK_COLD_BOUND, server->id);
+    soak_report_violation (soak, "FAILBACK",
+                           "%s exceeds %d requests a second to cold %s", id,
+                           SOAK_COLD_BOUND, server->id);
   *oldest = now_ms;
 }
 
@@ -107,7 +113,7 @@
   const char *id = wire_field (message, "X-Attempt-Id");
   const request_t *request = ledger_find (server->soak, id);
 
-  if (!server->soak->zones || request == NULL)
+  if (!server->soak->zones_enabled || request == NULL)
     return;
   check_evacuated (server, request, id);
   if (strcmp (server->service, "engines") == 0)
--- a/tests/soak/soak.c
+++ b/tests/soak/soak.c
@@ -12,9 +12,8 @@
 #include <unistd.h>
 
 /* soak --program GATEWAY [--seed N] [--seconds S] [--hosts N] [--callers N]
-   [--work DIR] [--zones] [--poison] [--announce]: one soak.  Prints its
-   violations and one line at the end; exits with 1 where a promise was broken.
- */
+   [--work DIR] [--zones] [--poison] [--announce]: runs one soak.  Prints its
+   violations and a summary line; exits with 1 if there was a violation.  */
 
 enum
 {
@@ -22,10 +21,10 @@
   HOSTS = 12,
   CALLERS = 60,
   SECONDS = 25,
-  FRONT_PORT = 8740,
+  CALLER_PORT = 8740,
   READY_PORT = 8749,
-  PEERS_PORT = 8748,
-  FIRST_HOST = 10,
+  PEER_PORT = 8748,
+  FIRST_HOST_NUMBER = 10,
   VIOLATIONS_SHOWN = 20,
   ADDRESS_SPREAD = 200,
   MS_PER_S = 1000
@@ -38,42 +37,43 @@
 }
 
 static void
-write_line (soak_t *soak, const char *rule, const char *format, va_list rest)
+write_line (soak_t *soak, const char *rule, const char *format,
+            va_list arguments)
 {
   fprintf (soak->journal, "%8.3f %s",
            (double)(soak_now_ms (soak) - soak->began_ms) / MS_PER_S, rule);
-  vfprintf (soak->journal, format, rest);
+  vfprintf (soak->journal, format, arguments);
   fputc ('\n', soak->journal);
   fflush (soak->journal);
 }
 
 void
-soak_note (soak_t *soak, const char *format, ...)
+soak_log_event (soak_t *soak, const char *format, ...)
 {
-  va_list rest;
+  va_list arguments;
 
-  va_start (rest, format);
-  write_line (soak, "", format, rest);
-  va_end (rest);
+  va_start (arguments, format);
+  write_line (soak, "", format, arguments);
+  va_end (arguments);
 }
 
 void
-soak_violation (soak_t *soak, const char *rule, const char *format, ...)
+soak_report_violation (soak_t *soak, const char *rule, const char *format, ...)
 {
-  va_list rest;
-  char words[32];
+  va_list arguments;
+  char label[32];
 
-  snprintf (words, sizeof words, "VIOLATION %s ", rule);
-  va_start (rest, format);
-  write_line (soak, words, format, rest);
-  va_end (rest);
+  snprintf (label, sizeof label, "VIOLATION %s ", rule);
+  va_start (arguments, format);
+  write_line (soak, label, format, arguments);
+  va_end (arguments);
   if (++soak->violations > VIOLATIONS_SHOWN)
     return;
   printf ("seed %llu at %.3f s: %s: ", (unsigned long long)soak->seed,
           (double)(soak_now_ms (soak) - soak->began_ms) / MS_PER_S, rule);
-  va_start (rest, format);
-  vprintf (format, rest);
-  va_end (rest);
+  va_start (arguments, format);
+  vprintf (format, arguments);
+  va_end (arguments);
   putchar ('\n');
 }
 
@@ -99,26 +99,28 @@
 }
 
 /* Each host has a loopback address of its own, so that all can use the same
-   ports; a second hundred goes to the next network.  */
+   ports.  Hosts from number 200 on use the next network.  */
 static void
-place_host (soak_t *soak, size_t number)
+set_host_addresses (soak_t *soak, size_t number)
 {
   host_t *host = &soak->hosts[number];
   char address[24];
 
   snprintf (address, sizeof address, "%s", soak->address);
-  /* The third number is even.  */
+  /* The third octet is even, so incrementing its last digit gives the next
+     network.  */
   if (number >= ADDRESS_SPREAD)
     soak->address[strlen (soak->address) - 1]++;
   snprintf (host->name, sizeof host->name, "h%zu", number);
-  host->front = soak_address (
-      soak, (unsigned)(FIRST_HOST + number % ADDRESS_SPREAD), FRONT_PORT);
-  host->ready = host->front;
-  host->ready.sin_port = htons (READY_PORT);
-  host->peers = host->front;
-  host->peers.sin_port = htons (PEERS_PORT);
+  host->caller_address = soak_address (
+      soak, (unsigned)(FIRST_HOST_NUMBER + number % ADDRESS_SPREAD),
+      CALLER_PORT);
+  host->ready_address = host->caller_address;
+  host->ready_address.sin_port = htons (READY_PORT);
+  host->peer_address = host->caller_address;
+  host->peer_address.sin_port = htons (PEER_PORT);
   snprintf (soak->address, sizeof soak->address, "%s", address);
-  host->store = soak_address (soak, 4, 0);
+  host->store_address = soak_address (soak, 4, 0);
 }
 
 static void
@@ -130,8 +132,9 @@
     {
       host_t *host = &soak->hosts[i];
 
-      place_host (soak, i);
-      host->store_proxy = proxy_open (&soak->loop, &host->store, store);
+      set_host_addresses (soak, i);
+      host->store_proxy
+          = proxy_open (&soak->loop, &host->store_address, store);
       if (host->store_proxy == NULL)
         abort ();
     }
@@ -140,7 +143,7 @@
 }
 
 static void
-reap (soak_t *soak)
+reap_hosts (soak_t *soak)
 {
   size_t i;
 
@@ -160,7 +163,7 @@
   soak_t *soak = timer->data;
   size_t i;
 
-  reap (soak);
+  reap_hosts (soak);
   for (i = 0; i < soak->host_count; i++)
     host_tick (soak, &soak->hosts[i]);
   for (i = 0; i < soak->server_count; i++)
@@ -183,10 +186,10 @@
   soak->store = store_open (soak, &store);
   if (soak->store == NULL)
     abort ();
-  soak_publish (soak);
+  soak_publish_config (soak);
   for (i = 0; i < SOAK_ENGINES; i++)
     server_open (soak, "engines");
-  for (i = 0; i < SOAK_PLAIN; i++)
+  for (i = 0; i < SOAK_PLAIN_SERVERS; i++)
     {
       server_open (soak, "plain-a");
       server_open (soak, "plain-b");
@@ -197,9 +200,9 @@
   tick.data = soak;
   uv_timer_start (&tick, on_tick, TICK_MS, TICK_MS);
   uv_run (&soak->loop, UV_RUN_DEFAULT);
-  ledger_close (soak);
+  ledger_check_final (soak);
   callers_stop (soak->callers);
-  host_end_all (soak);
+  host_kill_all (soak);
 }
 
 static void
@@ -237,13 +240,13 @@
         *callers = strtoul (optarg, NULL, 10);
         break;
       case 'z':
-        soak->zones = true;
+        soak->zones_enabled = true;
         break;
       case 'x':
-        soak->plays_poison = true;
+        soak->poison_enabled = true;
         break;
       case 'd':
-        soak->announces = true;
+        soak->announce_enabled = true;
         break;
       case 'w':
         snprintf (soak->work, sizeof soak->work, "%s", optarg);
@@ -276,16 +279,16 @@
   if (soak.journal == NULL || soak.requests == NULL
       || uv_loop_init (&soak.loop) != 0)
     return 2;
-  /* Two soaks at once have different numbers.  */
+  /* Soaks that run at the same time use different addresses.  */
   snprintf (soak.address, sizeof soak.address, "127.%d.%d",
             16 + (getpid () / ADDRESS_SPREAD) % ADDRESS_SPREAD,
             2 * (getpid () % 100));
   csp_seed_random (&soak.random, soak.seed);
   csp_seed_random (&soak.zone_random, ~soak.seed);
   soak.began_ms = soak_now_ms (&soak);
-  if (soak.plays_poison)
+  if (soak.poison_enabled)
     poison_open (&soak);
-  if (soak.announces)
+  if (soak.announce_enabled)
     announce_open (&soak);
   run (&soak, callers);
   poison_close (&soak);
--- a/tests/soak/soak.sh
+++ b/tests/soak/soak.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# Soaks by hand: soak.sh FIRST LAST [SECONDS [HOSTS [CALLERS [AT-ONCE]]]], one
-# for each seed from FIRST to LAST.  Logs of seeds that fail stay under
-# $BUILD/soaks.
+# usage: soak.sh FIRST LAST [SECONDS [HOSTS [CALLERS [AT-ONCE]]]]
+# Runs one soak for each seed from FIRST to LAST, AT-ONCE of them in parallel.
+# Logs of seeds that fail are kept under $BUILD/soaks.
 BUILD=${BUILD:-build/plain}
 first=$1
 last=$2
