--- a/tests/demo.sh
+++ b/tests/demo.sh
@@ -1,9 +1,9 @@
 #!/bin/sh
-# A small fleet on loopback: platform, engines, a plain service and three
-# hosts.  Streams a bulletin and a proposal, sends a lease score twice under
-# one key, stops a host with SIGTERM in mid-stream and kills an engine; prints
-# what each caller got, and the measures.  Exits 0 when all of it came out as
-# promised, with nothing left running.
+# Runs a small fleet on loopback: platform, engines, a plain service and three
+# hosts.  Streams a bulletin and a proposal, sends a lease score twice with one
+# key, stops a host with SIGTERM in mid-stream and kills an engine.  Prints
+# what each caller got, and the metrics.  Exits 0 when all results were as
+# promised and no process is left running.
 . "$(dirname "$0")/fleet.sh"
 faults=0
 began_s=$(date +%s)
@@ -28,12 +28,12 @@
   printf '\n== %s\n' "$*"
 }
 
-# show WHO CALL: what a caller got.
+# show WHO CALL: prints what a caller got.
 show() {
   sed "s/^/   $1: /" "$work/$2.call"
 }
 
-# expect WHAT COMMAND...: print whether a promise was kept.
+# expect WHAT COMMAND...: prints whether an expectation holds.
 expect() {
   what=$1
   shift
@@ -49,7 +49,8 @@
   grep -q "$2" "$work/$1.call"
 }
 
-# call_as WHO CALL HOST OPTION...: a call that is waited for and shown.
+# call_as WHO CALL HOST OPTION...: makes a call, waits for it and shows its
+# result.
 call_as() {
   who=$1
   call=$2
@@ -59,7 +60,7 @@
   show "$who" "$call"
 }
 
-# The engine that works on the newest call, once it has made 20 tokens.
+# Finds the engine that runs the newest call, once it has made 20 tokens.
 find_busy_engine() {
   busy=
   for engine in e1 e2 e3; do
--- a/tests/fleet.sh
+++ b/tests/fleet.sh
@@ -1,8 +1,8 @@
 # Helpers that start and drive a small fleet of real processes on loopback, on
 # ports that the kernel picks; for the golden sessions, the demo and the bench.
 #
-# Nothing here proves by sleeping: wait_until polls a condition that can be
-# seen from outside and exits after its limit.
+# No check relies on a fixed sleep: wait_until polls a condition that can be
+# observed from outside, and exits when its time limit has passed.
 
 BUILD=${BUILD:-build/plain}
 work=$(mktemp -d "$BUILD/fleet.XXXXXX")
@@ -15,14 +15,15 @@
   printf 'key-%s' "$1" | sha256sum | cut -d' ' -f1
 }
 
-# State, parent and start time of a process; empty when it is gone.
+# Prints the state, parent and start time of a process; nothing when it has
+# ended.
 identity_of() {
   sed 's/.*) //' "/proc/$1/stat" 2>/dev/null | awk '{ print $1, $2, $20 }'
 }
 
-# is_running NAME: the process is there and is still the one that was started.
-# The shell reaps its children unasked, and the kernel gives their numbers
-# away again: a signal to the number alone could end a stranger.
+# is_running NAME: whether the process still exists and is the one that was
+# started.  The shell reaps its children on its own and the kernel reuses
+# process ids, so a signal to the id alone could hit an unrelated process.
 is_running() {
   identity=$(identity_of "$(pid_of "$1")")
   case $identity in
@@ -31,7 +32,7 @@
   [ "${identity#* }" = "$(cat "$work/$1.identity")" ]
 }
 
-# note_process NAME PID
+# note_process NAME PID: records a process and its identity.
 note_process() {
   echo "$2" >"$work/$1.pid"
   identity=$(identity_of "$2")
@@ -86,7 +87,8 @@
   start platform standin-platform "$@"
 }
 
-# start_engine NAME OPTION...; in data centre $data_centre, pool general.
+# start_engine NAME OPTION...: an engine in data centre $data_centre, pool
+# general.
 start_engine() {
   start "$1" standin-engine --name "$@"
   add_target "$1" engine general
@@ -111,7 +113,7 @@
   echo "${data_centre:-cardiff}" >"$work/$host_name.centre"
 }
 
-# add_target NAME KIND POOL [STATE]; a target that is known changes.
+# add_target NAME KIND POOL [STATE]: adds a target, or replaces a known one.
 add_target() {
   sed -i "/^$1 /d" "$work/targets"
   echo "$1 $2 $3 ${4:-live} ${data_centre:-cardiff} ${checks_fence:-true}" \
@@ -122,7 +124,7 @@
   sed -i "/^$1\$/d" "$work/hosts"
 }
 
-# The data centre that start_host gave a host.
+# Prints the data centre that start_host gave a host.
 centre_of() {
   cat "$work/$1.centre" 2>/dev/null || echo "${data_centre:-cardiff}"
 }
@@ -151,7 +153,7 @@
   done <"$work/targets"
 }
 
-# Publish the whole host list as it now is.
+# Publishes the whole current host list.
 publish_hosts() {
   request platform POST /test/hosts \
     "{\"hosts\":[$(describe_hosts)],\"targets\":[$(describe_targets)]}" \
@@ -159,14 +161,16 @@
   list_version=$(sed 's/[^0-9]//g' "$work/published")
 }
 
-# publish_config SET [DELETE]: members of "set", elements of "delete".
+# publish_config SET [DELETE]: publishes a configuration change; SET has the
+# members of "set", DELETE the elements of "delete".
 publish_config() {
   request platform POST /test/config "{\"set\":{$1},\"delete\":[${2:-}]}" \
     >"$work/published"
   config_revision=$(sed 's/[^0-9]//g' "$work/published")
 }
 
-# One organisation each for both firms, a model route and a service route.
+# Publishes an organisation for each of the two firms, a model route and a
+# service route.
 publish_usual_config() {
   publish_config "
     \"organisation/llanfair\": {\"key_sha256\": [\"$(hash_of_key llanfair)\"]},
@@ -201,14 +205,14 @@
   [ "$(status_of "$1" /ready)" = 503 ]
 }
 
-# Wait until a host serves: it has configuration, host list and targets.
+# Waits until hosts are ready: they have configuration, host list and targets.
 wait_ready() {
   for name in "$@"; do
     wait_until 15 answers_ready "$name"
   done
 }
 
-# Platform, one engine and one host that serves; the plainest fleet.
+# Starts the smallest fleet: platform, one engine, one service and one host.
 start_usual_fleet() {
   start_platform
   publish_usual_config
@@ -219,7 +223,7 @@
   wait_ready h1
 }
 
-# call PROCESS OPTION...: one request, its transcript on stdout.
+# call PROCESS OPTION...: sends one request and prints its transcript.
 call() {
   process=$1
   shift
@@ -227,8 +231,9 @@
     "$@"
 }
 
-# call_later CALL PROCESS OPTION...; finish CALL [SED] prints what it got.  Not
-# for a pipeline: a subshell can't wait for this shell's processes.
+# call_later CALL PROCESS OPTION...: starts a call in the background.  finish
+# CALL [SED] waits for it and prints its transcript.  Don't use finish in a
+# pipeline: a subshell can't wait for processes of this shell.
 call_later() {
   later=$1
   shift
@@ -241,12 +246,12 @@
   sed "${2:-}" "$work/$1.call"
 }
 
-# fault PROCESS JSON
+# fault PROCESS JSON: injects a fault into a stand-in.
 fault() {
   request "$1" POST /test/fault "$2" >"$work/fault"
 }
 
-# A key for a call that runs once at most: a UUID of version 7.
+# Makes a key for a call that may run at most once: a UUID of version 7.
 new_key() {
   key_count=$((${key_count:-0} + 1))
   hex=$(printf '%012x' "$(date +%s%3N)")
@@ -254,14 +259,14 @@
     "${hex#????????}" $$ "$key_count")
 }
 
-# One line for each generation that an engine started, oldest first.
+# Prints one line for each generation that an engine started, oldest first.
 generations() {
   request "$1" GET /test/log | sed 's/"orders".*//' |
     grep -o '"prompt":"[^"]*".*' | sed 's/},{/\n/g' |
     sed -n 's/.*"prompt":"\([^"]*\)".*"made":\([0-9]*\),"links":\([0-9]*\),.*"state":"\([a-z]*\)".*/prompt=\1 made=\2 links=\3 state=\4/p'
 }
 
-# The same without numbers that depend on the time.
+# Prints the same without numbers that depend on timing.
 generations_settled() {
   generations "$1" | sed 's/ made=[0-9]*//'
 }
@@ -293,7 +298,8 @@
   [ "$(count_starts "$1")" -ge "$2" ]
 }
 
-# all_have_made N ENGINE...: together, over all their generations.
+# all_have_made N ENGINE...: all generations of these engines together have N
+# tokens or more.
 all_have_made() {
   least=$1
   shift
@@ -319,7 +325,7 @@
     sed -n "s/.*\"$1\":\([0-9]*\).*/\1/p"
 }
 
-# Every read of the configuration, or hosts.
+# Counts the reads of the configuration.
 count_reads() {
   echo $(($(count_of_reads config_full) + $(count_of_reads config_watch)))
 }
@@ -328,13 +334,13 @@
   [ "$(count_reads)" -ge $(($1 + $2)) ]
 }
 
-# A number out of a host's /status.
+# Prints a number from a host's /status.
 status_number() {
   request "$1" GET /status | tr -d ' \n' |
     sed -n "s/.*\"$2\":\([0-9]*\).*/\1/p"
 }
 
-# The host list that was published last is in force at every listed host.
+# Whether all listed hosts have applied the host list published last.
 list_was_read() {
   while read -r reader; do
     seen=$(status_number "$reader" host_list_version)
@@ -360,12 +366,14 @@
   call "$1" --model "$2" --tokens 1 | grep -q 'status=404'
 }
 
-# A draining host that takes no new calls: by its answer or by no connection.
+# Whether a draining host refuses new calls, by its answer or by refusing the
+# connection.
 refuses_new() {
   call "$1" --tokens 1 | grep -q 'verdict=not run'
 }
 
-# forget NAME...: the session has killed these itself.
+# forget NAME...: reaps processes that the session has killed itself, and leaves
+# them out of the checks at its end.
 forget() {
   for name in "$@"; do
     wait "$(pid_of "$name")" 2>/dev/null
@@ -373,7 +381,7 @@
   done
 }
 
-# Wait until a process of the session has ended; prints its exit code.
+# Waits until a process of the session has ended; prints its exit code.
 wait_exit() {
   wait_until "${2:-20}" has_ended "$1"
   wait "$(pid_of "$1")"
@@ -385,14 +393,15 @@
   ! is_running "$1"
 }
 
-# signal_to NAME SIGNAL
+# signal_to NAME SIGNAL: sends a signal if the process still runs.
 signal_to() {
   if is_running "$1"; then
     kill -s "$2" "$(pid_of "$1")"
   fi
 }
 
-# End what is still running; a host that doesn't end well fails the session.
+# Ends all running processes and reports those that don't exit cleanly, which
+# makes the session fail.
 end_all() {
   for name in $started; do
     signal_to "$name" CONT
@@ -417,17 +426,17 @@
   done
 }
 
-# has_revision HOST: it serves by the configuration that was published last.
+# has_revision HOST: it uses the configuration that was published last.
 has_revision() {
   request "$1" GET /status | grep -q "\"revision\": *$config_revision,"
 }
 
-# text BYTES: a text for a prompt of a given size, about four bytes a token.
+# text BYTES: prints prompt text of that size; a token has about four bytes.
 text() {
   head -c "$1" /dev/zero | tr '\0' a
 }
 
-# waits_at HOST N: so many requests wait there, over all pools.
+# waits_at HOST N: exactly N requests wait at the host, over all pools.
 waits_at() {
   waiting=$(request "$1" GET /status | tr -d ' \n' | grep -o '"waiting":[0-9]*' |
     sed 's/.*://' | awk '{ sum += $1 } END { print sum + 0 }')
--- a/tests/platform-names.sh
+++ b/tests/platform-names.sh
@@ -1,8 +1,9 @@
 #!/bin/sh
-# Nothing outside the adapter knows the platform's names: each is looked for in
-# the product, its tests and benches, and printed where it stands.  X-Deadline-Ms
-# and path_prefix are not listed: the product's own API has had them before.
-# tests/adapter, tests/watch and tests/soak play the platform's side themselves.
+# Checks that only the adapter uses the platform's names: searches the product,
+# its tests and benches for each name and prints where it is used.
+# X-Deadline-Ms and path_prefix aren't in the list, since the product's own API
+# had them first.  tests/adapter, tests/watch and tests/soak simulate the
+# platform and are left out.
 names='X-Attempt-Id X-Credential X-Tenant X-Expect-Instance
   X-Engine-Signature X-Not-Executed X-Token-Usage X-Prompt-Prefix X-Model
   X-Length-Hint X-Request-Priority X-Weight-Versions X-Kv-Backup X-Pin-Ms
--- a/tests/run.sh
+++ b/tests/run.sh
@@ -1,8 +1,8 @@
 #!/bin/sh
-# Runs every test program named on the command line, a few side by side, and
-# prints one line at the end: N passed, N failed.  A check program reports its
-# own counts; a program that dies without a report counts as one failure.
-# Tests listed in KNOWN-RED.txt are printed and do not fail the run.
+# Runs every test program named on the command line, several in parallel, and
+# prints a final line: N passed, N failed.  A check program reports its own
+# counts; a program that ends without a report counts as one failure.  Tests
+# listed in KNOWN-RED.txt are printed and don't fail the run.
 out=$BUILD/test-output
 rm -rf "$out"
 mkdir -p "$out"
--- a/tests/session/cancel-unread.sh
+++ b/tests/session/cancel-unread.sh
@@ -1,8 +1,8 @@
 #!/bin/sh
-# A caller gives up before it has read anything: it asked for a whole answer,
-# or the first token is late.  Nothing is written to it meanwhile, so its
-# hanging up doesn't show by a failing write; without another way to see it
-# the engine's memory goes to answers that nobody reads.
+# A caller disconnects before it has received any byte: it asked for a whole
+# answer, or the first token is late.  The host writes nothing to it meanwhile,
+# so no write fails.  If the host doesn't detect the disconnect otherwise, the
+# engine spends its memory on answers that nobody reads.
 . "$(dirname "$0")/lib.sh"
 start_usual_fleet
 
--- a/tests/session/cancel.sh
+++ b/tests/session/cancel.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# A caller hangs up in mid-stream.  Without a cancel the engine would go on
-# with an answer that nobody reads, and other callers would wait for its
+# A caller disconnects in mid-stream.  Without a cancel the engine would
+# continue an answer that nobody reads, and other callers would wait for its
 # memory.
 . "$(dirname "$0")/lib.sh"
 start_usual_fleet
--- a/tests/session/crossed.sh
+++ b/tests/session/crossed.sh
@@ -1,7 +1,8 @@
 #!/bin/sh
-# An engine crosses two answers: in the middle of one stream comes a token of
-# another generation.  Passing it on would give an editor somebody else's
-# text; ending there would lose an answer that the engine still has.
+# An engine mixes up two answers: in the middle of one stream comes a token of
+# another generation.  If the host forwarded that token, the caller would get
+# another customer's text.  If it ended the stream there, an answer would be
+# lost that the engine still has.
 . "$(dirname "$0")/lib.sh"
 start_usual_fleet
 
--- a/tests/session/drain.sh
+++ b/tests/session/drain.sh
@@ -1,6 +1,7 @@
 #!/bin/sh
-# A host gets SIGTERM while it streams.  The caller must get its answer to the
-# end; the balancer has to see the readiness fail before new calls are refused.
+# A host gets SIGTERM during a stream.  The caller must get the complete
+# answer, and the load balancer must see the readiness check fail before new
+# calls are refused.
 . "$(dirname "$0")/lib.sh"
 start_usual_fleet
 start_host h2
--- a/tests/session/engine-contract.sh
+++ b/tests/session/engine-contract.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# The stand-in engine by itself: what the other sessions rely on.  A stand-in
-# that broke docs/ENGINE.md would make every proof through it worthless.
+# Tests the stand-in engine by itself.  All other sessions rely on it to keep
+# to docs/ENGINE.md; if it didn't, their results would be worthless.
 . "$(dirname "$0")/lib.sh"
 
 start e1 standin-engine --name e1 --token-ms 5 --resume-window-ms 300
--- a/tests/session/engine-killed-once.sh
+++ b/tests/session/engine-killed-once.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# An engine is killed while it works on a call that may run at most once.  The
-# host can't know whether it ran, so no other engine may get it, and the
-# caller is told so.
+# An engine is killed while it runs a call that may run at most once.  The host
+# can't know whether the call ran, so it must not send it to another engine,
+# and the caller must get the verdict that the call may have run.
 . "$(dirname "$0")/lib.sh"
 start_platform
 publish_usual_config
--- a/tests/session/engine-killed.sh
+++ b/tests/session/engine-killed.sh
@@ -1,10 +1,10 @@
 #!/bin/sh
-# An engine's process is killed: before the first token, when another engine
-# may take over, and after it, when nobody can.  A caller must never read a
-# clean end behind half an answer, nor text of two generations.
+# An engine process is killed: before the first token, when another engine may
+# take over, and after it, when none can.  A caller must never get a normal end
+# of stream after half an answer, nor text of two generations.
 . "$(dirname "$0")/lib.sh"
 
-# A first token that never comes in time to be seen.
+# The first token comes so late that none is sent before the engine is killed.
 start_platform
 publish_usual_config
 start_engine e1 --first-ms 60000
--- a/tests/session/errors.sh
+++ b/tests/session/errors.sh
@@ -1,7 +1,8 @@
 #!/bin/sh
-# Every error that a single host can give, with its verdict.  A caller that
-# reads a wrong "not run" sends its request again and gets it twice; one that
-# reads a wrong "may have run" gives up an answer that it could have had.
+# Every error that a single host can return, with its verdict.  A caller that
+# gets a wrong "not run" sends its request again and the request runs twice.
+# One that gets a wrong "may have run" gives up an answer that it could have
+# had.
 . "$(dirname "$0")/lib.sh"
 start_platform
 start_host h1
--- a/tests/session/fair-shares.sh
+++ b/tests/session/fair-shares.sh
@@ -1,8 +1,8 @@
 #!/bin/sh
-# One organisation sends a hundred and twenty requests at once before an engine
-# that has room for a dozen; another sends four a moment later.  Served in order
-# of arrival, the four would wait behind all of them: small customers pay for
-# the large one.
+# One organisation sends 120 requests at once to an engine with capacity for a
+# dozen; another sends four a moment later.  In order of arrival the four would
+# wait behind all 120, so small customers would suffer from the load of a large
+# one.
 . "$(dirname "$0")/lib.sh"
 start_platform
 publish_usual_config
--- a/tests/session/fallback.sh
+++ b/tests/session/fallback.sh
@@ -1,7 +1,8 @@
 #!/bin/sh
-# The only engine of a route's pool leaves and is off the list then. Callers of
-# the route get their answers from the fallback's pool; without it each is told
-# that no target can take it, though another model stands by.
+# The only engine of a route's pool is leaving and is then removed from the
+# list.  Callers of the route must get their answers from the fallback pool.
+# Without the fallback each gets the error that no target can take the request,
+# although another model is available.
 . "$(dirname "$0")/lib.sh"
 start_platform
 publish_usual_config
@@ -16,7 +17,7 @@
     "fallback": "m-small", "classes": {"chat": {}}}'
 wait_until 5 has_revision h1
 
-# Where ten calls went, each after the one before it.
+# Prints where ten sequential calls went.
 ten_calls() {
   for number in 1 2 3 4 5 6 7 8 9 10; do
     call h1 --model m-tight --tokens 5 --class chat | head -n 1
--- a/tests/session/hostile.sh
+++ b/tests/session/hostile.sh
@@ -1,17 +1,17 @@
 #!/bin/sh
-# Callers that are broken or mean harm: requests that are no HTTP, lie about
-# their length, break the JSON, or stop in the middle and keep the connection.
-# Each connection holds a thread of the host.  Without bounds a few of them
-# hold all threads, and every other caller of the host waits without a word in
-# the log; with a body taken for whole that was cut, a service runs half a
-# request.
+# Broken and malicious callers: requests that aren't HTTP, have a wrong length
+# or broken JSON, or stop in the middle and keep the connection open.  Each
+# connection holds a thread of the host.  Without limits a few of them hold all
+# threads, and all other callers wait with nothing in the log.  If a truncated
+# body were taken for a complete one, a service would run half a request.
 . "$(dirname "$0")/lib.sh"
 start_platform
 publish_usual_config
 start_engine e1 --token-ms 1 --slots 100
 start_service s1
 start_host h1
-# AddressSanitizer keeps what was freed, which would count as grown memory.
+# AddressSanitizer keeps freed memory in quarantine, which would count as
+# growth.
 ASAN_OPTIONS=${ASAN_OPTIONS:+$ASAN_OPTIONS:}quarantine_size_mb=1
 export ASAN_OPTIONS
 start_host h2 --max-streams 8 --caller-timeout-ms 1000
@@ -23,8 +23,8 @@
   "$BUILD/standin-hostile" "$(port_of h1)" send
 }
 
-# hold KIND LIMIT_MS HELD_MS [COUNT]: connections on the 8 threads of h2; a
-# caller beside them gets its whole answer within the limit.
+# hold KIND LIMIT_MS HELD_MS [COUNT]: holds connections to h2, which has 8
+# threads; another caller must get its whole answer within the limit meanwhile.
 hold() {
   : >"$work/hold-$1.call"
   "$BUILD/standin-hostile" "$(port_of h2)" hold "${4:-40}" "$1" "$3" \
@@ -34,8 +34,8 @@
   call h2 --tokens 5 --limit-ms "$2"
 }
 
-# Of the answers that nobody reads, none is still made, and none got far: the
-# kernel keeps little for a caller that doesn't read.
+# All four unread answers are cancelled.  None got far, since the kernel
+# buffers little for a caller that doesn't read.
 unread_is_ended() {
   [ "$(generations e1 | grep -c 'tokens=60000.*state=cancelled')" = 4 ]
 }
@@ -50,7 +50,8 @@
     grep -q 'status=200'
 }
 
-# leaks FILE: the keys of callers, which no page and no log line may show.
+# leaks FILE: counts lines with callers' keys, which must not appear on any
+# page or in any log line.
 leaks() {
   grep -a -c -e key-llanfair -e secret-key -e 'secret-' "$1"
 }
--- a/tests/session/keyed-drain.sh
+++ b/tests/session/keyed-drain.sh
@@ -1,8 +1,8 @@
 #!/bin/sh
-# A lease score is repeated, under its key, at a host that is shutting down.  That
-# host asks nobody any more, so it can't know whether the first attempt ran.
-# Told "not run", the portal would send the score under a new key, and the
-# buyer would get two.
+# A lease score is repeated with its key at a host that is shutting down.  That
+# host no longer asks its peers, so it can't know whether the first attempt
+# ran.  If it answered "not run", the portal would send the score with a new
+# key, and the buyer would get two quotes.
 . "$(dirname "$0")/lib.sh"
 start_usual_fleet
 start_host h2
--- a/tests/session/leaving.sh
+++ b/tests/session/leaving.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# An engine is listed as leaving while it streams.  It must get nothing new
-# once the list was read, and what runs there must run to its end: an engine
-# that is switched off with work on it cuts callers off.
+# An engine is listed as leaving during a stream.  It must get no new requests
+# once hosts have read the list, and its running requests must complete: an
+# engine that is switched off while it has work cuts callers off.
 . "$(dirname "$0")/lib.sh"
 start_platform
 publish_usual_config
--- a/tests/session/lend.sh
+++ b/tests/session/lend.sh
@@ -1,13 +1,14 @@
 #!/bin/sh
-# A pool of one organisation is lent to another below half its load. While a
-# long answer of its own has three fifths of the memory, the borrower has to wait
-# and the owner's next request is served; without the bound the borrower takes
-# the rest, and the owner waits for a stranger's answer.
+# A pool of one organisation is lent to another while its load is below one
+# half.  A long answer of the owner uses three fifths of the memory, so the
+# borrower has to wait and the owner's next request is served.  Without that
+# limit the borrower would take the rest, and the owner would wait for the
+# borrower's answer.
 . "$(dirname "$0")/lib.sh"
 start_platform
 publish_usual_config
-# The long answers last 9 s: what is looked at while they run must be seen
-# before they end, on a busy machine too.
+# The long answers last 9 s, so that checks during them finish before their end
+# on a busy machine too.
 start_engine t1 --memory-tokens 6000 --token-ms 18
 add_target t1 engine tight
 start_host h1
@@ -21,7 +22,7 @@
 wait_until 5 has_revision h1
 wait_until 10 serves_model h1 m-tight
 
-# What t1 ran or runs, by prompt: o for the owner, b for the borrower.
+# Prints what t1 ran or runs, by prompt: o for the owner, b for the borrower.
 ran() {
   generations t1 | sed -n 's/^prompt=\([ob]*[0-9]\).*/\1/p' | tr '\n' ' '
   echo
@@ -41,7 +42,8 @@
 finish borrowed 1q
 echo "ran: $(ran)"
 
-# Its owner grants new work on all of it.
+# Whether the host that owns the target admits new work up to its full
+# capacity.
 is_open() {
   for host in h1 h2; do
     request "$host" GET /status | tr -d ' \n' |
--- a/tests/session/lib.sh
+++ b/tests/session/lib.sh
@@ -1,7 +1,7 @@
 # A golden session is a script NAME.sh that sources this file, starts real
-# processes and prints what callers got; at its end the transcript is compared
-# with NAME.golden.  It reports like a check program, so tests/run.sh counts
-# it by its own name.
+# processes and prints what callers got.  At its end the transcript is compared
+# with NAME.golden.  It reports in the format of a check program, so
+# tests/run.sh counts it under its own name.
 here=$(dirname "$0")
 session=$(basename "$0" .sh)
 . "$here/../fleet.sh"
@@ -12,7 +12,7 @@
   end_all
   exec 1>&3
   failures=0
-  # A new golden file is read before it is committed.
+  # A new golden file must be reviewed before it is committed.
   if [ -n "${SESSION_WRITE:-}" ]; then
     cp "$work/transcript" "$here/$session.golden"
   fi
--- a/tests/session/limits.sh
+++ b/tests/session/limits.sh
@@ -1,7 +1,8 @@
 #!/bin/sh
 # One organisation sends twenty requests at once and is allowed two open
-# streams; another one's must not wait behind them. Uncounted, its backlog
-# fills the engines and an operator sees a declared limit that nothing keeps.
+# streams; another organisation must not wait behind them.  If the limit
+# weren't enforced, the backlog would fill the engines although operators have
+# declared a limit.
 . "$(dirname "$0")/lib.sh"
 start_platform
 publish_usual_config
@@ -11,9 +12,10 @@
 publish_hosts
 wait_ready h1
 
-# What twenty calls at once got, without times. The ones that are served last
-# for seconds: on a busy machine the last of the twenty is sent some hundred ms
-# behind the first, and finds its place free again if that has ended by then.
+# Prints the results of twenty concurrent calls, without times.  The served
+# calls last for seconds: on a busy machine the last of the twenty is sent some
+# hundred ms after the first, and would be served too if the first had ended by
+# then.
 served_tokens=2000
 burst() {
   call "$@" --repeat 20 | sed 's/ first_p50.*//'
@@ -59,8 +61,9 @@
 wait_until 5 has_revision h1
 burst h1 --tokens $served_tokens
 
-# An engine that is listed more than ten seconds behind the host's start is
-# opened step by step, over 6.6 s; the long answer needs nearly all of it.
+# An engine that is listed more than ten seconds after the host's start gets
+# its load in steps over 6.6 s; the long answer needs nearly all of its
+# capacity.
 echo "# three wait while a long answer fills the only engine of a pool"
 start_engine t1 --memory-tokens 2400 --token-ms 2
 add_target t1 engine tight
--- a/tests/session/live-again.sh
+++ b/tests/session/live-again.sh
@@ -1,8 +1,8 @@
 #!/bin/sh
-# An engine is listed as leaving, and then as live again, since its reclaim was
-# called off.  It must be used again at once: while it is the only one, callers
-# would otherwise be turned away beside an idle engine until the list changes
-# once more.
+# An engine is listed as leaving, and then as live again because its reclaim
+# was called off.  Hosts must use it again at once.  If it is the only one,
+# they would otherwise refuse callers although the engine is idle, until the
+# list changes again.
 . "$(dirname "$0")/lib.sh"
 start_platform
 publish_usual_config
--- a/tests/session/no-target.sh
+++ b/tests/session/no-target.sh
@@ -1,8 +1,8 @@
 #!/bin/sh
-# No target can take a request: none is listed, or the only one has failed it
-# already.  Each caller must have its answer at once, with the time to come
-# back; held until its deadline it would learn nothing sooner, and the others
-# of its organisation would wait behind it.
+# No target can take a request: none is listed, or the only one has already
+# failed for it.  Each caller must get its answer at once, with the time after
+# which to retry.  If its request were held until the deadline, the caller
+# would gain nothing, and others of its organisation would wait behind it.
 . "$(dirname "$0")/lib.sh"
 start_usual_fleet
 
--- a/tests/session/once.sh
+++ b/tests/session/once.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# A buyer's portal sends a lease score again, under the same key and through
-# another host, because the first answer was lost on the way.  Run twice, the
-# buyer gets two quotes.
+# A buyer's portal sends a lease score again, with the same key and through
+# another host, because the first answer was lost.  If the score ran twice, the
+# buyer would get two quotes.
 . "$(dirname "$0")/lib.sh"
 start_usual_fleet
 start_host h2
@@ -17,7 +17,7 @@
     --non-idempotent --idempotency-key "$new_key" "$@" | head -n 1
 }
 
-# Hosts that are younger than a key can't say that they haven't seen it.
+# Hosts that started after a key was made can't say that they haven't seen it.
 keys_are_decided() {
   new_key
   score h1 --attempt 1 | grep -q 'status=200'
--- a/tests/session/orders.sh
+++ b/tests/session/orders.sh
@@ -1,12 +1,11 @@
 #!/bin/sh
-# Operators want another model on every engine, through the configuration
-# alone: on an engine that checks fencing numbers and on one that ignores
-# them.  Then a second host, on a configuration that is older, believes that
-# it owns the engines too.  If its orders counted, the model that callers were
-# promised would go again.
+# Operators change the wanted model of all engines through the configuration
+# alone, on an engine that checks fencing numbers and on one that ignores them.
+# Then a second host with an older configuration claims the engines too.  If
+# its orders took effect, the model that callers rely on would be unloaded.
 . "$(dirname "$0")/lib.sh"
 
-# loaded ENGINE: what it says it has, with versions.
+# loaded ENGINE: the models that it reports as loaded, with versions.
 loaded() {
   request "$1" GET /v1/load | sed -n 's/.*"model_versions":\({[^}]*}\).*/\1/p'
 }
@@ -15,7 +14,7 @@
   [ "$(loaded "$1")" = "$2" ]
 }
 
-# orders_of ENGINE: every order that came, with its result; order by order.
+# orders_of ENGINE: every order that it received, with its result, in order.
 orders_of() {
   request "$1" GET /test/log | sed 's/.*"orders"://' | grep -o '{[^}]*}' |
     sed -n 's/.*"fence":\([0-9]*\),"op":"\([a-z_]*\)","name":"\([^"]*\)","version":"\([^"]*\)".*"result":"\([a-z_]*\)".*/\2 \3 \4 \5/p' |
--- a/tests/session/owns-nothing.sh
+++ b/tests/session/owns-nothing.sh
@@ -1,8 +1,8 @@
 #!/bin/sh
-# Two hosts and one engine: one of the hosts owns nothing and hands all of its
-# work over.  Its first caller comes while ownership is still being settled and
-# has to wait.  A host that took that wait for its rate of service would turn
-# everybody away from then on.
+# Two hosts and one engine: one host owns no target and hands off all of its
+# work.  Its first caller arrives while ownership is still being settled and
+# has to wait.  If the host took that wait for its usual service time, it would
+# refuse all later callers.
 . "$(dirname "$0")/lib.sh"
 start_platform
 publish_usual_config
--- a/tests/session/paused-host.sh
+++ b/tests/session/paused-host.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# One of three hosts is stopped by SIGSTOP with a stream open, and wakes up
-# later believing that no time has passed.  The others must serve meanwhile,
-# and nothing may run twice or be cut when it wakes.
+# One of three hosts is paused by SIGSTOP with a stream open, and continues
+# later as if no time had passed.  The others must serve meanwhile, and nothing
+# may run twice or be cut off when it continues.
 . "$(dirname "$0")/lib.sh"
 start_platform
 publish_usual_config
--- a/tests/session/peer-tls.sh
+++ b/tests/session/peer-tls.sh
@@ -1,7 +1,8 @@
 #!/bin/sh
-# Links between hosts are encrypted and both sides show a certificate of the
-# deployment's authority.  Somebody who reaches a host's port without one could
-# otherwise claim targets and keys; the hosts must not take it for a peer.
+# Connections between hosts are encrypted, and both sides present a certificate
+# of the deployment's authority.  Without that check, anyone who can reach a
+# host's port could claim targets and keys; hosts must not accept such a
+# connection as a peer.
 . "$(dirname "$0")/lib.sh"
 tls=$work/tls
 mkdir "$tls"
@@ -22,7 +23,7 @@
   printf '{"peer_tls": {"certificate_file": "%s", "key_file": "%s",
     "ca_file": "%s"}}' "$tls/$2.pem" "$tls/$2.key" "$tls/$3.pem" >"$1"
 }
-# hears HOST PEER: the liveness of a peer as a host shows it.
+# hears HOST PEER: the liveness of a peer as HOST reports it.
 hears() {
   request "$1" GET /status | tr -d '\n ' |
     sed -n "s/.*\"name\":\"$2\",\"data_centre\":\"[a-z]*\",\"liveness\":\"\([a-z]*\)\".*/\1/p"
--- a/tests/session/platform-away.sh
+++ b/tests/session/platform-away.sh
@@ -1,7 +1,8 @@
 #!/bin/sh
-# The platform's services go away.  Hosts serve on what they have, and a host
-# that is replaced meanwhile gets it from the others.  Without that, every
-# host that is replaced during an outage would refuse all callers.
+# The platform's services are unavailable.  Hosts continue with the data they
+# have, and a host that is replaced meanwhile gets the data from its peers.
+# Otherwise every host that is replaced during an outage would refuse all
+# callers.
 . "$(dirname "$0")/lib.sh"
 start_platform
 publish_usual_config
--- a/tests/session/resume.sh
+++ b/tests/session/resume.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# Links to engines break in mid-stream in every way that the contract knows.
-# The generation itself goes on at the engine, so the caller must get the rest
-# of it, each token once, and never a token of another generation.
+# Connections to engines break in mid-stream in every way that the contract
+# describes.  The generation continues on the engine, so the caller must get
+# the rest of it, each token once, and never a token of another generation.
 . "$(dirname "$0")/lib.sh"
 start_usual_fleet
 
--- a/tests/session/rolling.sh
+++ b/tests/session/rolling.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
 # Every host is replaced in turn at its own address while callers keep coming
-# through a balancer.  Whoever is cut off or gets half an answer shows in the
-# summary.
+# through a load balancer.  Callers that are cut off or get half an answer show
+# in the summary.
 . "$(dirname "$0")/lib.sh"
 start_platform
 publish_usual_config
--- a/tests/session/service.sh
+++ b/tests/session/service.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# Plain services: calls that may be repeated and calls that may run once at
-# most, through hosts that can't see into the service.  A doubled call sends a
-# buyer two quotes; a lost one leaves a lease unpriced.
+# Plain services: calls that may be repeated and calls that may run at most
+# once, through hosts that can't see into the service.  If a call ran twice, a
+# buyer would get two quotes; if one were lost, a lease would stay unpriced.
 . "$(dirname "$0")/lib.sh"
 start_usual_fleet
 start_host h2
--- a/tests/session/slow-engine.sh
+++ b/tests/session/slow-engine.sh
@@ -1,8 +1,9 @@
 #!/bin/sh
-# One engine of three makes tokens eight times slower than the others, and
-# answers every check.  Streams there crawl; they hold little memory, so without
-# a look at the gaps it seems to have the most room and gets the most work.  The
-# two hosts own one or two engines each and can only tell it together.
+# One engine of three makes tokens eight times slower than the others, but
+# answers every health check.  Its streams are slow and use little memory, so a
+# host that ignores the gaps between tokens would see it as the engine with the
+# most free capacity and send it the most work.  The two hosts own one or two
+# engines each, so neither can detect it alone.
 . "$(dirname "$0")/lib.sh"
 start_platform
 publish_usual_config
@@ -15,7 +16,7 @@
 wait_ready h1 h2
 both_ports=$(port_of h1),$(port_of h2)
 
-# Load in rounds until a round sends the slow engine almost nothing.
+# Sends rounds of load until a round sends the slow engine almost nothing.
 round() {
   slow_before=$(count_starts e1)
   call h1 --port "$both_ports" --tokens 60 --repeat 24 >"$work/round"
--- a/tests/session/spill-rule.sh
+++ b/tests/session/spill-rule.sh
@@ -1,8 +1,8 @@
 #!/bin/sh
-# A rule hands a class over to the other data centre. Its callers get their
-# answers from there, and those of other classes from home; without the rule
-# carried out the home engine runs all, and an operator who wants room there
-# for the others gets none.
+# A rule sends a class of requests to the other data centre.  Callers of that
+# class must get their answers from there, and callers of other classes from
+# the home data centre.  If the rule didn't take effect, the home engine would
+# run all of them, and operators couldn't free capacity there.
 . "$(dirname "$0")/lib.sh"
 start_platform
 publish_usual_config
@@ -33,7 +33,7 @@
   generations e2 | grep -q 'prompt=early'
 }
 
-# What an engine ran, by prompt.
+# Prints what an engine ran, by prompt.
 ran() {
   generations "$1" | sed -n 's/^prompt=\([a-z]*[0-9]\) .*/\1/p' | tr '\n' ' '
   echo
--- a/tests/session/stale-platform.sh
+++ b/tests/session/stale-platform.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# The configuration service falls back to an older revision, as after a restore
-# from a copy.  A host that took it would undo a change that operators have
-# seen in force: here, a route that was removed would serve again.
+# The configuration service returns to an older revision, as after a restore
+# from a backup.  A host that applied it would undo a change that was already
+# in force: here, a removed route would serve again.
 . "$(dirname "$0")/lib.sh"
 start_usual_fleet
 publish_config '"route/m-two": {"model": "m-small", "pool": "general"}'
--- a/tests/session/stall.sh
+++ b/tests/session/stall.sh
@@ -1,6 +1,7 @@
 #!/bin/sh
-# The link to an engine stays open and carries nothing.  Only the gap between
-# tokens shows it; a caller would see its text stop, and at last a cut.
+# The connection to an engine stays open but carries no data.  Only the gap
+# between tokens reveals it; otherwise the caller's text would stop, and the
+# stream would be cut off at last.
 . "$(dirname "$0")/lib.sh"
 start_usual_fleet
 
--- a/tests/session/streaming.sh
+++ b/tests/session/streaming.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# The plain path: a caller's request over a host to an engine, streamed and
-# whole, by both APIs.  A caller notices any fault here as text that is
-# doubled, missing or out of order.
+# The basic path: a caller's request through a host to an engine, streamed and
+# whole, with both APIs.  A fault here shows as text that is duplicated,
+# missing or out of order.
 . "$(dirname "$0")/lib.sh"
 start_usual_fleet
 
--- a/tests/session/waited.sh
+++ b/tests/session/waited.sh
@@ -1,9 +1,9 @@
 #!/bin/sh
 # A long answer fills the only engine of a pool, and the requests behind it
-# wait. The rules must see that: by the time in the queue, what waits is turned
-# away or goes to another pool, and by the load, what comes is turned away. A
-# host that asks its rules on arrival alone lets callers wait for the long
-# answer's end, whatever operators have declared.
+# wait.  Rules must apply to waiting requests too: by their time in the queue
+# they are refused or sent to another pool, and by the load new ones are
+# refused.  A host that evaluates rules only on arrival makes callers wait for
+# the end of the long answer, whatever operators have declared.
 . "$(dirname "$0")/lib.sh"
 start_platform
 publish_usual_config
@@ -14,7 +14,8 @@
 publish_hosts
 wait_ready h1
 
-# use_rule WHEN THEN: one rule on the tight pool's route before the usual one.
+# use_rule WHEN THEN: publishes one rule on the route of the tight pool, ahead
+# of the usual ones.
 use_rule() {
   publish_config "\"targets/tight\": {\"kind\": \"engines\"},
     \"route/m-tight\": {\"pool\": \"tight\", \"model\": \"m-small\"},
@@ -23,8 +24,8 @@
   wait_until 5 has_revision h1
 }
 
-# fill N: the tight engine's Nth generation; its prompt has two thirds of the
-# memory, and that of wait_behind needs half.
+# fill N: starts the Nth generation on the tight engine.  Its prompt takes two
+# thirds of the memory, and the one of wait_behind needs half.
 fill() {
   call_later full h1 --model m-tight --tokens 700 --prompt "$(text 6400)"
   wait_until 5 has_started t1 "$1"
