--- a/bench/arrivals.c
+++ b/bench/arrivals.c
@@ -74,8 +74,9 @@
   u = (u - largest_share) / large_share;
   if (u < 2)
     return (uint8_t)(1 + (int)u);
-  return (uint8_t)(FIRST_SMALL
-                   + csp_random_below (random, ORGANISATIONS - FIRST_SMALL));
+  return (uint8_t)(FIRST_SMALL_ORGANISATION
+                   + csp_random_below (
+                       random, ORGANISATIONS - FIRST_SMALL_ORGANISATION));
 }
 
 static void
@@ -158,8 +159,8 @@
         break;
       request = &requests[*count];
       draw_request (&random, plan->length_factor, request);
-      if (plan->only != ALL_ORGANISATIONS
-          && plan->only != request->organisation)
+      if (plan->only_organisation != ALL_ORGANISATIONS
+          && plan->only_organisation != request->organisation)
         continue;
       request->id = *count + 1;
       request->arrive_us = now_us;
--- a/bench/arrivals.h
+++ b/bench/arrivals.h
@@ -11,7 +11,7 @@
   CLASS_COUNT,
   ORGANISATIONS = 10,
   LARGEST_ORGANISATION = 0,
-  FIRST_SMALL = 3,
+  FIRST_SMALL_ORGANISATION = 3,
   ALL_ORGANISATIONS = -1
 };
 
@@ -28,7 +28,7 @@
   double load;
   int64_t duration_us;
   /* The one organisation whose requests are kept, or ALL_ORGANISATIONS.  */
-  int only;
+  int only_organisation;
   int64_t burst_from_us;
   int64_t burst_us;
   double burst_factor;
--- a/bench/cost-bench.c
+++ b/bench/cost-bench.c
@@ -96,7 +96,7 @@
   csp_admission_policy_t policy = csp_default_admission_policy ();
   csp_health_policy_t health = csp_default_health_policy ();
   csp_load_report_t report
-      = { .report = 1, .memory_tokens = ENGINE_MEMORY_TOKENS };
+      = { .sequence = 1, .memory_tokens = ENGINE_MEMORY_TOKENS };
   uint64_t before = bytes_in_use ();
   csp_stream_t stream;
   uint32_t i;
@@ -111,7 +111,7 @@
   for (i = 0; i < count; i++)
     {
       targets->ledgers[i] = csp_create_ledger (&policy, targets->lengths);
-      csp_take_report (targets->ledgers[i], &report, 1000);
+      csp_apply_load_report (targets->ledgers[i], &report, 1000);
       for (j = 0; j < STREAMS_PER_TARGET; j++)
         {
           stream = draw_stream (&targets->random);
@@ -119,7 +119,7 @@
         }
       csp_note_gaps (targets->health, i, 64, 40 + i % 7);
       targets->candidates[i] = (csp_candidate_t){
-        .ledger = targets->ledgers[i], .open = 1, .slowness = 1
+        .ledger = targets->ledgers[i], .usable_share = 1, .slowness = 1
       };
     }
   targets->heap_bytes = bytes_in_use () - before;
@@ -183,7 +183,7 @@
 static void
 run_update_health (void *state, uint32_t round)
 {
-  csp_weigh_health (((targets_t *)state)->health, 1000 + 1000 * round);
+  csp_update_health (((targets_t *)state)->health, 1000 + 1000 * round);
 }
 
 static void
@@ -237,7 +237,7 @@
 static void
 push_one (queue_bench_t *bench, uint32_t organisation)
 {
-  csp_waiting_t waiting
+  csp_waiting_request_t waiting
       = { .id = bench->next_id++,
           .organisation = organisation,
           .priority = (uint8_t)csp_random_below (&bench->random, 10),
@@ -253,7 +253,7 @@
 push_take_settle (void *state, uint32_t round)
 {
   queue_bench_t *bench = state;
-  csp_waiting_t waiting;
+  csp_waiting_request_t waiting;
   bool borrowing;
 
   push_one (bench, csp_random_below (&bench->random, bench->organisations));
@@ -270,7 +270,7 @@
 pump_without_capacity (void *state, uint32_t round)
 {
   queue_bench_t *bench = state;
-  csp_waiting_t waiting;
+  csp_waiting_request_t waiting;
   bool borrowing;
 
   csp_begin_pump (bench->queue, 1000 + round / 64);
@@ -282,7 +282,7 @@
 expire_all (void *state, uint32_t round)
 {
   queue_bench_t *bench = state;
-  csp_waiting_t waiting;
+  csp_waiting_request_t waiting;
   csp_error_t error;
 
   while (
--- a/bench/decide-bench.c
+++ b/bench/decide-bench.c
@@ -98,25 +98,25 @@
   outcome_t *all = &r.all;
   outcome_t *small = &r.small_organisations;
 
-  play_fleet (settings, plan, &r);
+  simulate_fleet (settings, plan, &r);
   measures.preempted
       = scale_ratio ((double)all->preempted, all->started, 1000);
   measures.stall_s = scale_ratio (all->stall_s, all->started, 1000);
   measures.gap_p95_ms = gap_quantile_ms (&all->gaps, 0.95);
   measures.gap_p99_ms = gap_quantile_ms (&all->gaps, 0.99);
-  measures.first_token_p50_s = first_quantile_s (all, 0.5);
-  measures.first_token_p99_s = first_quantile_s (all, 0.99);
+  measures.first_token_p50_s = first_token_quantile_s (all, 0.5);
+  measures.first_token_p99_s = first_token_quantile_s (all, 0.99);
   measures.wait_p99_s = wait_quantile_s (all, 0.99);
   measures.refused = scale_ratio ((double)all->refused, all->requests, 100);
   measures.given_up = scale_ratio ((double)all->given_up, all->requests, 100);
   measures.tokens_per_s = (double)all->tokens / r.seconds;
   measures.lookup_first_token_p99_s
-      = first_quantile_s (&r.classes[CLASS_LOOKUP], 0.99);
-  measures.small_first_token_p99_s = first_quantile_s (small, 0.99);
+      = first_token_quantile_s (&r.classes[CLASS_LOOKUP], 0.99);
+  measures.small_first_token_p99_s = first_token_quantile_s (small, 0.99);
   measures.small_wait_p99_s = wait_quantile_s (small, 0.99);
   measures.small_gap_p99_ms = gap_quantile_ms (&small->gaps, 0.99);
   measures.largest_first_token_p99_s
-      = first_quantile_s (&r.organisations[LARGEST_ORGANISATION], 0.99);
+      = first_token_quantile_s (&r.organisations[LARGEST_ORGANISATION], 0.99);
   free_results (&r);
   return measures;
 }
@@ -148,7 +148,7 @@
                            .engines = engines,
                            .load = load,
                            .duration_us = seconds * SECOND_US,
-                           .only = ALL_ORGANISATIONS,
+                           .only_organisation = ALL_ORGANISATIONS,
                            .length_factor = 1 };
 
   return plan;
@@ -157,7 +157,7 @@
 static play_t
 decision_settings (uint32_t hosts)
 {
-  play_t settings = default_play (DISPATCH_DECISIONS);
+  play_t settings = default_simulation_settings (DISPATCH_DECISIONS);
 
   settings.hosts = hosts;
   return settings;
@@ -199,7 +199,7 @@
 
   for (i = 0; i < 3; i++)
     {
-      settings = default_play ((dispatch_t)i);
+      settings = default_simulation_settings ((dispatch_t)i);
       snprintf (name[count], sizeof name[count], "%s", names[i]);
       measures[count++] = run_simulation (&settings, plan);
     }
@@ -207,7 +207,7 @@
     {
       if (!full && i != 10 && i != 12)
         continue;
-      settings = default_play (DISPATCH_FIXED_STREAMS);
+      settings = default_simulation_settings (DISPATCH_FIXED_STREAMS);
       settings.fixed_streams = i;
       snprintf (name[count], sizeof name[count], "fixed_%u", i);
       measures[count++] = run_simulation (&settings, plan);
@@ -296,7 +296,7 @@
         off.no_preemption = i == 6;
         off.no_in_flight_reports = i == 8;
         if (i == 7)
-          off.queue.lend_keep = 0;
+          off.queue.lending_reserve = 0;
         with = run_simulation (&on, &plan);
         without = run_simulation (&off, &plan);
         snprintf (scope, sizeof scope, "without_%s.load_%.1f", rows[i].name,
@@ -384,7 +384,7 @@
       {
         plan = make_plan (12, loads[j], full ? 3600 : 600);
         settings = decision_settings (8);
-        settings.queue.lend_keep = lending_reserves[i];
+        settings.queue.lending_reserve = lending_reserves[i];
         measures = run_simulation (&settings, &plan);
         printf ("# kept from borrowers: load %.1f share %.2f small wait p99 "
                 "%.2f s, small first p99 %.2f s, unserved %5.2f of 100, "
@@ -415,7 +415,7 @@
       plan = make_plan (12, loads[i], full ? 3600 : 900);
       settings = decision_settings (8);
       shared = run_simulation (&settings, &plan);
-      plan.only = SMALL_ORGANISATION;
+      plan.only_organisation = SMALL_ORGANISATION;
       alone = run_simulation (&settings, &plan);
       settings.hosts = 1;
       settings.engines = 1;
@@ -453,14 +453,14 @@
 
   settings.lost_from_us = 100LL * SECOND_US;
   settings.lost_until_us = 160LL * SECOND_US;
-  settings.slow_engine = 3;
+  settings.faulty_engine = 3;
   for (plan.seed = 1; plan.seed <= 12; plan.seed++)
     for (i = 0; i < 2; i++)
       {
-        settings.no_shift = i == 1;
-        play_fleet (&settings, &plan, &r);
-        seconds[i] += r.returned.prefill_s;
-        count[i] += r.returned.first_count;
+        settings.no_slow_start = i == 1;
+        simulate_fleet (&settings, &plan, &r);
+        seconds[i] += r.sent_after_return.sent_to_first_token_s;
+        count[i] += r.sent_after_return.first_token_count;
         free_results (&r);
       }
   print_line ("without_shift.load_1.5", "first_token_after_return",
--- a/bench/declaration-bench.c
+++ b/bench/declaration-bench.c
@@ -181,7 +181,7 @@
   start_us = csp_now_us (&fixture->clock);
   for (i = 0; i < DECISIONS; i++)
     {
-      csp_decide_rule (declaration, &facts[i % FACT_COUNT], &outcome);
+      csp_evaluate_rules (declaration, &facts[i % FACT_COUNT], &outcome);
       sum += outcome.is.send.priority;
     }
   if (sum == 0)
--- a/bench/engine-model.c
+++ b/bench/engine-model.c
@@ -52,7 +52,7 @@
 static uint32_t
 held_tokens (const request_t *request)
 {
-  return request->prompt_tokens + request->made_tokens;
+  return request->prompt_tokens + request->generated_token_count;
 }
 
 void
@@ -231,11 +231,11 @@
       request = engine->running[i];
       if (request->decoding)
         {
-          request->made_tokens++;
+          request->generated_token_count++;
           engine->used_tokens++;
           events->on_token (events->state, request, now_us);
         }
-      if (request->made_tokens >= request->output_tokens)
+      if (request->generated_token_count >= request->output_tokens)
         {
           engine->used_tokens -= held_tokens (request);
           ended[ended_count++] = request;
--- a/bench/engine-model.h
+++ b/bench/engine-model.h
@@ -49,7 +49,7 @@
   int64_t last_token_us;
   int64_t end_us;
   int64_t stall_us;
-  uint32_t made_tokens;
+  uint32_t generated_token_count;
   uint32_t prefill_tokens_left;
   uint32_t engine_preemptions;
   uint8_t requeued_count;
--- a/bench/fleet-baselines.c
+++ b/bench/fleet-baselines.c
@@ -111,7 +111,8 @@
     for (request = fleet->engines[i].waiting; request != NULL; request = next)
       {
         next = request->next;
-        if (request->made_tokens == 0 && request->engine_preemptions == 0
+        if (request->generated_token_count == 0
+            && request->engine_preemptions == 0
             && fleet->now_us > request->start_by_us)
           {
             cancel_request (&fleet->engines[i], request);
--- a/bench/fleet-decisions.c
+++ b/bench/fleet-decisions.c
@@ -9,7 +9,7 @@
           .length_key = fleet->hosts[host].keys[request->class_index],
           .prompt_tokens = request->prompt_tokens,
           .priority = request->priority,
-          .given_way = request->requeued_count,
+          .preempted_count = request->requeued_count,
           .repeatable = true };
 
   return stream;
@@ -69,8 +69,8 @@
   csp_health_t *health = fleet->hosts[host].health;
 
   candidate->ledger = fleet->ledgers[engine];
-  candidate->open = csp_move_shift (&fleet->slow_starts[engine], &shift, true,
-                                    fleet_now_ms (fleet));
+  candidate->usable_share = csp_advance_slow_start (
+      &fleet->slow_starts[engine], &shift, true, fleet_now_ms (fleet));
   candidate->slowness = 1;
   candidate->cached_tokens = 0;
   if (!fleet->settings->no_prefixes)
@@ -80,12 +80,12 @@
     candidate->cached_tokens = request->prefix_tokens;
   if (fleet->settings->no_health)
     return;
-  candidate->open *= csp_health_open (health, engine);
+  candidate->usable_share *= csp_health_share (health, engine);
   candidate->slowness = csp_health_slowness (health, engine);
   if (csp_take_probe (health, engine,
                       csp_ledger_streams (fleet->ledgers[engine]),
                       fleet_now_ms (fleet)))
-    candidate->open = 1;
+    candidate->usable_share = 1;
 }
 
 static bool
@@ -119,11 +119,11 @@
   return found;
 }
 
-static csp_waiting_t
+static csp_waiting_request_t
 make_waiting (const fleet_t *fleet, const request_t *request)
 {
   const host_t *host = &fleet->hosts[request->host];
-  csp_waiting_t waiting
+  csp_waiting_request_t waiting
       = { .id = request->id,
           .organisation
           = fleet->settings->no_fairness ? 0 : request->organisation,
@@ -132,8 +132,8 @@
 
   waiting.cost_tokens
       = request->prompt_tokens
-        + (uint32_t)csp_expect_tokens_left (
-            host->lengths, host->keys[request->class_index], 0);
+        + (uint32_t)csp_mean_tokens_left (host->lengths,
+                                          host->keys[request->class_index], 0);
   return waiting;
 }
 
@@ -145,7 +145,7 @@
   csp_preemption_policy_t policy = csp_default_preemption_policy ();
   uint32_t handles[MAX_VICTIMS];
   csp_stream_state_t state;
-  csp_waiting_t waiting;
+  csp_waiting_request_t waiting;
   csp_error_t error;
   request_t *request;
   uint32_t count;
@@ -201,7 +201,8 @@
 static bool
 may_borrow (const fleet_t *fleet, uint32_t host, uint32_t cost_tokens)
 {
-  uint64_t reserve_tokens = csp_queue_kept_tokens (fleet->hosts[host].queue);
+  uint64_t reserve_tokens
+      = csp_queue_lending_reserve_tokens (fleet->hosts[host].queue);
 
   if (fleet->settings->no_admission)
     return true;
@@ -212,7 +213,7 @@
    borrows capacity goes only to hosts whose queue is empty.  */
 static size_t
 list_peers (const fleet_t *fleet, uint32_t from, bool borrowing,
-            csp_peer_offer_t peers[MAX_HOSTS], uint32_t hosts[MAX_HOSTS])
+            csp_peer_candidate_t peers[MAX_HOSTS], uint32_t hosts[MAX_HOSTS])
 {
   const host_report_t *peer_report;
   size_t count = 0;
@@ -234,7 +235,7 @@
 spill (fleet_t *fleet, const request_t *request, uint32_t from, uint32_t cost,
        bool borrowing, uint32_t *chosen)
 {
-  csp_peer_offer_t peers[MAX_HOSTS];
+  csp_peer_candidate_t peers[MAX_HOSTS];
   uint32_t hosts[MAX_HOSTS];
   size_t order[CSP_HANDOFF_MAX_PEERS];
   size_t count = list_peers (fleet, from, borrowing, peers, hosts);
@@ -242,7 +243,8 @@
   size_t i;
 
   if (borrowing)
-    cost += (uint32_t)csp_queue_kept_tokens (fleet->hosts[from].queue);
+    cost += (uint32_t)csp_queue_lending_reserve_tokens (
+        fleet->hosts[from].queue);
   count = csp_choose_peers (peers, count, cost, &fleet->random, order);
   for (i = 0; i < count; i++)
     {
@@ -261,7 +263,7 @@
 dispatch_host_queue (fleet_t *fleet, uint32_t index)
 {
   host_t *host = &fleet->hosts[index];
-  csp_waiting_t waiting;
+  csp_waiting_request_t waiting;
   bool borrowing;
   bool may_use_own_engines;
   request_t *request;
@@ -290,7 +292,7 @@
 void
 enqueue_at_random_host (fleet_t *fleet, request_t *request)
 {
-  csp_waiting_t waiting;
+  csp_waiting_request_t waiting;
   csp_error_t error;
 
   request->host = csp_random_below (&fleet->random, fleet->settings->hosts);
@@ -306,7 +308,7 @@
 void
 expire_host (fleet_t *fleet, host_t *host)
 {
-  csp_waiting_t waiting;
+  csp_waiting_request_t waiting;
   csp_error_t error;
 
   while (
@@ -330,7 +332,7 @@
         continue;
       ring = fleet->reports[i];
       ring[fleet->report_number % REPORT_RING_SIZE] = (csp_load_report_t){
-        .report = fleet->report_number,
+        .sequence = fleet->report_number,
         .memory_tokens = fleet->engines[i].shape.memory_tokens,
         .used_tokens = fleet->engines[i].used_tokens,
         .running = fleet->engines[i].running_count,
@@ -338,8 +340,9 @@
         .preemptions = fleet->engines[i].preemptions,
       };
       delayed = &ring[(fleet->report_number - lag) % REPORT_RING_SIZE];
-      if (delayed->report != 0)
-        csp_take_report (fleet->ledgers[i], delayed, fleet_now_ms (fleet));
+      if (delayed->sequence != 0)
+        csp_apply_load_report (fleet->ledgers[i], delayed,
+                               fleet_now_ms (fleet));
     }
   for (i = 0; i < fleet->settings->hosts; i++)
     {
@@ -375,7 +378,7 @@
           count++;
         }
       if (i != host)
-        reduced_targets += csp_health_out (fleet->hosts[i].health);
+        reduced_targets += csp_count_reduced_targets (fleet->hosts[i].health);
     }
   for (i = 0; i < fleet->engine_count; i++)
     targets += host_of_engine (fleet, i) != host;
@@ -400,10 +403,10 @@
       elsewhere = 0;
       for (i = 0; i < fleet->settings->hosts; i++)
         if (i != host)
-          elsewhere
-              += csp_queue_flight_tokens (fleet->hosts[i].queue, organisation);
-      csp_set_flight_elsewhere (fleet->hosts[host].queue, organisation,
-                                elsewhere);
+          elsewhere += csp_queue_in_flight_tokens (fleet->hosts[i].queue,
+                                                   organisation);
+      csp_set_in_flight_elsewhere (fleet->hosts[host].queue, organisation,
+                                   elsewhere);
     }
 }
 
@@ -416,6 +419,6 @@
     {
       share_health (fleet, i);
       share_in_flight (fleet, i);
-      csp_weigh_health (fleet->hosts[i].health, fleet_now_ms (fleet));
+      csp_update_health (fleet->hosts[i].health, fleet_now_ms (fleet));
     }
 }
--- a/bench/fleet-imp.h
+++ b/bench/fleet-imp.h
@@ -59,7 +59,7 @@
   csp_ledger_t **ledgers;
   csp_load_report_t (*reports)[REPORT_RING_SIZE];
   csp_prefixes_t *prefixes;
-  csp_shift_t *slow_starts;
+  csp_slow_start_t *slow_starts;
   uint32_t engine_count;
   host_t hosts[MAX_HOSTS];
   request_t *requests;
--- a/bench/fleet.c
+++ b/bench/fleet.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 play_t
-default_play (dispatch_t dispatch)
+default_simulation_settings (dispatch_t dispatch)
 {
   play_t settings = { .dispatch = dispatch,
                       .fixed_streams = 10,
@@ -70,7 +70,7 @@
   fleet_t *fleet = state;
   int64_t gap_us = at_us - request->last_token_us;
 
-  if (request->made_tokens == 1)
+  if (request->generated_token_count == 1)
     request->first_token_us = at_us;
   else
     {
@@ -86,20 +86,21 @@
   request->stalled = false;
   request->last_token_us = at_us;
   if (fleet->settings->dispatch != DISPATCH_DECISIONS
-      || (request->made_tokens > 1
-          && request->made_tokens
+      || (request->generated_token_count > 1
+          && request->generated_token_count
                  < request->last_noted_tokens + NOTE_INTERVAL_TOKENS))
     return;
   if (request->last_noted_tokens != 0)
     csp_note_gaps (
         fleet->hosts[host_of_engine (fleet, request->engine)].health,
-        request->engine, request->made_tokens - request->last_noted_tokens,
+        request->engine,
+        request->generated_token_count - request->last_noted_tokens,
         (double)(at_us - request->last_noted_us) / 1000
-            / (request->made_tokens - request->last_noted_tokens));
-  request->last_noted_tokens = request->made_tokens;
+            / (request->generated_token_count - request->last_noted_tokens));
+  request->last_noted_tokens = request->generated_token_count;
   request->last_noted_us = at_us;
   csp_note_tokens (fleet->ledgers[request->engine], request->handle,
-                   request->made_tokens, fleet_now_ms (fleet));
+                   request->generated_token_count, fleet_now_ms (fleet));
 }
 
 static void
@@ -113,14 +114,14 @@
   if (fleet->settings->dispatch != DISPATCH_DECISIONS)
     return;
   ledger = fleet->ledgers[request->engine];
-  csp_note_tokens (ledger, request->handle, request->made_tokens,
+  csp_note_tokens (ledger, request->handle, request->generated_token_count,
                    fleet_now_ms (fleet));
   csp_remove_stream (ledger, request->handle, CSP_LENGTH_FINISHED,
                      fleet_now_ms (fleet));
   csp_settle_waiting (fleet->hosts[request->host].queue,
                       fleet->settings->no_fairness ? 0 : request->organisation,
                       request->charged_tokens,
-                      request->prompt_tokens + request->made_tokens,
+                      request->prompt_tokens + request->generated_token_count,
                       fleet_now_ms (fleet));
 }
 
@@ -145,7 +146,8 @@
                          CSP_LENGTH_CUT, fleet_now_ms (fleet));
       csp_settle_waiting (fleet->hosts[request->host].queue,
                           request->organisation, request->charged_tokens,
-                          request->prompt_tokens + request->made_tokens,
+                          request->prompt_tokens
+                              + request->generated_token_count,
                           fleet_now_ms (fleet));
     }
 }
@@ -157,9 +159,9 @@
 
   fleet->engines[index].failed = false;
   csp_forget_prefixes (&fleet->prefixes[index]);
-  if (!fleet->settings->no_shift)
-    csp_start_shift (&fleet->slow_starts[index], &policy,
-                     fleet_now_ms (fleet));
+  if (!fleet->settings->no_slow_start)
+    csp_begin_slow_start (&fleet->slow_starts[index], &policy,
+                          fleet_now_ms (fleet));
 }
 
 static void
@@ -170,13 +172,13 @@
 
   if (settings->lost_until_us != 0)
     {
-      engine_t *engine = &fleet->engines[settings->slow_engine];
+      engine_t *engine = &fleet->engines[settings->faulty_engine];
 
       if (!engine->failed && fleet->now_us >= settings->lost_from_us
           && fleet->now_us < settings->lost_until_us)
-        fail_engine (fleet, settings->slow_engine);
+        fail_engine (fleet, settings->faulty_engine);
       if (engine->failed && fleet->now_us >= settings->lost_until_us)
-        restore_engine (fleet, settings->slow_engine);
+        restore_engine (fleet, settings->faulty_engine);
     }
   if (settings->dispatch != DISPATCH_DECISIONS)
     {
@@ -228,7 +230,7 @@
   host_t *host;
 
   if (fleet->settings->no_learning)
-    lengths.start_weight = 1e12;
+    lengths.prior_weight = 1e12;
   for (i = 0; i < fleet->settings->hosts; i++)
     {
       host = &fleet->hosts[i];
@@ -237,14 +239,14 @@
       host->health = csp_create_health (&health, fleet->engine_count);
       for (j = 0; j < CLASS_COUNT; j++)
         host->keys[j]
-            = csp_find_length_key (host->lengths, "m", class_names[j]);
+            = csp_get_length_key (host->lengths, "m", class_names[j]);
       for (j = 0; j < ORGANISATIONS; j++)
         csp_set_weight (host->queue, j, 1);
       memory = (uint64_t)fleet->engine_count
                * default_engine_shape ().memory_tokens;
       csp_set_capacity (host->queue, memory / fleet->settings->hosts);
       if (!fleet->settings->no_in_flight_reports)
-        csp_set_shared_memory (host->queue, memory);
+        csp_set_pool_memory (host->queue, memory);
     }
 }
 
@@ -267,13 +269,13 @@
     {
       fleet->engines[i].shape = default_engine_shape ();
       fleet->engines[i].slowness = 1;
-      csp_open_shift (&fleet->slow_starts[i]);
+      csp_skip_slow_start (&fleet->slow_starts[i]);
       fleet->ledgers[i] = csp_create_ledger (
           &fleet->settings->admission,
           fleet->hosts[host_of_engine (fleet, i)].lengths);
     }
   if (fleet->settings->lost_until_us == 0)
-    fleet->engines[fleet->settings->slow_engine].slowness
+    fleet->engines[fleet->settings->faulty_engine].slowness
         = fleet->settings->slow_factor;
 }
 
@@ -347,8 +349,8 @@
 }
 
 void
-play_fleet (const play_t *settings, const arrivals_plan_t *plan,
-            results_t *results)
+simulate_fleet (const play_t *settings, const arrivals_plan_t *plan,
+                results_t *results)
 {
   fleet_t fleet = { .settings = settings, .results = results };
   engine_shape_t shape = default_engine_shape ();
--- a/bench/fleet.h
+++ b/bench/fleet.h
@@ -41,14 +41,14 @@
   bool no_prefixes;
   bool no_health;
   bool no_preemption;
-  bool no_shift;
+  bool no_slow_start;
   bool no_in_flight_reports;
   int64_t report_lag_us;
   double slow_factor;
   /* The steps of this engine take slow_factor times as long.  If lost_until_us
      is set, the engine instead fails at lost_from_us and comes back empty at
      lost_until_us.  */
-  uint32_t slow_engine;
+  uint32_t faulty_engine;
   int64_t lost_from_us;
   int64_t lost_until_us;
 } play_t;
@@ -75,13 +75,13 @@
   uint64_t started_preempted;
   double stall_s;
   /* Sum of the times between sending to an engine and the first token.  */
-  double prefill_s;
+  double sent_to_first_token_s;
   uint64_t tokens;
   uint64_t requeued;
   gaps_t gaps;
   double *first_token_s;
   double *wait_s;
-  uint64_t first_count;
+  uint64_t first_token_count;
 } outcome_t;
 
 /* Results of one simulation.  */
@@ -91,7 +91,7 @@
   outcome_t classes[CLASS_COUNT];
   outcome_t organisations[ORGANISATIONS];
   /* Requests sent to the failed engine in the first 10 s after its return.  */
-  outcome_t returned;
+  outcome_t sent_after_return;
   /* All organisations but the three that send most.  */
   outcome_t small_organisations;
   double seconds;
@@ -99,20 +99,20 @@
 
 /* Simulates the fleet for the arrivals of plan.  The caller frees the results
    with free_results.  */
-void play_fleet (const play_t *settings, const arrivals_plan_t *plan,
-                 results_t *results);
+void simulate_fleet (const play_t *settings, const arrivals_plan_t *plan,
+                     results_t *results);
 void free_results (results_t *results);
 
 double gap_quantile_ms (const gaps_t *gaps, double quantile);
 
 /* Returns a quantile of the times to the first token, in seconds.  Sorts the
    times in place.  */
-double first_quantile_s (outcome_t *outcome, double quantile);
+double first_token_quantile_s (outcome_t *outcome, double quantile);
 
 /* Returns a quantile of the times between arrival and sending to an engine, in
    seconds.  Sorts the times in place.  */
 double wait_quantile_s (outcome_t *outcome, double quantile);
 
-play_t default_play (dispatch_t dispatch);
+play_t default_simulation_settings (dispatch_t dispatch);
 
 #endif
--- a/bench/limit-bench.c
+++ b/bench/limit-bench.c
@@ -72,13 +72,13 @@
   for (i = 0; i < HOSTS; i++)
     for (requested = 0; requested < fleet->demand[i];
          requested += REQUEST_TOKENS)
-      if (csp_open_limited (
+      if (csp_admit_limited_stream (
               &fleet->limits[i], REQUEST_TOKENS,
               now_ms + (int64_t)(MS_PER_ROUND * requested / fleet->demand[i]),
               &retry_after))
         {
-          csp_close_limited (&fleet->limits[i], REQUEST_TOKENS,
-                             REQUEST_TOKENS);
+          csp_end_limited_stream (&fleet->limits[i], REQUEST_TOKENS,
+                                  REQUEST_TOKENS);
           admitted += REQUEST_TOKENS;
         }
   return admitted;
@@ -118,7 +118,7 @@
                                : fleet->published[seen_round % LAG_SLOTS][j];
           count++;
         }
-      csp_share_limit (&fleet->limits[i], peers, count);
+      csp_update_limit_share (&fleet->limits[i], peers, count);
     }
 }
 
@@ -137,7 +137,7 @@
   memset (&fleet, 0, sizeof fleet);
   csp_seed_random (&fleet.random, 3);
   for (i = 0; i < HOSTS; i++)
-    csp_open_limit (&fleet.limits[i], &policy, LIMIT_TOKENS_PER_S, 0, HOSTS,
+    csp_init_limit (&fleet.limits[i], &policy, LIMIT_TOKENS_PER_S, 0, HOSTS,
                     1000);
   for (round = 0; round < ROUNDS; round++)
     {
--- a/bench/member-bench.c
+++ b/bench/member-bench.c
@@ -51,7 +51,7 @@
 
 static fleet_t *
 start_fleet (size_t nodes, size_t data_centres, size_t targets,
-             bool everyone_reads)
+             bool every_host_reads)
 {
   fleet_settings_t settings = { 0 };
   fleet_t *fleet;
@@ -63,7 +63,7 @@
   settings.delay_ms = 5;
   settings.list_lag_ms = 3000;
   settings.report_lag_ms = 2000;
-  settings.everyone_reads = everyone_reads;
+  settings.every_host_reads = every_host_reads;
   fleet = fleet_create (&settings);
   fleet_start_all (fleet);
   return fleet;
@@ -168,7 +168,8 @@
     {
       fleet_run (fleet, 3170);
       fleet_publish (fleet, 1);
-      times[i] = fleet_time_to_agree (fleet, fleet->service.revision, 60000);
+      times[i]
+          = fleet_run_until_converged (fleet, fleet->service.revision, 60000);
     }
   qsort (times, PROBES, sizeof *times, compare_times);
   print_row ("config-in-force-everywhere-p50", size->nodes, 10000,
@@ -181,7 +182,7 @@
 static double
 time_ownership_tick (fleet_t *fleet)
 {
-  csp_carry_asks_t asks;
+  csp_load_queries_t asks;
   double start_s = cpu_time_s ();
   size_t i;
 
@@ -212,7 +213,7 @@
 {
   csp_listed_target_t *targets = calloc (FLEET_MAX_TARGETS, sizeof *targets);
   csp_host_list_t list = { 1, 0, NULL, 0, targets };
-  csp_carry_asks_t asks;
+  csp_load_queries_t asks;
   double start_s;
   size_t i;
 
--- a/bench/member-state-bench.c
+++ b/bench/member-state-bench.c
@@ -92,7 +92,8 @@
 static config_cost_t
 measure_configuration (size_t count)
 {
-  csp_config_check_t check = { build_placeholder, release_placeholder, NULL };
+  csp_config_builder_t check
+      = { build_placeholder, release_placeholder, NULL };
   csp_config_value_t *values = make_values (count);
   csp_config_value_t change = values[0];
   csp_config_delta_t delta = { 0, (int64_t)count, 0, true, count, values };
@@ -102,7 +103,7 @@
   double start_s = cpu_time_s ();
   size_t i;
 
-  csp_take_configuration (configuration, CSP_SOURCE_SERVICE, &delta);
+  csp_apply_configuration (configuration, CSP_SOURCE_SERVICE, &delta);
   cost.full_apply_ns = (cpu_time_s () - start_s) * 1e9;
   cost.memory_bytes = (double)(mallinfo2 ().uordblks - heap_before);
   start_s = cpu_time_s ();
@@ -113,7 +114,7 @@
       delta
           = (csp_config_delta_t){ delta.revision, change.revision, 0, false, 1,
                                   &change };
-      csp_take_configuration (configuration, CSP_SOURCE_SERVICE, &delta);
+      csp_apply_configuration (configuration, CSP_SOURCE_SERVICE, &delta);
     }
   cost.change_apply_ns = (cpu_time_s () - start_s) * 1e9 / 100;
   csp_destroy_configuration (configuration);
--- a/bench/metrics-bench.c
+++ b/bench/metrics-bench.c
@@ -28,7 +28,7 @@
   for (gap_us = 0; gap_us < ROUNDS; gap_us++)
     {
       csp_observe_time (labels, CSP_TIME_BETWEEN_TOKENS, gap_us % 60000);
-      csp_count (labels, CSP_COUNT_TOKENS, 1);
+      csp_add_count (labels, CSP_COUNT_TOKENS, 1);
     }
   return NULL;
 }
--- a/bench/once-bench.c
+++ b/bench/once-bench.c
@@ -78,7 +78,7 @@
 }
 
 static double
-time_claims (csp_once_t *once, uint64_t seed, uint32_t count)
+time_claims (csp_once_key_store_t *once, uint64_t seed, uint32_t count)
 {
   csp_random_t random;
   csp_claim_ask_t ask = { .key = { .organisation = "org",
@@ -103,16 +103,16 @@
   csp_once_settings_t settings = csp_default_once_settings ();
   csp_host_ref_t self = { "h", 1 };
   double heap_before = heap_bytes ();
-  csp_once_t *once;
+  csp_once_key_store_t *once;
 
   settings.capacity = 2 * size;
   settings.organisation_capacity = 2 * size;
-  once = csp_create_once (&settings, &self, 0);
+  once = csp_create_once_key_store (&settings, &self, 0);
   results[CLAIM_NEW] = time_claims (once, 1, size);
   results[KEY_BYTES] = (heap_bytes () - heap_before) / size;
   results[CLAIM_REPEATED]
       = time_claims (once, 1, size < SAMPLE ? size : SAMPLE);
-  csp_destroy_once (once);
+  csp_destroy_once_key_store (once);
 }
 
 static void
--- a/bench/order-bench.c
+++ b/bench/order-bench.c
@@ -20,12 +20,12 @@
   NS_PER_US = 1000
 };
 
-static const csp_versioned_t models[MODELS + 1] = {
+static const csp_named_version_t models[MODELS + 1] = {
   { "m-large", "4" }, { "m-small", "3" }, { "m-tags", "1" }, { "m-tags", "2" }
 };
-static const csp_wanted_t wanted
+static const csp_wanted_state_t wanted
     = { .models = models, .model_count = MODELS, .has_role = true };
-static const csp_wanted_t changed_wanted
+static const csp_wanted_state_t changed_wanted
     = { .models = models + 1, .model_count = MODELS - 1, .has_role = true };
 
 typedef struct
@@ -38,7 +38,7 @@
 time_decisions (size_t engines, bool with_change)
 {
   csp_clock_t clock = csp_system_clock ();
-  csp_order_engine_t **trackers = calloc (engines, sizeof *trackers);
+  csp_order_tracker_t **trackers = calloc (engines, sizeof *trackers);
   csp_order_pace_t pace = { .interval_ms = 1 };
   csp_order_report_t report
       = { .models = models, .model_count = MODELS, .role = "mixed" };
@@ -57,7 +57,7 @@
   int round;
 
   for (i = 0; i < engines; i++)
-    trackers[i] = csp_create_order_engine ();
+    trackers[i] = csp_create_order_tracker ();
   start_us = csp_now_us (&clock);
   for (round = 1; round <= ROUNDS; round++)
     {
@@ -66,7 +66,7 @@
       facts.wanted = with_change && round / 12 % 2 ? &changed_wanted : &wanted;
       facts.wanted_revision = with_change ? FENCE + round / 12 : FENCE;
       facts.revision = facts.wanted_revision;
-      report.report = (uint64_t)round;
+      report.sequence = (uint64_t)round;
       report.asked_ms = round * 1000L;
       report.fence = facts.wanted_revision;
       for (i = 0; i < engines; i++)
@@ -83,7 +83,7 @@
   cost.bytes_per_engine
       = (double)(mallinfo2 ().uordblks - heap_before) / (double)engines;
   for (i = 0; i < engines; i++)
-    csp_destroy_order_engine (trackers[i]);
+    csp_destroy_order_tracker (trackers[i]);
   free (trackers);
   return cost;
 }
--- a/bench/quarantine-bench.c
+++ b/bench/quarantine-bench.c
@@ -56,7 +56,7 @@
   if (quarantine == NULL)
     abort ();
   for (i = 1; i <= suspects; i++)
-    csp_strike_request (quarantine, i, 1, 1);
+    csp_add_request_strike (quarantine, i, 1, 1);
   start_ns = now_ns ();
   for (i = 0; i < REPEATS; i++)
     csp_quarantine_left_ms (quarantine, CSP_SUSPECTS_MAX + i + 1, 2);
--- a/bench/results.c
+++ b/bench/results.c
@@ -40,16 +40,16 @@
 }
 
 double
-first_quantile_s (outcome_t *outcome, double quantile)
+first_token_quantile_s (outcome_t *outcome, double quantile)
 {
-  return find_quantile (outcome->first_token_s, outcome->first_count,
+  return find_quantile (outcome->first_token_s, outcome->first_token_count,
                         quantile);
 }
 
 double
 wait_quantile_s (outcome_t *outcome, double quantile)
 {
-  return find_quantile (outcome->wait_s, outcome->first_count, quantile);
+  return find_quantile (outcome->wait_s, outcome->first_token_count, quantile);
 }
 
 static void
@@ -65,7 +65,7 @@
   uint32_t i;
 
   free_outcome (&results->all);
-  free_outcome (&results->returned);
+  free_outcome (&results->sent_after_return);
   free_outcome (&results->small_organisations);
   for (i = 0; i < CLASS_COUNT; i++)
     free_outcome (&results->classes[i]);
@@ -90,15 +90,15 @@
   outcome->requeued += request->requeued_count;
   outcome->preempted += request->engine_preemptions != 0;
   outcome->stall_s += (double)request->stall_us / 1e6;
-  outcome->tokens += request->made_tokens;
-  if (request->first_token_us == 0 || outcome->first_count >= 400000)
+  outcome->tokens += request->generated_token_count;
+  if (request->first_token_us == 0 || outcome->first_token_count >= 400000)
     return;
   outcome->started++;
-  outcome->prefill_s
+  outcome->sent_to_first_token_s
       += (double)(request->first_token_us - request->sent_us) / 1e6;
-  outcome->wait_s[outcome->first_count]
+  outcome->wait_s[outcome->first_token_count]
       = (double)(request->sent_us - request->arrive_us) / 1e6;
-  outcome->first_token_s[outcome->first_count++]
+  outcome->first_token_s[outcome->first_token_count++]
       = (double)(request->first_token_us - request->arrive_us) / 1e6;
 }
 
@@ -117,7 +117,7 @@
 {
   int64_t returned_us = fleet->settings->lost_until_us;
 
-  return returned_us != 0 && request->engine == fleet->settings->slow_engine
+  return returned_us != 0 && request->engine == fleet->settings->faulty_engine
          && request->sent_us >= returned_us
          && request->sent_us < returned_us + AFTER_RETURN_US;
 }
@@ -135,14 +135,14 @@
       add_to_outcome (&results->all, request);
       add_to_outcome (&results->classes[request->class_index], request);
       add_to_outcome (&results->organisations[request->organisation], request);
-      if (request->organisation >= FIRST_SMALL)
+      if (request->organisation >= FIRST_SMALL_ORGANISATION)
         add_to_outcome (&results->small_organisations, request);
       if (was_sent_after_return (fleet, request))
-        add_to_outcome (&results->returned, request);
+        add_to_outcome (&results->sent_after_return, request);
     }
   for (i = 0; i < CLASS_COUNT; i++)
     add_gaps (&results->all.gaps, &results->classes[i].gaps);
-  for (i = FIRST_SMALL; i < ORGANISATIONS; i++)
+  for (i = FIRST_SMALL_ORGANISATION; i < ORGANISATIONS; i++)
     add_gaps (&results->small_organisations.gaps,
               &results->organisations[i].gaps);
 }
--- a/include/cowslipspoke/admission.h
+++ b/include/cowslipspoke/admission.h
@@ -71,7 +71,7 @@
 /* A stream in flight, or a request to admit one.  max_tokens is the caller's
    limit on the answer, 0 for none.  reserve_tokens is memory that must stay
    free besides, 0 for none.  repeatable: it may be taken back while it has
-   generated no token; given_way: how often that happened.  */
+   generated no token; preempted_count: how often that happened.  */
 typedef struct
 {
   uint64_t id;
@@ -80,7 +80,7 @@
   uint32_t max_tokens;
   uint32_t reserve_tokens;
   uint8_t priority;
-  uint8_t given_way;
+  uint8_t preempted_count;
   bool repeatable;
 } csp_stream_t;
 
@@ -94,7 +94,7 @@
 /* A target's report of its own load, with the report's sequence number.  */
 typedef struct
 {
-  uint64_t report;
+  uint64_t sequence;
   uint32_t memory_tokens;
   uint32_t used_tokens;
   uint32_t running;
@@ -108,7 +108,7 @@
 typedef struct
 {
   csp_stream_t stream;
-  uint32_t made_tokens;
+  uint32_t generated_token_count;
   int64_t added_ms;
   int64_t progress_ms;
 } csp_stream_state_t;
@@ -129,17 +129,17 @@
 csp_admit_t csp_decide_admission (const csp_ledger_t *ledger,
                                   const csp_stream_t *stream, int64_t now_ms);
 
-/* Adds a stream regardless of csp_decide_admission.  made_tokens is above 0
-   for a stream taken over from another owner.  The handle is valid until
-   csp_remove_stream; UINT32_MAX when out of memory.  */
+/* Adds a stream regardless of csp_decide_admission.  generated_token_count is
+   above 0 for a stream taken over from another owner.  The handle is valid
+   until csp_remove_stream; UINT32_MAX when out of memory.  */
 uint32_t csp_add_stream (csp_ledger_t *ledger, const csp_stream_t *stream,
-                         uint32_t made_tokens, int64_t now_ms);
+                         uint32_t generated_token_count, int64_t now_ms);
 
 /* Records how many tokens a stream has generated.  To be called at the first
    token, which tells placement that the prompt has been processed, and then
    every 16 tokens or every second.  */
 void csp_note_tokens (csp_ledger_t *ledger, uint32_t handle,
-                      uint32_t made_tokens, int64_t now_ms);
+                      uint32_t generated_token_count, int64_t now_ms);
 
 /* Removes a stream that has ended: frees its memory and learns its length.  */
 void csp_remove_stream (csp_ledger_t *ledger, uint32_t handle,
@@ -148,8 +148,8 @@
 /* Applies a load report.  A report that is not newer than the last is ignored
    and false is returned, unless the last one is stale: a restarted engine
    numbers its reports from one again.  */
-bool csp_take_report (csp_ledger_t *ledger, const csp_load_report_t *report,
-                      int64_t now_ms);
+bool csp_apply_load_report (csp_ledger_t *ledger,
+                            const csp_load_report_t *report, int64_t now_ms);
 
 /* Records a preemption or stall that was observed on this target other than
    through its report.  */
--- a/include/cowslipspoke/clock.h
+++ b/include/cowslipspoke/clock.h
@@ -36,7 +36,7 @@
 } csp_fake_clock_t;
 
 /* The clock interface of a fake clock, which must outlive it.  */
-csp_clock_t csp_clock_of_fake (csp_fake_clock_t *fake);
+csp_clock_t csp_clock_from_fake (csp_fake_clock_t *fake);
 
 /* Advances both times of a fake clock.  */
 void csp_advance_fake_clock (csp_fake_clock_t *fake, int64_t ms);
--- a/include/cowslipspoke/configuration.h
+++ b/include/cowslipspoke/configuration.h
@@ -31,7 +31,7 @@
 typedef enum
 {
   /* Passed the check and is now in force.  */
-  CSP_CONFIG_TAKEN,
+  CSP_CONFIG_APPLIED,
   /* The revision and content that are already in force.  */
   CSP_CONFIG_SAME,
   /* A lower revision than the one in force; ignored.  */
@@ -41,7 +41,7 @@
   CSP_CONFIG_CONFLICT,
   /* The changes don't apply to the state in force, or are incomplete; the full
      configuration must be requested from the sender (after 0).  */
-  CSP_CONFIG_ASK_WHOLE,
+  CSP_CONFIG_NEEDS_FULL,
   /* The check failed; the last valid revision stays in force.  */
   CSP_CONFIG_REFUSED,
   CSP_CONFIG_RESULT_COUNT
@@ -64,7 +64,7 @@
                   char fault[CSP_FAULT_BYTES]);
   void (*release) (void *state, void *built);
   void *state;
-} csp_config_check_t;
+} csp_config_builder_t;
 
 /* The status shown to operators.  */
 typedef struct
@@ -88,46 +88,47 @@
 
 /* Creates an empty configuration at revision 0.  */
 csp_configuration_t *
-csp_create_configuration (const csp_config_check_t *check);
+csp_create_configuration (const csp_config_builder_t *check);
 
 /* Destroys a configuration and releases the object built for it.  */
 void csp_destroy_configuration (csp_configuration_t *configuration);
 
 /* Applies a delta or a full configuration as a whole, or rejects it and
    returns the reason.  */
-csp_config_result_t csp_take_configuration (csp_configuration_t *configuration,
-                                            csp_config_source_t source,
-                                            const csp_config_delta_t *delta);
+csp_config_result_t
+csp_apply_configuration (csp_configuration_t *configuration,
+                         csp_config_source_t source,
+                         const csp_config_delta_t *delta);
 
 /* The revision after which a watch at the service should ask for changes: the
    highest in force or refused, so that a refused revision doesn't end the
    watch again at once.  */
-int64_t csp_find_watch_base (const csp_configuration_t *configuration);
+int64_t csp_get_watch_revision (const csp_configuration_t *configuration);
 
 /* Fills in the changes after a revision for a peer, or the full configuration
    if after is 0, too old, or lower than the first revision in force here.  The
    delta points into the configuration and is valid until the next call of
-   csp_take_configuration or csp_find_config_changes.  */
-void csp_find_config_changes (csp_configuration_t *configuration,
-                              int64_t after, csp_config_delta_t *delta);
+   csp_apply_configuration or csp_collect_config_changes.  */
+void csp_collect_config_changes (csp_configuration_t *configuration,
+                                 int64_t after, csp_config_delta_t *delta);
 
 /* Records a revision that a peer refused, with its faults, so that hosts that
    don't read the service report it as well.  Lower revisions than the recorded
    one are ignored.  */
-void csp_note_refused (csp_configuration_t *configuration, int64_t revision,
-                       const char *fault);
+void csp_record_refused_revision (csp_configuration_t *configuration,
+                                  int64_t revision, const char *fault);
 
 /* Records that a peer has other content under the revision in force.  The
    service's next revision must then be a full read: a delta applied to two
    different contents would result in two different contents again.  */
-void csp_note_conflict (csp_configuration_t *configuration);
+void csp_record_config_conflict (csp_configuration_t *configuration);
 
 /* The object built for the revision in force; NULL if there is none yet.  */
-void *csp_built_configuration (const csp_configuration_t *configuration);
+void *csp_get_built_configuration (const csp_configuration_t *configuration);
 
 /* Fills in the status.  */
-void csp_describe_configuration (const csp_configuration_t *configuration,
-                                 csp_config_status_t *status);
+void csp_get_configuration_status (const csp_configuration_t *configuration,
+                                   csp_config_status_t *status);
 
 /* The name of a result for logs and metrics, such as "stale".  */
 const char *csp_config_result_name (csp_config_result_t result);
--- a/include/cowslipspoke/control.h
+++ b/include/cowslipspoke/control.h
@@ -27,12 +27,12 @@
    request keeps the view that it began with.  */
 typedef struct csp_view csp_view_t;
 
-/* The view in force, with a reference that csp_put_view releases; NULL while
-   there is none.  */
-csp_view_t *csp_take_view (csp_control_t *control);
+/* The view in force, with a reference that csp_release_view releases; NULL
+   while there is none.  */
+csp_view_t *csp_acquire_view (csp_control_t *control);
 
 /* Release a reference to a view; NULL is allowed.  */
-void csp_put_view (csp_view_t *view);
+void csp_release_view (csp_view_t *view);
 
 /* The declaration of a view; NULL while there is no configuration.  */
 const csp_declaration_t *csp_view_declaration (const csp_view_t *view);
@@ -52,7 +52,7 @@
   const char *organisation;
   const char *model;
   const char *class_name;
-  csp_pool_kind_t kind;
+  csp_pool_kind_t pool_kind;
   csp_terms_t terms; /* set by the rule: pool, priority, weight, limits */
   csp_request_facts_t facts; /* the input of the rules */
   const char *rule;          /* the rule that matched; NULL for none */
@@ -65,7 +65,7 @@
   uint64_t prefix;     /* hash of the prompt's beginning; 0: none */
   uint32_t prefix_tokens;
   bool repeatable; /* idempotent */
-  bool retry;      /* not the first attempt: uses the retry budget */
+  bool is_retry;   /* not the first attempt: uses the retry budget */
   csp_verdict_t last_verdict; /* of the attempt before a retry */
   csp_tried_targets_t tried;
   bool (*is_gone) (void *state); /* whether the caller hung up, or NULL */
@@ -100,10 +100,11 @@
 typedef struct
 {
   csp_link_end_t end;
-  bool stopped; /* the target has confirmed that it stopped the request */
+  bool stop_confirmed; /* the target has confirmed that it stopped the request
+                        */
   uint64_t tokens;
   uint32_t worst_gap_ms;
-} csp_place_outcome_t;
+} csp_grant_outcome_t;
 
 /* Start the control thread, the connections to peers and the threads that
    read the platform's configuration and host list.  NULL with a message on
@@ -113,11 +114,11 @@
 
 /* Announce to peers that this host is leaving, so that they take over its
    targets.  */
-void csp_leave_control (csp_control_t *control);
+void csp_set_control_leaving (csp_control_t *control);
 
 /* The number of keyed calls whose outcome some host has not acknowledged yet.
    If this host exits before that, repeats of them can't be decided.  */
-uint32_t csp_open_claims (csp_control_t *control);
+uint32_t csp_count_open_claims (csp_control_t *control);
 
 /* The port on which this host listens for peers.  */
 uint16_t csp_control_peer_port (const csp_control_t *control);
@@ -127,12 +128,12 @@
 void csp_destroy_control (csp_control_t *control);
 
 /* Whether a configuration and a host list have been received.  */
-bool csp_control_ready (csp_control_t *control);
+bool csp_is_control_ready (csp_control_t *control);
 
 /* Copy the terms that a rule decided into an admission request.  Not for a
    rule that turns the request away.  */
-void csp_set_terms (csp_admission_ask_t *ask,
-                    const csp_rule_outcome_t *outcome);
+void csp_apply_rule_terms (csp_admission_ask_t *ask,
+                           const csp_rule_outcome_t *outcome);
 
 /* A pool's load as this host sees it, 1.0 when full: the share of memory used
    on the engines that this host owns, and at least 1.0 while requests wait
@@ -145,8 +146,9 @@
 
 /* Request admission and block until it is decided.  0 with a grant, or -1 with
    an error whose verdict is CSP_VERDICT_NOT_RUN.  */
-int csp_ask_admission (csp_control_t *control, const csp_admission_ask_t *ask,
-                       csp_grant_t *grant, csp_error_t *error);
+int csp_request_admission (csp_control_t *control,
+                           const csp_admission_ask_t *ask, csp_grant_t *grant,
+                           csp_error_t *error);
 
 /* Check that a grant is still valid, immediately before the first byte is
    sent.  While this thread or host was paused, the owner may have given the
@@ -175,12 +177,12 @@
 /* Report how many tokens a stream has generated so far.  blocked_ms is the
    part of the time since the last report that was spent waiting for the
    caller.  */
-void csp_note_progress (csp_control_t *control, const csp_grant_t *grant,
-                        uint64_t tokens, int64_t blocked_ms);
+void csp_report_progress (csp_control_t *control, const csp_grant_t *grant,
+                          uint64_t tokens, int64_t blocked_ms);
 
 /* Release a grant when its request has ended.  */
 void csp_release_grant (csp_control_t *control, const csp_grant_t *grant,
-                        const csp_place_outcome_t *outcome);
+                        const csp_grant_outcome_t *outcome);
 
 /* The host's state as JSON, for operators.  The caller frees it.  */
 char *csp_describe_control (csp_control_t *control);
--- a/include/cowslipspoke/cordon.h
+++ b/include/cowslipspoke/cordon.h
@@ -29,8 +29,8 @@
 typedef enum
 {
   CSP_CORDON_CHANGED,
-  CSP_CORDON_AS_BEFORE,
-  CSP_CORDON_NO_NAME, /* empty or too long for a data centre's name */
+  CSP_CORDON_UNCHANGED,
+  CSP_CORDON_INVALID_NAME, /* empty or too long for a data centre's name */
   CSP_CORDON_NO_MEMORY
 } csp_cordon_result_t;
 
--- a/include/cowslipspoke/declaration.h
+++ b/include/cowslipspoke/declaration.h
@@ -125,25 +125,25 @@
 {
   const char *name;
   const char *version;
-} csp_versioned_t;
+} csp_named_version_t;
 
 /* Wanted state of an engine: the models and adapters that it should have
    loaded, and its role.  */
 typedef struct
 {
-  const csp_versioned_t *models;
+  const csp_named_version_t *models;
   size_t model_count;
-  const csp_versioned_t *adapters;
+  const csp_named_version_t *adapters;
   size_t adapter_count;
   csp_role_t role;
   bool has_role;
-} csp_wanted_t;
+} csp_wanted_state_t;
 
 /* Wanted state of one engine, in place of its pool's.  */
 typedef struct
 {
   const char *target;
-  csp_wanted_t wanted;
+  csp_wanted_state_t wanted;
 } csp_engine_wanted_state_t;
 
 typedef struct
@@ -164,7 +164,7 @@
   /* Whether the pool declares a wanted state; without one no orders are sent.
    */
   bool has_wanted;
-  csp_wanted_t wanted;
+  csp_wanted_state_t wanted;
   const csp_engine_wanted_state_t *engines;
   size_t engine_count;
 } csp_pool_t;
@@ -219,7 +219,7 @@
   const char *rule;
   /* The rule matches only requests that have waited in the queue for some
      time.  */
-  bool waited;
+  bool requires_queue_time;
   csp_action_t action;
   union
   {
@@ -292,8 +292,8 @@
 
 /* The wanted state of an engine: its own or else its pool's; NULL if neither
    is declared.  */
-const csp_wanted_t *csp_find_wanted (const csp_pool_t *pool,
-                                     const char *target);
+const csp_wanted_state_t *csp_get_wanted_state (const csp_pool_t *pool,
+                                                const char *target);
 
 /* Number and access by index, for status pages and model lists.  */
 size_t csp_count_organisations (const csp_declaration_t *declaration);
@@ -319,9 +319,9 @@
    Load pattern: any.  The operators' rules decide where requests go;
    without them the code that sees a burst first would decide, and an operator
    would see outcomes that no rule explains.  */
-void csp_decide_rule (const csp_declaration_t *declaration,
-                      const csp_request_facts_t *facts,
-                      csp_rule_outcome_t *outcome);
+void csp_evaluate_rules (const csp_declaration_t *declaration,
+                         const csp_request_facts_t *facts,
+                         csp_rule_outcome_t *outcome);
 
 /* Add a fault for every rule that no request can reach, because earlier rules
    match all requests that it could match.  A host accepts such a declaration,
--- a/include/cowslipspoke/dialect.h
+++ b/include/cowslipspoke/dialect.h
@@ -14,25 +14,25 @@
 typedef enum
 {
   /* Set by callers.  */
-  CSP_NAME_REQUEST_ID,  /* one attempt of the caller; targets echo it */
-  CSP_NAME_TIME_LEFT,   /* the request's remaining time in ms */
-  CSP_NAME_KEY,         /* the caller's API key as the whole value */
-  CSP_NAME_TOKENS,      /* "PROMPT,OUTPUT_MAX" */
-  CSP_NAME_OUTPUT_HINT, /* the caller's estimate of the output tokens */
-  CSP_NAME_LAST_EVENT,  /* id of the last event received; the stream continues
-                           after it */
+  CSP_HEADER_REQUEST_ID,     /* one attempt of the caller; targets echo it */
+  CSP_HEADER_REMAINING_TIME, /* the request's remaining time in ms */
+  CSP_HEADER_KEY,            /* the caller's API key as the whole value */
+  CSP_HEADER_TOKENS,         /* "PROMPT,OUTPUT_MAX" */
+  CSP_HEADER_OUTPUT_HINT,    /* the caller's estimate of the output tokens */
+  CSP_HEADER_LAST_EVENT, /* id of the last event received; the stream continues
+                          after it */
   /* Set by the forwarder; it overwrites what the caller sent.  */
-  CSP_NAME_ORGANISATION, /* organisation of the key */
-  CSP_NAME_TARGET_ID,    /* target instance that the request is meant for */
-  CSP_NAME_URGENCY,      /* 0 to 9, 0 is the most urgent */
-  CSP_NAME_BACKUP,       /* ADDRESS:PORT to which the run's memory is copied */
-  CSP_NAME_GO_ON_FROM,   /* copy from which a stream continues */
+  CSP_HEADER_ORGANISATION, /* organisation of the key */
+  CSP_HEADER_TARGET_ID,    /* target instance that the request is meant for */
+  CSP_HEADER_URGENCY,      /* 0 to 9, 0 is the most urgent */
+  CSP_HEADER_BACKUP, /* ADDRESS:PORT to which the run's memory is copied */
+  CSP_HEADER_CONTINUE_FROM, /* copy from which a stream continues */
   /* Set by targets.  */
-  CSP_NAME_SIGNATURE, /* marks the answer as a target's */
-  CSP_NAME_NOT_RUN,   /* the target did not run the request */
-  CSP_NAME_LEAVING,   /* set, with any value, by a target that leaves */
-  CSP_NAME_COUNT
-} csp_name_t;
+  CSP_HEADER_SIGNATURE, /* marks the answer as a target's */
+  CSP_HEADER_NOT_RUN,   /* the target did not run the request */
+  CSP_HEADER_LEAVING,   /* set, with any value, by a target that leaves */
+  CSP_HEADER_COUNT
+} csp_header_t;
 
 /* A target's answer to a request to copy a run's memory to another target.  */
 typedef struct
@@ -50,7 +50,7 @@
 
 typedef struct
 {
-  const char *names[CSP_NAME_COUNT];
+  const char *names[CSP_HEADER_COUNT];
   /* Further header fields that callers may not set, besides those above; ends
      with NULL.  */
   const char *const *never_from_callers;
@@ -66,9 +66,9 @@
   bool (*write_report) (const char *target, csp_buffer_t *request);
   bool (*read_report) (const char *body, size_t size_bytes,
                        csp_target_report_t *report);
-  /* Writes the value of CSP_NAME_GO_ON_FROM for a copy.  */
-  void (*write_copy) (const char *address, const char *handle, char *text,
-                      size_t room_bytes);
+  /* Writes the value of CSP_HEADER_CONTINUE_FROM for a copy.  */
+  void (*format_copy_source) (const char *address, const char *handle,
+                              char *text, size_t room_bytes);
 } csp_dialect_t;
 
 #endif
--- a/include/cowslipspoke/dispatch.h
+++ b/include/cowslipspoke/dispatch.h
@@ -46,21 +46,21 @@
                                               host to back off */
 } csp_ask_t;
 
-typedef void (*csp_take_ask_answer_t) (void *state,
-                                       const csp_ask_answer_t *answer);
+typedef void (*csp_deliver_ask_answer_t) (void *state,
+                                          const csp_ask_answer_t *answer);
 
 typedef struct csp_dispatch csp_dispatch_t;
 
 csp_dispatch_t *csp_create_dispatch (csp_fleet_t *fleet,
-                                     csp_take_ask_answer_t deliver,
+                                     csp_deliver_ask_answer_t deliver,
                                      void *state, uint64_t seed);
 void csp_destroy_dispatch (csp_dispatch_t *dispatch);
 
 /* Sets whether this host is the decider and for which part of the fleet; the
    decider counts placements on cold targets, see warmup.h.  To be called
    whenever that changes.  */
-void csp_note_dispatch_duty (csp_dispatch_t *dispatch,
-                             const csp_warmup_duty_t *duty);
+void csp_set_dispatch_duty (csp_dispatch_t *dispatch,
+                            const csp_decider_role_t *duty);
 
 /* Handles a new or repeated ask.  The answer (a placement, a refusal or that
    the ask waits) is delivered before this returns.  service and memory_tokens
--- a/include/cowslipspoke/engine.h
+++ b/include/cowslipspoke/engine.h
@@ -30,7 +30,7 @@
 
 /* Delivers a token to the caller; chunk_json is the event as it was received.
    Returns non-zero when the caller has gone.  */
-typedef int (*csp_take_delivery_t) (void *state, const csp_token_t *token,
+typedef int (*csp_deliver_token_t) (void *state, const csp_token_t *token,
                                     const char *chunk_json);
 
 /* Called a few times a second while a link is open; a result other than
@@ -56,7 +56,7 @@
   uint32_t stall_timeout_ms;
   const csp_clock_t *clock;
   csp_may_send_t may_send; /* NULL: always */
-  csp_take_delivery_t deliver;
+  csp_deliver_token_t deliver;
   csp_check_link_t check;
   void *state;
 } csp_link_t;
@@ -64,16 +64,17 @@
 /* Details of a link that ended.  */
 typedef struct
 {
-  bool byte_left;     /* a byte that could start work may have been sent */
-  uint16_t status;    /* HTTP status; 0 when none was received */
-  uint64_t delivered; /* tokens delivered on this link */
+  bool
+      may_have_been_sent; /* a byte that could start work may have been sent */
+  uint16_t status;        /* HTTP status; 0 when none was received */
+  uint64_t delivered;     /* tokens delivered on this link */
   char message[CSP_ENGINE_MESSAGE_BYTES]; /* the target's error message */
-} csp_link_report_t;
+} csp_engine_link_report_t;
 
 /* Runs one link until it ends.  Blocks; to be called on a traffic thread.  */
-csp_link_end_t csp_run_link (const csp_link_t *link,
-                             csp_generation_t *generation,
-                             csp_link_report_t *report);
+csp_link_end_t csp_run_engine_link (const csp_link_t *link,
+                                    csp_generation_t *generation,
+                                    csp_engine_link_report_t *report);
 
 /* Tells an engine to stop a generation.  Returns 0 when the engine
    answered.  */
--- a/include/cowslipspoke/entry.h
+++ b/include/cowslipspoke/entry.h
@@ -19,17 +19,17 @@
 
 /* Makes the readiness check fail, so that the load balancer sends no new
    requests.  */
-void csp_announce_drain (csp_entry_t *entry);
+void csp_fail_readiness (csp_entry_t *entry);
 
 /* Refuses new requests from now on, with the verdict "not run".  */
-void csp_refuse_new (csp_entry_t *entry);
+void csp_refuse_new_requests (csp_entry_t *entry);
 
 /* Returns the number of requests that are being served.  */
-uint32_t csp_open_requests (const csp_entry_t *entry);
+uint32_t csp_count_open_requests (const csp_entry_t *entry);
 
 /* Ends all open requests with an error; called when the drain limit has
    passed.  */
-void csp_stop_open (csp_entry_t *entry);
+void csp_abort_open_requests (csp_entry_t *entry);
 
 /* Closes the listener and frees the server; NULL is allowed.  */
 void csp_destroy_entry (csp_entry_t *entry);
--- a/include/cowslipspoke/fetcher.h
+++ b/include/cowslipspoke/fetcher.h
@@ -37,7 +37,7 @@
 {
   /* Statuses of a POST without a response: the request may have arrived, or
      no byte of it was sent.  */
-  CSP_POST_LOST = 0,
+  CSP_POST_NO_RESPONSE = 0,
   CSP_POST_NOT_SENT = -1
 };
 
--- a/include/cowslipspoke/fleet.h
+++ b/include/cowslipspoke/fleet.h
@@ -28,7 +28,7 @@
   /* When the target started, in Unix ms by its own clock; 0: unknown.  A
      target may restart under the same id; a new start keeps nothing of the one
      before.  */
-  int64_t born_ms;
+  int64_t start_unix_ms;
   char service[CSP_TARGET_NAME_BYTES];
   char data_centre[CSP_TARGET_NAME_BYTES];
   struct sockaddr_in address;
@@ -51,7 +51,7 @@
   uint32_t requests;
   uint64_t tokens;         /* memory that their runs are expected to use */
   uint64_t backup_tokens;  /* backup copies of runs that run elsewhere */
-  uint64_t reading_tokens; /* prompts without a first token yet */
+  uint64_t prefill_tokens; /* prompts without a first token yet */
   uint64_t movable_tokens; /* of streams that must move if the target leaves */
 } csp_fleet_load_t;
 
@@ -67,7 +67,8 @@
   csp_fleet_load_t own;      /* under way from this host */
   csp_fleet_load_t others;   /* from all other hosts, as last reported */
   csp_fleet_load_t reserved; /* assigned here, not yet reported by its host */
-  csp_peer_load_t told;      /* what this host last reported of its own load */
+  csp_peer_load_t
+      reported_load; /* what this host last reported of its own load */
   /* Share of recent requests that failed, and when it was last updated.  */
   double failure_share;
   int64_t failure_share_at_ms;
@@ -75,14 +76,14 @@
   int64_t avoid_until_ms;
   int64_t backoff_until_ms; /* the target asked this host to wait until then */
   uint32_t unreachable;     /* consecutive failed connects */
-  bool cut_off;         /* its data centre can't be reached from this host */
-  bool cordoned;        /* operators have cordoned its data centre */
-  int64_t left_at_ms;   /* when this host learnt that it leaves */
-  int64_t gone_at_ms;   /* when it was first seen to be gone; 0: it isn't */
-  int64_t turn_at_ms;   /* from when this host may move streams away */
-  bool leaves;          /* its leaving was announced; final for one start */
-  bool told_by_itself;  /* the target announced it before the list did */
-  int64_t report_at_ms; /* no report is requested before */
+  bool cut_off;  /* its data centre can't be reached from this host */
+  bool cordoned; /* operators have cordoned its data centre */
+  int64_t leave_seen_at_ms; /* when this host learnt that it leaves */
+  int64_t gone_at_ms;     /* when it was first seen to be gone; 0: it isn't */
+  int64_t may_move_at_ms; /* from when this host may move streams away */
+  bool leaves;            /* its leaving was announced; final for one start */
+  bool self_announced;    /* the target announced it before the list did */
+  int64_t report_at_ms;   /* no report is requested before */
   double recent_prompt_tokens; /* recently assigned prompt tokens, decaying */
   int64_t
       recent_prompts_at_ms; /* when recent_prompt_tokens was last updated */
@@ -110,12 +111,12 @@
 /* Adds a target or updates it from a row that was written or read; false when
    memory allocation fails.  A row of a newer start marks the previous start's
    target as gone; a row of an earlier start is ignored.  */
-bool csp_list_target (csp_fleet_t *fleet, const csp_fleet_row_t *row,
-                      int64_t now_ms);
+bool csp_update_target (csp_fleet_t *fleet, const csp_fleet_row_t *row,
+                        int64_t now_ms);
 
 /* Marks a target as gone when its row was removed, or as lapsed if a platform
    outage may have caused the removal.  */
-void csp_unlist_target (csp_fleet_t *fleet, const char *id, int64_t now_ms);
+void csp_remove_target (csp_fleet_t *fleet, const char *id, int64_t now_ms);
 
 /* Cordons a data centre or lifts its cordon, see cordon.h; the data centre may
    have no targets yet.  */
@@ -127,19 +128,20 @@
 /* Sets how many requests per second a service's targets take while they are
    cold, and for how long a target may be cold; bound_per_s of 0: no limit.
    False when too many services have a limit.  */
-bool csp_set_cold_bound (csp_fleet_t *fleet, const char *service,
+bool csp_set_cold_limit (csp_fleet_t *fleet, const char *service,
                          uint32_t cold_ms, uint32_t bound_per_s);
 
 /* Whether a target is cold and has a limit on new requests.  */
-bool csp_is_paced (const csp_fleet_target_t *target, int64_t now_ms);
+bool csp_is_cold_limited (const csp_fleet_target_t *target, int64_t now_ms);
 
 /* Whether this host may assign a request there under the limit for cold
    targets, and that it has assigned one.  duty: NULL where this host may
    assign nothing to cold targets.  */
-bool csp_may_give_place (csp_fleet_target_t *target,
-                         const csp_warmup_duty_t *duty, int64_t now_ms);
-void csp_note_place_given (csp_fleet_target_t *target,
-                           const csp_warmup_duty_t *duty, int64_t now_ms);
+bool csp_may_assign_request (csp_fleet_target_t *target,
+                             const csp_decider_role_t *duty, int64_t now_ms);
+void csp_note_request_assigned (csp_fleet_target_t *target,
+                                const csp_decider_role_t *duty,
+                                int64_t now_ms);
 
 /* Whether a target may get new requests: it isn't leaving and isn't
    cordoned.  */
@@ -170,9 +172,9 @@
 
 /* The target itself reported when it started.  If it has restarted, the target
    that is given is marked as gone, and another is added in its place.  */
-void csp_note_target_born (csp_fleet_t *fleet,
-                           const csp_fleet_target_t *target, int64_t born_ms,
-                           int64_t now_ms);
+void csp_note_target_start (csp_fleet_t *fleet,
+                            const csp_fleet_target_t *target, int64_t born_ms,
+                            int64_t now_ms);
 
 /* The platform became unreachable or reachable again.  */
 void csp_note_platform (csp_fleet_t *fleet, bool reachable, int64_t now_ms);
@@ -189,16 +191,16 @@
 /* The target of the newest start under this id.  */
 csp_fleet_target_t *csp_find_fleet_target (const csp_fleet_t *fleet,
                                            const char *id);
-csp_fleet_target_t *csp_find_hashed_target (const csp_fleet_t *fleet,
-                                            uint64_t hash);
+csp_fleet_target_t *csp_find_target_by_hash (const csp_fleet_t *fleet,
+                                             uint64_t hash);
 
 /* Resets the loads of all other hosts, before they are added up again.  */
-void csp_clear_other_loads (csp_fleet_t *fleet);
-void csp_count_other_load (csp_fleet_t *fleet, const csp_peer_load_t *load);
+void csp_clear_peer_loads (csp_fleet_t *fleet);
+void csp_add_peer_load (csp_fleet_t *fleet, const csp_peer_load_t *load);
 
 /* Subtracts a load that was added.  A load of a target that was unknown at the
    time was not added; it has to be added when the target is.  */
-void csp_uncount_other_load (csp_fleet_t *fleet, const csp_peer_load_t *load);
+void csp_subtract_peer_load (csp_fleet_t *fleet, const csp_peer_load_t *load);
 
 /* How many targets have been added since the start.  */
 uint64_t csp_fleet_additions (const csp_fleet_t *fleet);
@@ -218,14 +220,14 @@
   /* Excludes targets that would then have more prompt tokens to read, unless
      they read no other prompt; half as many while they warm up.  0: no
      limit.  */
-  uint64_t reading_tokens_max;
+  uint64_t prefill_tokens_max;
   bool repeatable; /* may go to a target that is cut off, as a last resort */
   /* Under which this host may assign requests to cold targets; NULL: it may
      not.  */
-  const csp_warmup_duty_t *duty;
-  const csp_fleet_target_t *not_this;
-  const csp_fleet_target_t *nor_this;
-  bool own; /* sent by this host: its backoffs apply */
+  const csp_decider_role_t *duty;
+  const csp_fleet_target_t *excluded;
+  const csp_fleet_target_t *also_excluded;
+  bool sent_by_this_host; /* sent by this host: its backoffs apply */
   /* Backoffs of the other host that sends the request, as hashes of targets;
      those are excluded too.  */
   const uint64_t *backoffs;
@@ -242,8 +244,9 @@
 /* The share of memory in use over all targets of a service if this many tokens
    are added: what runs are expected to take, and copies of runs; 1 is
    full.  */
-double csp_find_pool_share (const csp_fleet_t *fleet, const char *service,
-                            uint32_t memory_tokens, uint64_t tokens);
+double csp_find_pool_memory_share (const csp_fleet_t *fleet,
+                                   const char *service, uint32_t memory_tokens,
+                                   uint64_t tokens);
 
 /* The decider has assigned a prompt to the target.  */
 void csp_note_prompt_given (csp_fleet_target_t *target, uint32_t prompt_tokens,
--- a/include/cowslipspoke/gateway.h
+++ b/include/cowslipspoke/gateway.h
@@ -27,11 +27,12 @@
 {
   char host[64];
   char data_centre[64];
-  struct sockaddr_in front;   /* listens for callers */
-  struct sockaddr_in ready;   /* listens for the balancer's readiness checks */
-  struct sockaddr_in metrics; /* port 0: no listener */
+  struct sockaddr_in caller_address; /* listens for callers */
+  struct sockaddr_in
+      readiness_address; /* listens for the balancer's readiness checks */
+  struct sockaddr_in metrics_address; /* port 0: no listener */
   /* Receives datagrams of other hosts; port 0: none.  */
-  struct sockaddr_in peers;
+  struct sockaddr_in datagram_address;
   size_t seed_count;
   struct sockaddr_in seeds[CSP_GATEWAY_SEEDS_MAX];
   /* What the host's processor and link can carry, in thousandths of a core; 0:
@@ -60,12 +61,13 @@
   CSP_UPDATE_TARGET,
   CSP_UPDATE_TARGET_REMOVED,
   CSP_UPDATE_CORDON, /* a data centre is cordoned or its cordon lifted */
-  CSP_UPDATE_LISTED, /* all targets of the platform's list have been sent */
-  CSP_UPDATE_PLATFORM_HEARD,  /* also when nothing changed */
-  CSP_UPDATE_PLATFORM_LAPSES, /* its rows may be missing for a while */
-  CSP_UPDATE_SIGHTED,         /* whether this host's own reads succeed */
-  CSP_UPDATE_PLATFORM_AWAY,
-  CSP_UPDATE_PLATFORM_BACK,
+  CSP_UPDATE_TARGETS_LISTED, /* all targets of the platform's list have been
+                                sent */
+  CSP_UPDATE_PLATFORM_READ,  /* also when nothing changed */
+  CSP_UPDATE_PLATFORM_ROWS_LAPSE, /* its rows may be missing for a while */
+  CSP_UPDATE_READS_PLATFORM,      /* whether this host's own reads succeed */
+  CSP_UPDATE_PLATFORM_UNREACHABLE,
+  CSP_UPDATE_PLATFORM_REACHABLE,
   CSP_UPDATE_STOP
 } csp_update_kind_t;
 
@@ -84,7 +86,7 @@
       bool on; /* false: the cordon is lifted */
     } cordon;
     uint32_t age_ms; /* since the platform itself was read */
-    bool sighted;
+    bool reads_platform;
   } value;
 } csp_update_t;
 
@@ -117,7 +119,7 @@
                                csp_reader_ranks_t *ranks);
 
 /* Port of a listener that was opened on port 0, for tests.  */
-uint16_t csp_gateway_front_port (const csp_gateway_t *gateway);
-uint16_t csp_gateway_ready_port (const csp_gateway_t *gateway);
+uint16_t csp_gateway_caller_port (const csp_gateway_t *gateway);
+uint16_t csp_gateway_readiness_port (const csp_gateway_t *gateway);
 
 #endif
--- a/include/cowslipspoke/generation.h
+++ b/include/cowslipspoke/generation.h
@@ -31,12 +31,12 @@
 /* What to do with a token.  */
 typedef enum
 {
-  CSP_TAKE_DELIVER,
-  CSP_TAKE_DUPLICATE, /* already delivered: ignore it */
-  CSP_TAKE_GAP,       /* tokens are missing: resume at next_index */
-  CSP_TAKE_FOREIGN,   /* of another generation: never deliver it */
-  CSP_TAKE_AFTER_END  /* after the last token: the engine is faulty */
-} csp_take_t;
+  CSP_TOKEN_DELIVER,
+  CSP_TOKEN_DUPLICATE, /* already delivered: ignore it */
+  CSP_TOKEN_GAP,       /* tokens are missing: resume at next_index */
+  CSP_TOKEN_FOREIGN,   /* of another generation: never deliver it */
+  CSP_TOKEN_AFTER_END  /* after the last token: the engine is faulty */
+} csp_token_action_t;
 
 /* One event of an engine.  Its strings belong to the chunk.  */
 typedef struct
@@ -54,13 +54,13 @@
 void csp_start_generation (csp_generation_t *generation, const char *id);
 
 /* Decides what to do with a token and counts it if it is to be delivered.  */
-csp_take_t csp_take_token (csp_generation_t *generation,
-                           const csp_token_t *token);
+csp_token_action_t csp_accept_token (csp_generation_t *generation,
+                                     const csp_token_t *token);
 
 /* Handles the engine's end mark.  Returns true when the answer is complete; an
    end mark without a finish reason before it means that the answer was
    truncated.  */
-bool csp_take_end (csp_generation_t *generation);
+bool csp_accept_end_mark (csp_generation_t *generation);
 
 /* Parses an event of the completions or chat API.  Returns NULL when the JSON
    isn't one.  */
--- a/include/cowslipspoke/handoff.h
+++ b/include/cowslipspoke/handoff.h
@@ -151,8 +151,9 @@
 
 /* Repeats the answer to a duplicate ask.  Returns false if the ask is new; the
    caller then chooses a target and calls csp_reserve_slot.  */
-bool csp_find_slot (csp_slot_table_t *table, const csp_reserve_ask_t *ask,
-                    int64_t now_ms, csp_reserve_answer_t *answer);
+bool csp_repeat_reserve_answer (csp_slot_table_t *table,
+                                const csp_reserve_ask_t *ask, int64_t now_ms,
+                                csp_reserve_answer_t *answer);
 
 /* Reserves a slot at a target that has free capacity.  The answer is a refusal
    with a retry time while the target settles, or if the ask is from an earlier
@@ -174,8 +175,8 @@
 
 /* Applies a peer's holdings.  The peer must list only slots at targets that
    this host owns.  */
-void csp_take_holdings (csp_slot_table_t *table,
-                        const csp_holdings_t *holdings, int64_t now_ms);
+void csp_apply_holdings (csp_slot_table_t *table,
+                         const csp_holdings_t *holdings, int64_t now_ms);
 
 /* Marks the slots of a silent or departed host as orphaned.  To be called
    about every second for each silent host, not only when it becomes silent: a
@@ -188,25 +189,25 @@
 /* Removes a host's name and last incarnation from the table.  To be called
    only after the host has been missing from the host list for orphan_ms or
    more.  */
-void csp_forget_holder (csp_slot_table_t *table, const char *host);
+void csp_remove_holder (csp_slot_table_t *table, const char *host);
 
 /* Frees expired slots and returns how many.  Operations on slots and holdings
    call it first, too.  */
 size_t csp_expire_slots (csp_slot_table_t *table, int64_t now_ms);
 
 /* This host became the owner of a target: no slot is granted at it for
-   settle_ms, or until csp_open_target is called because every live peer has
-   sent its holdings.  */
-void csp_gain_target (csp_slot_table_t *table, const char *target,
-                      int64_t now_ms);
-void csp_open_target (csp_slot_table_t *table, const char *target);
+   settle_ms, or until csp_end_target_settling is called because every live
+   peer has sent its holdings.  */
+void csp_add_owned_target (csp_slot_table_t *table, const char *target,
+                           int64_t now_ms);
+void csp_end_target_settling (csp_slot_table_t *table, const char *target);
 
 /* This host is no longer the owner of a target: removes its slots.  Their
    commits are answered with held false.  */
-void csp_lose_target (csp_slot_table_t *table, const char *target);
+void csp_remove_owned_target (csp_slot_table_t *table, const char *target);
 
-void csp_count_target (csp_slot_table_t *table, const char *target,
-                       int64_t now_ms, csp_target_usage_t *usage);
+void csp_get_target_usage (csp_slot_table_t *table, const char *target,
+                           int64_t now_ms, csp_target_usage_t *usage);
 
 /* The number of slots in the table, and its memory use in bytes.  */
 size_t csp_count_slots (const csp_slot_table_t *table);
@@ -238,7 +239,7 @@
   CSP_HANDOFF_TARGET_FAILED,  /* any other early end of the answer */
   CSP_HANDOFF_FIRST_TOKEN,
   CSP_HANDOFF_FINISHED,        /* the whole answer was received */
-  CSP_HANDOFF_HUNG_UP,         /* the caller disconnected */
+  CSP_HANDOFF_CALLER_GONE,     /* the caller disconnected */
   CSP_HANDOFF_CANCEL_CONFIRMED /* after the end: the target stopped decoding */
 } csp_handoff_event_kind_t;
 
@@ -309,7 +310,7 @@
 
 /* Fills in the slot that this host's holdings must list for the hand-off, and
    the peer that granted it.  Returns false if there is none.  */
-bool csp_held_by_handoff (const csp_handoff_t *handoff, size_t *peer,
-                          csp_held_slot_t *slot);
+bool csp_get_handoff_slot (const csp_handoff_t *handoff, size_t *peer,
+                           csp_held_slot_t *slot);
 
 #endif
--- a/include/cowslipspoke/health.h
+++ b/include/cowslipspoke/health.h
@@ -74,13 +74,13 @@
 /* The median gap of this host's targets and the number of its targets with a
    reduced share, as it reports them to the other hosts.  */
 double csp_health_median_ms (const csp_health_t *health);
-uint32_t csp_health_out (const csp_health_t *health);
+uint32_t csp_count_reduced_targets (const csp_health_t *health);
 
 /* Updates the usable share of all targets; call once a second.  */
-void csp_weigh_health (csp_health_t *health, int64_t now_ms);
+void csp_update_health (csp_health_t *health, int64_t now_ms);
 
 /* Returns the usable share of the target, 0 to 1.  */
-double csp_health_open (const csp_health_t *health, uint32_t target);
+double csp_health_share (const csp_health_t *health, uint32_t target);
 
 /* Returns the target's gap relative to the median, at least 1; 1 if too few
    gaps are known.  */
--- a/include/cowslipspoke/host-ref.h
+++ b/include/cowslipspoke/host-ref.h
@@ -16,6 +16,7 @@
 } csp_host_ref_t;
 
 /* Whether both are the same incarnation of the same host.  */
-bool csp_same_host (const csp_host_ref_t *a, const csp_host_ref_t *b);
+bool csp_is_same_incarnation (const csp_host_ref_t *a,
+                              const csp_host_ref_t *b);
 
 #endif
--- a/include/cowslipspoke/http.h
+++ b/include/cowslipspoke/http.h
@@ -29,7 +29,7 @@
 typedef enum
 {
   CSP_HTTP_REQUEST,
-  CSP_HTTP_ANSWER
+  CSP_HTTP_RESPONSE
 } csp_http_message_kind_t;
 
 /* What marks the end of a body.  */
@@ -69,7 +69,7 @@
 /* Why a message was refused.  */
 typedef enum
 {
-  CSP_HTTP_FINE,
+  CSP_HTTP_NO_FAULT,
   CSP_HTTP_MALFORMED,
   CSP_HTTP_HEAD_TOO_LARGE,
   CSP_HTTP_BODY_TOO_LARGE,
@@ -79,11 +79,11 @@
 /* What one step of reading produced.  */
 typedef enum
 {
-  CSP_HTTP_MORE, /* all bytes were consumed and more are needed */
-  CSP_HTTP_HEAD, /* the head is complete; csp_http_head returns it */
-  CSP_HTTP_BODY, /* a piece of the body */
-  CSP_HTTP_END,  /* the message is complete */
-  CSP_HTTP_FAULT /* the message is refused; csp_http_fault says why */
+  CSP_HTTP_NEED_MORE, /* all bytes were consumed and more are needed */
+  CSP_HTTP_HEAD,      /* the head is complete; csp_http_head returns it */
+  CSP_HTTP_BODY,      /* a piece of the body */
+  CSP_HTTP_END,       /* the message is complete */
+  CSP_HTTP_FAULT      /* the message is refused; csp_http_fault says why */
 } csp_http_step_t;
 
 typedef struct csp_http_reader csp_http_reader_t;
@@ -101,7 +101,7 @@
 
 /* Reset the reader for the next message.  response_to_head: the message is a
    response to HEAD, which has no body whatever its fields say.  */
-void csp_next_http_message (csp_http_reader_t *reader,
+void csp_reset_http_reader (csp_http_reader_t *reader,
                             csp_http_limits_t limits, bool response_to_head);
 
 /* Read the next part of a message from data; *used is how many bytes were
@@ -113,11 +113,11 @@
 
 /* Handle the peer's close of the connection.  True if the message is complete:
    it was so before, or the close ends its body.  */
-bool csp_close_http (csp_http_reader_t *reader);
+bool csp_handle_http_eof (csp_http_reader_t *reader);
 
 /* Whether any byte of the current message was read.  */
-bool csp_http_began (const csp_http_reader_t *reader);
-bool csp_http_head_whole (const csp_http_reader_t *reader);
+bool csp_http_message_begun (const csp_http_reader_t *reader);
+bool csp_http_head_complete (const csp_http_reader_t *reader);
 
 /* The head of the current message; valid until the reader is reset.  */
 const csp_http_head_t *csp_http_head (const csp_http_reader_t *reader);
@@ -131,15 +131,15 @@
 /* Parse a number of seconds as in Retry-After, with or without a fraction.
    Values too large for *time_ms become UINT32_MAX.  False for anything else,
    such as a date or a negative number.  */
-bool csp_read_http_seconds (const char *value, uint32_t *time_ms);
+bool csp_parse_http_seconds (const char *value, uint32_t *time_ms);
 
 /* Whether a field is hop-by-hop, so that it isn't forwarded: those of RFC
    9110, section 7.6.1, Expect, the framing fields, and fields that Connection
    names.  */
-bool csp_is_hop_field (const csp_http_head_t *head, const char *name);
+bool csp_is_hop_by_hop_field (const csp_http_head_t *head, const char *name);
 
 /* The standard reason phrase of a status code; "Unknown" if there is none.  */
-const char *csp_http_status_words (uint16_t status);
+const char *csp_http_reason_phrase (uint16_t status);
 
 /* Append a piece of a body as a chunk.  A piece of 0 bytes is skipped, since
    an empty chunk would end the body.  */
--- a/include/cowslipspoke/length.h
+++ b/include/cowslipspoke/length.h
@@ -31,7 +31,7 @@
    prior_median_tokens, prior_sigma: the log-normal prior; 77 and 1.5 give the
    mean of 236 tokens of the planned load (2.1 million tokens a second over
    8,900 requests a second), with 6 answers of 10,000 over ten thousand tokens.
-   start_weight: weight of the prior in each bin, in answers' worth of
+   prior_weight: weight of the prior in each bin, in answers' worth of
    exposure.  With 4, observations outweigh the prior after some ten answers
    have crossed the bin, and the prior holds in the far tail without
    observations.
@@ -44,7 +44,7 @@
 {
   double prior_median_tokens;
   double prior_sigma;
-  double start_weight;
+  double prior_weight;
   uint32_t half_life_answers;
   uint32_t max_keys;
 } csp_length_policy_t;
@@ -64,27 +64,27 @@
 
 /* Returns the key of a model and a class, and adds it if it is new.  Returns
    key 0 (CSP_LENGTH_KEY_SHARED) when the store is full.  */
-uint32_t csp_find_length_key (csp_lengths_t *lengths, const char *model,
-                              const char *class_name);
+uint32_t csp_get_length_key (csp_lengths_t *lengths, const char *model,
+                             const char *class_name);
 
 /* Records that an answer grew from `before` to `after` tokens.  */
-void csp_note_length (csp_lengths_t *lengths, uint32_t key, uint32_t before,
-                      uint32_t after);
+void csp_record_length_growth (csp_lengths_t *lengths, uint32_t key,
+                               uint32_t before, uint32_t after);
 
 /* Records that an answer of `tokens` ended, by itself or cut from outside
    (cancelled, or at the caller's max_tokens).  Its growth must have been
    recorded before.  */
-void csp_learn_length (csp_lengths_t *lengths, uint32_t key, uint32_t tokens,
-                       csp_length_end_t end);
+void csp_record_length_end (csp_lengths_t *lengths, uint32_t key,
+                            uint32_t tokens, csp_length_end_t end);
 
 /* Returns the probability that an answer of `made` tokens reaches
    `made + ahead` tokens.  */
-double csp_survive_length (csp_lengths_t *lengths, uint32_t key, uint32_t made,
-                           uint32_t ahead);
+double csp_length_survival (csp_lengths_t *lengths, uint32_t key,
+                            uint32_t made, uint32_t ahead);
 
 /* Returns the mean remaining tokens of an answer of `made` tokens.  */
-double csp_expect_tokens_left (csp_lengths_t *lengths, uint32_t key,
-                               uint32_t made);
+double csp_mean_tokens_left (csp_lengths_t *lengths, uint32_t key,
+                             uint32_t made);
 
 /* Returns a quantile of the remaining tokens of an answer of `made`
    tokens.  */
--- a/include/cowslipspoke/limit.h
+++ b/include/cowslipspoke/limit.h
@@ -48,7 +48,7 @@
 csp_limit_policy_t csp_default_limit_policy (void);
 
 /* One limit on one host; a plain value.  tokens_per_s limits the rate, and
-   most_open the streams that are open at a time; 0 means no limit.  */
+   max_open the streams that are open at a time; 0 means no limit.  */
 typedef struct
 {
   csp_limit_policy_t policy;
@@ -56,7 +56,7 @@
   double share;
   double bucket;
   int64_t filled_ms;
-  uint32_t most_open;
+  uint32_t max_open;
   uint32_t open;
   double requested;
   double demand;
@@ -65,13 +65,13 @@
 
 /* Initialises a limit with the even part of floor_share among `hosts`, this
    host included.  */
-void csp_open_limit (csp_limit_t *limit, const csp_limit_policy_t *policy,
-                     double tokens_per_s, uint32_t most_open, uint32_t hosts,
+void csp_init_limit (csp_limit_t *limit, const csp_limit_policy_t *policy,
+                     double tokens_per_s, uint32_t max_open, uint32_t hosts,
                      int64_t now_ms);
 
 /* Changes the declared limit; the share and the open streams stay.  */
-void csp_change_limit (csp_limit_t *limit, double tokens_per_s,
-                       uint32_t most_open);
+void csp_update_limit (csp_limit_t *limit, double tokens_per_s,
+                       uint32_t max_open);
 
 /* Ends a round; returns the demand that this host publishes from now on.  */
 double csp_publish_demand (csp_limit_t *limit);
@@ -85,18 +85,18 @@
 
 /* Recomputes this host's share, once a round, from all other listed hosts.  A
    host that was never heard from has demand 0 and age UINT32_MAX.  */
-void csp_share_limit (csp_limit_t *limit, const csp_limit_peer_t *peers,
-                      uint32_t count);
+void csp_update_limit_share (csp_limit_t *limit, const csp_limit_peer_t *peers,
+                             uint32_t count);
 
 /* Admits a stream of cost_tokens if it is within both limits; it then counts
-   as open until csp_close_limited.  Otherwise returns false and sets
+   as open until csp_end_limited_stream.  Otherwise returns false and sets
    retry_after_ms.  */
-bool csp_open_limited (csp_limit_t *limit, uint32_t cost_tokens,
-                       int64_t now_ms, uint32_t *retry_after_ms);
+bool csp_admit_limited_stream (csp_limit_t *limit, uint32_t cost_tokens,
+                               int64_t now_ms, uint32_t *retry_after_ms);
 
 /* Ends a stream that was admitted with cost_tokens and has cost
    used_tokens.  */
-void csp_close_limited (csp_limit_t *limit, uint32_t cost_tokens,
-                        uint32_t used_tokens);
+void csp_end_limited_stream (csp_limit_t *limit, uint32_t cost_tokens,
+                             uint32_t used_tokens);
 
 #endif
--- a/include/cowslipspoke/link.h
+++ b/include/cowslipspoke/link.h
@@ -62,7 +62,7 @@
 
 /* Whether a byte of the request may have reached the server.  If not, closing
    the link guarantees that the request isn't run.  */
-bool csp_link_sent (const csp_link_t *link);
+bool csp_link_has_sent (const csp_link_t *link);
 
 /* Stops or resumes reading the answer; used while its consumer is slow.  */
 void csp_pause_link (csp_link_t *link, bool pause);
@@ -70,11 +70,11 @@
 /* For how many milliseconds from now the server keeps the link for a further
    request, by its Keep-Alive header or a default; 0 when the link can't be
    reused.  */
-uint32_t csp_link_usable_ms (const csp_link_t *link);
+uint32_t csp_link_reusable_ms (const csp_link_t *link);
 
 /* Watches an idle link: calls lost when the server closes it or sends bytes
    without a request.  */
-void csp_park_link (csp_link_t *link, csp_link_lost_t lost, void *state);
+void csp_watch_idle_link (csp_link_t *link, csp_link_lost_t lost, void *state);
 
 /* Closes the link at once; no callback is called after this.  */
 void csp_close_link (csp_link_t *link);
@@ -87,7 +87,7 @@
 
 /* A libuv allocation callback: returns one read buffer that all connections of
    a thread share.  */
-void csp_share_read_room (uv_handle_t *handle, size_t suggested_bytes,
-                          uv_buf_t *read_buffer);
+void csp_share_read_buffer (uv_handle_t *handle, size_t suggested_bytes,
+                            uv_buf_t *read_buffer);
 
 #endif
--- a/include/cowslipspoke/list-watch.h
+++ b/include/cowslipspoke/list-watch.h
@@ -16,28 +16,30 @@
 typedef struct
 {
   bool pending;
-  bool away; /* the last read failed */
-  int64_t next_ms;
-  int64_t asked_ms;
+  bool last_read_failed; /* the last read failed */
+  int64_t next_read_ms;
+  int64_t read_sent_ms;
   /* The time at which the list was last known to be current: when the last
      successful read was sent, not when its response was read, since a response
      may wait in the socket buffer of a paused host.  */
   int64_t confirmed_ms;
-  int64_t woke_ms; /* when this host last detected that it had been paused */
+  int64_t
+      resumed_ms; /* when this host last detected that it had been paused */
 } csp_list_watch_t;
 
 /* Whether a read should be sent now.  */
 bool csp_list_read_is_due (const csp_list_watch_t *watch, int64_t now_ms);
 
 /* Record an attempt to send a read; sent is false where sending failed.  */
-void csp_note_list_asked (csp_list_watch_t *watch, bool sent, int64_t now_ms);
+void csp_note_list_read_sent (csp_list_watch_t *watch, bool sent,
+                              int64_t now_ms);
 
 /* Record the end of a read; succeeded is true where it returned a list that
    could be parsed.  */
-void csp_note_list_read (csp_list_watch_t *watch, bool succeeded,
-                         int64_t now_ms);
+void csp_note_list_read_ended (csp_list_watch_t *watch, bool succeeded,
+                               int64_t now_ms);
 
 /* Record that this host's process was paused and has resumed.  */
-void csp_note_list_woke (csp_list_watch_t *watch, int64_t now_ms);
+void csp_note_list_host_resumed (csp_list_watch_t *watch, int64_t now_ms);
 
 #endif
--- a/include/cowslipspoke/log.h
+++ b/include/cowslipspoke/log.h
@@ -117,7 +117,7 @@
                            const csp_clock_t *clock);
 
 /* Write to a stream other than standard error, with line buffering.  */
-void csp_direct_log (csp_log_t *log, FILE *stream);
+void csp_set_log_stream (csp_log_t *log, FILE *stream);
 
 /* Free a log; NULL is allowed.  */
 void csp_destroy_log (csp_log_t *log);
--- a/include/cowslipspoke/membership.h
+++ b/include/cowslipspoke/membership.h
@@ -205,12 +205,12 @@
   bool self;
   bool listed;
   /* It has shown that it knows this host's incarnation.  */
-  bool knows_us;
+  bool knows_this_host;
   /* Since the heartbeat of the last round trip was sent; -1 if there was
      none.  */
-  int64_t confirmed_age_ms;
+  int64_t round_trip_age_ms;
   /* Since this host first heard of this incarnation.  */
-  int64_t known_ms;
+  int64_t known_age_ms;
   int64_t revision;
   uint64_t digest;
   int64_t refused_revision;
@@ -241,12 +241,12 @@
 typedef enum
 {
   CSP_MEMBER_EVENT_ALIVE,
-  CSP_MEMBER_EVENT_CUT,
+  CSP_MEMBER_EVENT_UNREACHABLE,
   CSP_MEMBER_EVENT_SILENT,
   CSP_MEMBER_EVENT_RESTARTED,
   CSP_MEMBER_EVENT_LEAVING,
   CSP_MEMBER_EVENT_REFUSED,
-  CSP_MEMBER_EVENT_WOKE_LATE,
+  CSP_MEMBER_EVENT_RESUMED,
   CSP_MEMBER_EVENT_LIST_STALE
 } csp_member_event_kind_t;
 
@@ -261,7 +261,7 @@
 
 typedef enum
 {
-  CSP_LIST_TAKEN,
+  CSP_LIST_APPLIED,
   CSP_LIST_SAME,
   CSP_LIST_STALE
 } csp_list_result_t;
@@ -311,7 +311,7 @@
 
 /* Increases whenever the hosts of this data centre that own targets change, or
    one of them restarts, leaves or becomes unreachable.  */
-uint64_t csp_view_number (const csp_membership_t *membership);
+uint64_t csp_view_version (const csp_membership_t *membership);
 
 /* The end of this host's lease: until then no peer in the view may have given
    this host's targets to another host.  It is the least, over the live peers
@@ -336,7 +336,7 @@
 int64_t csp_silent_after_ms (const csp_membership_t *membership);
 
 /* Whether a host may own targets of its data centre.  */
-bool csp_host_owns (const csp_host_view_t *view);
+bool csp_may_host_own_targets (const csp_host_view_t *view);
 
 /* The summary of another data centre; false beyond the last.  */
 bool csp_view_summary (const csp_membership_t *membership, size_t index,
@@ -344,8 +344,8 @@
 
 /* Takes the next event for the log; false if there is none.  When more than 64
    events are waiting the oldest are dropped.  */
-bool csp_take_member_event (csp_membership_t *membership,
-                            csp_member_event_t *event);
+bool csp_pop_member_event (csp_membership_t *membership,
+                           csp_member_event_t *event);
 
 /* The number of handled heartbeats and replies with a result, for metrics.  */
 uint64_t csp_heartbeat_count (const csp_membership_t *membership,
--- a/include/cowslipspoke/metrics.h
+++ b/include/cowslipspoke/metrics.h
@@ -92,16 +92,17 @@
 
 /* The time that a gap between two tokens adds to the stall time of its
    answer.  */
-int64_t csp_stall_of_gap_us (int64_t gap_us);
+int64_t csp_compute_stall_us (int64_t gap_us);
 
 /* Add to a counter.  */
-void csp_count (csp_labels_t labels, csp_counter_t counter, uint64_t count);
+void csp_add_count (csp_labels_t labels, csp_counter_t counter,
+                    uint64_t count);
 
 /* Count the end of a request by its reason (CSP_REASON_NONE for a complete
    answer) and verdict; a request that failed and was not run also counts as
    refused.  */
-void csp_count_end (csp_metrics_t *metrics, csp_labels_t labels,
-                    csp_reason_t reason, csp_verdict_t verdict);
+void csp_count_request_end (csp_metrics_t *metrics, csp_labels_t labels,
+                            csp_reason_t reason, csp_verdict_t verdict);
 
 void csp_set_gauge (csp_metrics_t *metrics, csp_gauge_t gauge, int64_t value);
 void csp_add_gauge (csp_metrics_t *metrics, csp_gauge_t gauge, int64_t delta);
--- a/include/cowslipspoke/mirror.h
+++ b/include/cowslipspoke/mirror.h
@@ -42,11 +42,11 @@
    Each may be NULL.  */
 typedef struct
 {
-  void (*changed) (void *state, const csp_mirror_item_t *item);
+  void (*item_changed) (void *state, const csp_mirror_item_t *item);
   void (*listing_ended) (void *state, const char *prefix);
   /* Called before another host's items are applied when some of its removals
      may only be due to an outage of the store.  */
-  void (*lapsing) (void *state);
+  void (*rows_may_lapse) (void *state);
 } csp_mirror_events_t;
 
 /* What a host sends about the state of its mirror, beside the items.  */
@@ -197,9 +197,9 @@
 /* All that these settings point to must outlive the feed.  */
 typedef struct
 {
-  struct sockaddr_in serve; /* port 0: the mirror isn't served */
+  struct sockaddr_in serve_address; /* port 0: the mirror isn't served */
   uint64_t link_bytes_per_s;
-  struct sockaddr_in store;
+  struct sockaddr_in store_address;
   /* The store's protocol; its take_answer puts items into the mirror.  */
   const csp_follow_source_t *store_source;
   void *store_state;
@@ -210,10 +210,10 @@
   /* Called whenever the store has confirmed that the items are current, to
      this host or through another one, with or without changes; age_ms: how
      long ago the store did.  May be NULL.  */
-  void (*heard) (void *state, uint32_t age_ms);
+  void (*confirmed_current) (void *state, uint32_t age_ms);
   /* Called when this host begins to get answers from the store, and when it
      no longer does.  May be NULL.  */
-  void (*sighted) (void *state, bool reads_store);
+  void (*store_read_changed) (void *state, bool reads_store);
   void *hosts_state;
 } csp_mirror_feed_settings_t;
 
@@ -225,9 +225,9 @@
 
 /* To be called by the store's take_answer after it has put an answer's items.
    current: the answer was up to date, which a stale list isn't.  */
-void csp_note_mirror_fed (csp_mirror_feed_t *feed, bool current);
+void csp_note_store_answer (csp_mirror_feed_t *feed, bool current);
 
 /* To be called by the store's reach_changed.  */
-void csp_note_store_reach (csp_mirror_feed_t *feed, bool unreachable);
+void csp_set_store_unreachable (csp_mirror_feed_t *feed, bool unreachable);
 
 #endif
--- a/include/cowslipspoke/once.h
+++ b/include/cowslipspoke/once.h
@@ -65,19 +65,19 @@
 
 /* Like csp_parse_once_key, but accepts any other text as well, since callers
    of the usual API choose their own keys.  Such a key has the scope all and is
-   dated CSP_UNDATED_AGE_MS before now.  If every host was replaced since the
-   first attempt, a repeat that arrives later than that runs again.  */
+   dated CSP_UNDATED_KEY_AGE_MS before now.  If every host was replaced since
+   the first attempt, a repeat that arrives later than that runs again.  */
 enum
 {
   /* Libraries repeat within seconds and people within a minute.  A longer age
      makes a fleet whose hosts all start at once refuse such keys for
      longer.  */
-  CSP_UNDATED_AGE_MS = 30000
+  CSP_UNDATED_KEY_AGE_MS = 30000
 };
 
-bool csp_read_once_key (const char *organisation, const char *text,
-                        int64_t wall_ms, csp_once_key_t *key,
-                        csp_error_t *error);
+bool csp_parse_any_once_key (const char *organisation, const char *text,
+                             int64_t wall_ms, csp_once_key_t *key,
+                             csp_error_t *error);
 
 /* Format the tokens that `GET /v1/idempotency-home` returns.  A caller appends
    "~" and a unique text to make a key.  A token is valid for retention_ms.  */
@@ -119,7 +119,7 @@
 {
   CSP_CLAIM_RECORDED,   /* new key, now recorded for this claim */
   CSP_CLAIM_SEEN,       /* another claim holds the key; see outcome */
-  CSP_CLAIM_FORGOTTEN,  /* so old that it may have expired here */
+  CSP_CLAIM_EXPIRED,    /* so old that it may have expired here */
   CSP_CLAIM_WRONG_DATE, /* dated in the future */
   CSP_CLAIM_WRONG_HOST, /* not the incarnation that the key names */
   CSP_CLAIM_FULL        /* the key store is at its capacity */
@@ -144,7 +144,7 @@
   csp_once_key_t key;
   csp_claim_id_t claim;
   csp_once_outcome_t outcome;
-} csp_outcome_tell_t;
+} csp_outcome_report_t;
 
 /* Settings, the same on all hosts.
 
@@ -181,35 +181,37 @@
 csp_once_settings_t csp_default_once_settings (void);
 
 /* The keys that a host remembers.  Not thread-safe.  */
-typedef struct csp_once_s csp_once_t;
+typedef struct csp_once_key_store_s csp_once_key_store_t;
 
 /* now_ms is the time on the host's monotonic clock at which this incarnation
    started.  */
-csp_once_t *csp_create_once (const csp_once_settings_t *settings,
-                             const csp_host_ref_t *self, int64_t now_ms);
-void csp_destroy_once (csp_once_t *store);
+csp_once_key_store_t *
+csp_create_once_key_store (const csp_once_settings_t *settings,
+                           const csp_host_ref_t *self, int64_t now_ms);
+void csp_destroy_once_key_store (csp_once_key_store_t *store);
 
 /* Restarts the delay after which this host counts as a witness.  To be called
    while heartbeat answers show that some live host of this data centre does
    not know this incarnation yet: that host may claim keys without asking this
    one.  */
-void csp_delay_witness (csp_once_t *store, int64_t now_ms);
+void csp_restart_witness_delay (csp_once_key_store_t *store, int64_t now_ms);
 
 /* Records a claim, this host's own included, and fills in the answer.  */
-void csp_claim_key (csp_once_t *store, const csp_claim_ask_t *ask,
+void csp_claim_key (csp_once_key_store_t *store, const csp_claim_ask_t *ask,
                     int64_t now_ms, int64_t wall_ms,
                     csp_claim_answer_t *answer);
 
 /* Records the outcome of a claim.  Ignored if another claim holds the key.  */
-void csp_settle_claim (csp_once_t *store, const csp_outcome_tell_t *report,
-                       int64_t now_ms, int64_t wall_ms);
+void csp_record_claim_outcome (csp_once_key_store_t *store,
+                               const csp_outcome_report_t *report,
+                               int64_t now_ms, int64_t wall_ms);
 
 /* Removes keys older than retention_ms and returns how many.  Each claim also
    removes a few.  */
-size_t csp_expire_keys (csp_once_t *store, int64_t now_ms);
+size_t csp_expire_keys (csp_once_key_store_t *store, int64_t now_ms);
 
-size_t csp_count_keys (const csp_once_t *store);
-size_t csp_measure_once_bytes (const csp_once_t *store);
+size_t csp_count_keys (const csp_once_key_store_t *store);
+size_t csp_measure_once_key_store_bytes (const csp_once_key_store_t *store);
 
 /* A host in the list that a claim uses.  */
 typedef struct
@@ -228,19 +230,19 @@
   const csp_once_peer_t *hosts;
   size_t count;
   int64_t confirmed_ms;
-  bool complete; /* this host has read a list since its start */
+  bool list_read; /* this host has read a list since its start */
 } csp_once_view_t;
 
 typedef enum
 {
   CSP_ONCE_TICK,
   CSP_ONCE_ANSWER,
-  CSP_ONCE_HOST_LOST,   /* the host is unreachable */
-  CSP_ONCE_BEFORE_SEND, /* may the first byte be sent?  Asked again for the
-                           next target if one refused before starting.  */
-  CSP_ONCE_ENDED,       /* the run ended with u.outcome */
-  CSP_ONCE_HUNG_UP,     /* the caller disconnected before a byte was sent */
-  CSP_ONCE_TOLD         /* the host acknowledged the outcome */
+  CSP_ONCE_HOST_LOST,    /* the host is unreachable */
+  CSP_ONCE_BEFORE_SEND,  /* may the first byte be sent?  Asked again for the
+                            next target if one refused before starting.  */
+  CSP_ONCE_RUN_ENDED,    /* the run ended with u.outcome */
+  CSP_ONCE_CALLER_GONE,  /* the caller disconnected before a byte was sent */
+  CSP_ONCE_OUTCOME_ACKED /* the host acknowledged the outcome */
 } csp_once_event_kind_t;
 
 /* host: the name of the host that the event concerns.  */
@@ -258,23 +260,23 @@
 typedef enum
 {
   CSP_ONCE_WAIT,
-  CSP_ONCE_ASK,     /* send the claim to hosts */
-  CSP_ONCE_RUN,     /* granted; step with BEFORE_SEND before sending */
-  CSP_ONCE_SEND,    /* send the first byte now */
-  CSP_ONCE_GIVE_UP, /* answer the caller with error; send the outcome too */
-  CSP_ONCE_TELL     /* send the outcome to hosts */
+  CSP_ONCE_SEND_CLAIM, /* send the claim to hosts */
+  CSP_ONCE_RUN,        /* granted; step with BEFORE_SEND before sending */
+  CSP_ONCE_SEND,       /* send the first byte now */
+  CSP_ONCE_GIVE_UP,    /* answer the caller with error; send the outcome too */
+  CSP_ONCE_SEND_OUTCOME /* send the outcome to hosts */
 } csp_once_action_kind_t;
 
 /* hosts: the names of the hosts to which the claim or its outcome is sent,
    owned by the round and valid until its next step.  The outcome is sent for
-   CSP_ONCE_GIVE_UP and CSP_ONCE_TELL.  */
+   CSP_ONCE_GIVE_UP and CSP_ONCE_SEND_OUTCOME.  */
 typedef struct
 {
   csp_once_action_kind_t kind;
   const char *const *hosts;
   size_t host_count;
   csp_claim_ask_t ask;
-  csp_outcome_tell_t tell;
+  csp_outcome_report_t report;
   csp_error_t error;
 } csp_once_action_t;
 
@@ -305,6 +307,6 @@
 
 /* Whether the outcome is acknowledged by all hosts or no longer resent, so
    that the round can be destroyed.  */
-bool csp_once_round_over (const csp_once_round_t *round);
+bool csp_is_once_round_over (const csp_once_round_t *round);
 
 #endif
--- a/include/cowslipspoke/order.h
+++ b/include/cowslipspoke/order.h
@@ -28,14 +28,14 @@
 
    The functions do no I/O and read no clock: the caller passes the facts and
    now_ms and gets one action back.  */
-typedef struct csp_order_engine csp_order_engine_t;
+typedef struct csp_order_tracker csp_order_tracker_t;
 
 enum
 {
   /* A report that was requested longer ago than this doesn't justify an order,
      since this process may have been paused since.  It is one and a half times
      the interval between two reads.  */
-  CSP_ORDER_FRESH_MS = 1500,
+  CSP_ORDER_REPORT_MAX_AGE_MS = 1500,
   /* How long an order that was started may be missing from the reports, which
      lag by seconds, before it counts as failed.  */
   CSP_ORDER_CONFIRM_TIMEOUT_MS = 5000,
@@ -82,11 +82,11 @@
    report is NULL and counts as the wanted one.  */
 typedef struct
 {
-  uint64_t report;
+  uint64_t sequence;
   int64_t asked_ms;
-  const csp_versioned_t *models;
+  const csp_named_version_t *models;
   size_t model_count;
-  const csp_versioned_t *adapters;
+  const csp_named_version_t *adapters;
   size_t adapter_count;
   const char *role;
   int64_t fence;
@@ -99,7 +99,7 @@
      which the wanted state last changed.  */
   int64_t revision;
   int64_t wanted_revision;
-  const csp_wanted_t *wanted; /* NULL: no orders */
+  const csp_wanted_state_t *wanted; /* NULL: no orders */
   uint32_t longest_order_ms;
   bool checks_fence;
   /* This host owns the engine and its lease is valid at now_ms.  */
@@ -151,12 +151,12 @@
 /* Events that a decision detected, for the log.  */
 enum
 {
-  CSP_ORDER_SAW_DONE = 1,
-  CSP_ORDER_SAW_FAILED = 2,
-  CSP_ORDER_SAW_GIVEN_UP = 4,
-  CSP_ORDER_SAW_HELD_BACK = 8,
-  CSP_ORDER_SAW_UNDONE = 16,
-  CSP_ORDER_SAW_RESTART = 32
+  CSP_ORDER_EVENT_DONE = 1,
+  CSP_ORDER_EVENT_FAILED = 2,
+  CSP_ORDER_EVENT_GIVEN_UP = 4,
+  CSP_ORDER_EVENT_HELD_BACK = 8,
+  CSP_ORDER_EVENT_UNDONE = 16,
+  CSP_ORDER_EVENT_RESTART = 32
 };
 
 typedef enum
@@ -208,22 +208,22 @@
 
 /* Creates the state kept for the orders of one engine; NULL when out of
    memory.  */
-csp_order_engine_t *csp_create_order_engine (void);
-void csp_destroy_order_engine (csp_order_engine_t *engine);
+csp_order_tracker_t *csp_create_order_tracker (void);
+void csp_destroy_order_tracker (csp_order_tracker_t *engine);
 
 /* Decides from a recent report.  At most one order per engine is pending:
    after a send, the next follows only when its answer was handled and a report
    showed the outcome.  */
-void csp_decide_order (csp_order_engine_t *engine,
+void csp_decide_order (csp_order_tracker_t *engine,
                        const csp_order_facts_t *facts, csp_order_pace_t *pace,
                        int64_t now_ms, csp_order_action_t *action);
 
 /* Records the answer to the order that was sent last.  */
-void csp_handle_order_answer (csp_order_engine_t *engine,
+void csp_handle_order_answer (csp_order_tracker_t *engine,
                               csp_order_answer_t answer, int64_t now_ms);
 
-void csp_describe_order (const csp_order_engine_t *engine,
-                         csp_order_status_t *status);
+void csp_get_order_status (const csp_order_tracker_t *engine,
+                           csp_order_status_t *status);
 
 /* Sets a host's share of a pool's loads_per_minute.  phase_thousandths comes
    from a hash that differs between hosts, so that a change that reaches all
--- a/include/cowslipspoke/ownership.h
+++ b/include/cowslipspoke/ownership.h
@@ -29,7 +29,7 @@
   CSP_MAX_OWNERS = 256,
   /* Open shares, up to which the owner may grant, in thousandths of the
      target's capacity.  */
-  CSP_OPEN_FULL = 1000,
+  CSP_OPEN_SHARE_FULL = 1000,
   CSP_OPEN_SHARE_INITIAL = 250,
   /* The limit while the report shows foreign load, which no reachable host
      accounts for: two owners that each keep to half of the capacity don't
@@ -53,7 +53,7 @@
      range of that load over the last CSP_REPORT_LAG_MS.  */
   CSP_AGREE_THOUSANDTHS = 100,
   CSP_REPORT_LAG_MS = 5000,
-  CSP_MAX_CARRY_TARGETS = 512,
+  CSP_MAX_LOAD_QUERY_TARGETS = 512,
   CSP_MAX_LOAD_QUERIES = 16
 };
 
@@ -65,9 +65,9 @@
   int64_t carried_tokens;
   uint32_t carried_streams;
   bool owning;
-} csp_carry_t;
+} csp_carried_load_t;
 
-/* A query to a peer for csp_carry_t of these targets (indices).  */
+/* A query to a peer for csp_carried_load_t of these targets (indices).  */
 typedef struct
 {
   char peer[CSP_HOST_NAME_BYTES];
@@ -75,13 +75,13 @@
   uint32_t timeout_ms;
   size_t count;
   const uint32_t *targets;
-} csp_carry_ask_t;
+} csp_load_query_t;
 
 typedef struct
 {
   size_t count;
-  csp_carry_ask_t items[CSP_MAX_LOAD_QUERIES];
-} csp_carry_asks_t;
+  csp_load_query_t items[CSP_MAX_LOAD_QUERIES];
+} csp_load_queries_t;
 
 typedef enum
 {
@@ -136,26 +136,27 @@
    changed.  The queries' target indices are valid until the next call.  */
 void csp_tick_ownership (csp_ownership_t *ownership,
                          const csp_membership_t *membership, int64_t now_ms,
-                         csp_carry_asks_t *queries);
+                         csp_load_queries_t *queries);
 
 /* Fill in the answer to a peer's query about one target: the load that this
    host carries there, as last set, and whether it owns the target.  An unknown
    target has no load and isn't owned.  */
-void csp_answer_carry (const csp_ownership_t *ownership, const char *name,
-                       csp_carry_t *answer);
+void csp_get_carried_load (const csp_ownership_t *ownership, const char *name,
+                           csp_carried_load_t *answer);
 
 /* Handle a peer's answer to the query with this id, with its targets in any
    order, or the loss of that answer.  */
-void csp_handle_carry (csp_ownership_t *ownership, const char *peer,
-                       uint64_t id, const csp_carry_t *answers, size_t count,
-                       int64_t now_ms);
-void csp_handle_carry_lost (csp_ownership_t *ownership, const char *peer,
-                            uint64_t id, int64_t now_ms);
+void csp_handle_load_query_answer (csp_ownership_t *ownership,
+                                   const char *peer, uint64_t id,
+                                   const csp_carried_load_t *answers,
+                                   size_t count, int64_t now_ms);
+void csp_handle_load_query_lost (csp_ownership_t *ownership, const char *peer,
+                                 uint64_t id, int64_t now_ms);
 
 /* Set the load that this host carries on a target; to be called at each change
    or at least once a second.  */
-void csp_set_carried (csp_ownership_t *ownership, uint32_t index,
-                      int64_t tokens, uint32_t streams, int64_t now_ms);
+void csp_set_carried_load (csp_ownership_t *ownership, uint32_t index,
+                           int64_t tokens, uint32_t streams, int64_t now_ms);
 
 /* Handle a new load report of the target itself, each report once.  leaving
    closes the target at once.  */
@@ -166,19 +167,19 @@
 /* Thousandths of the capacity up to which new work may be granted now; 0: no
    grant.  Checks the lease at now_ms, so that a thread that was paused since
    the last tick gets 0.  To be called immediately before a grant.  */
-uint32_t csp_find_opening (const csp_ownership_t *ownership, uint32_t index,
-                           int64_t now_ms);
+uint32_t csp_get_open_share (const csp_ownership_t *ownership, uint32_t index,
+                             int64_t now_ms);
 
 /* Tokens of memory that new work may still take on the target: the smaller
    of the open share and of what the load of others leaves of the capacity,
    less this host's own load.  0 if no grant is allowed or no report has given
    the capacity yet.  */
-int64_t csp_find_room_tokens (const csp_ownership_t *ownership, uint32_t index,
-                              int64_t now_ms);
+int64_t csp_get_free_tokens (const csp_ownership_t *ownership, uint32_t index,
+                             int64_t now_ms);
 
 /* The end of the lease that every grant needs, for snapshots that traffic
    threads read.  */
-int64_t csp_grant_until_ms (const csp_ownership_t *ownership);
+int64_t csp_get_grant_lease_until_ms (const csp_ownership_t *ownership);
 
 size_t csp_count_target_slots (const csp_ownership_t *ownership);
 /* False where the slot is unused.  */
@@ -186,8 +187,8 @@
                       csp_target_view_t *view);
 bool csp_find_target (const csp_ownership_t *ownership, const char *name,
                       uint32_t *target);
-void csp_describe_ownership (const csp_ownership_t *ownership,
-                             csp_ownership_status_t *status);
+void csp_get_ownership_status (const csp_ownership_t *ownership,
+                               csp_ownership_status_t *status);
 
 /* Increased by every change that a snapshot should show.  */
 uint64_t csp_ownership_version (const csp_ownership_t *ownership);
--- a/include/cowslipspoke/pack.h
+++ b/include/cowslipspoke/pack.h
@@ -16,16 +16,16 @@
    hosts whose other work is late whenever many targets change.  */
 
 /* The content type of compressed data.  */
-extern const char csp_packed_type[];
+extern const char csp_compressed_content_type[];
 
 /* Compress bytes and append the result to packed.  False when out of
    memory.  */
-bool csp_pack_bytes (const void *bytes, size_t size_bytes,
-                     csp_buffer_t *packed);
+bool csp_compress_bytes (const void *bytes, size_t size_bytes,
+                         csp_buffer_t *packed);
 
 /* Decompress packed and append the result to bytes.  False if the input is
    invalid, the result exceeds max_bytes, or memory runs out.  */
-bool csp_unpack_bytes (const void *packed, size_t size_bytes, size_t max_bytes,
-                       csp_buffer_t *bytes);
+bool csp_decompress_bytes (const void *packed, size_t size_bytes,
+                           size_t max_bytes, csp_buffer_t *bytes);
 
 #endif
--- a/include/cowslipspoke/page.h
+++ b/include/cowslipspoke/page.h
@@ -15,17 +15,17 @@
 typedef struct csp_page_server csp_page_server_t;
 
 /* A connection of a client.  It has at most one request at a time.  */
-typedef struct csp_page csp_page_t;
+typedef struct csp_page_connection csp_page_connection_t;
 
 typedef struct
 {
   /* Called for each request, which is answered now or later.  */
-  void (*asked) (void *state, csp_page_t *connection,
-                 const csp_http_head_t *head);
+  void (*on_request) (void *state, csp_page_connection_t *connection,
+                      const csp_http_head_t *head);
   /* Called when the connection closes before its request was answered;
      connection must not be used afterwards.  May be NULL if all requests are
      answered at once.  */
-  void (*left) (void *state, csp_page_t *connection);
+  void (*on_disconnect) (void *state, csp_page_connection_t *connection);
 } csp_page_events_t;
 
 /* Start to listen.  On failure NULL, and *fault is libuv's error code.  */
@@ -41,7 +41,8 @@
 
 /* Answer the connection's request.  The connection then waits for the next
    request, or is closed unless it is kept alive.  */
-void csp_answer_page (csp_page_t *connection, uint16_t status,
-                      const char *type, const void *body, size_t size_bytes);
+void csp_answer_page_request (csp_page_connection_t *connection,
+                              uint16_t status, const char *type,
+                              const void *body, size_t size_bytes);
 
 #endif
--- a/include/cowslipspoke/peer-choice.h
+++ b/include/cowslipspoke/peer-choice.h
@@ -31,12 +31,12 @@
   char name[CSP_HOST_NAME_BYTES];
   int64_t headroom_tokens;
   bool same_data_centre;
-} csp_peer_offer_t;
+} csp_peer_candidate_t;
 
 /* Writes the indices of at most CSP_HANDOFF_MAX_PEERS candidates in the order
    in which they are to be asked, and returns how many.  Candidates with less
    headroom than need_tokens are skipped.  */
-size_t csp_choose_peers (const csp_peer_offer_t *candidates, size_t count,
+size_t csp_choose_peers (const csp_peer_candidate_t *candidates, size_t count,
                          uint32_t need_tokens, csp_random_t *random,
                          size_t chosen[CSP_HANDOFF_MAX_PEERS]);
 
--- a/include/cowslipspoke/peer.h
+++ b/include/cowslipspoke/peer.h
@@ -52,7 +52,7 @@
   /* Grant only while the pool's load is below this, in thousandths; 0: the
      slot isn't lent, so there is no such condition.  */
   uint32_t lend_below_millis;
-} csp_peer_reserve_t;
+} csp_peer_reserve_ask_t;
 
 /* The reply to a reservation, with the address of the granted target: a sender
    in another data centre may not have it in its own target list yet.  */
@@ -61,7 +61,7 @@
   csp_reserve_answer_t answer;
   char address[CSP_ADDRESS_BYTES];
   uint16_t port;
-} csp_peer_reserved_t;
+} csp_peer_reserve_answer_t;
 
 /* Releases a slot, and reports whether the link to the named target failed, so
    that the owner avoids the target for a while.  */
@@ -69,7 +69,7 @@
 {
   csp_release_t release;
   uint64_t tokens;
-  bool failed;
+  bool link_failed;
   char target[CSP_TARGET_NAME_BYTES];
 } csp_peer_release_t;
 
@@ -90,7 +90,7 @@
     struct
     {
       size_t count;
-      csp_carry_t *carries;
+      csp_carried_load_t *carries;
     } carry_answer;
     struct
     {
@@ -102,15 +102,15 @@
       int64_t refused_revision;
       const char *fault;
     } pull_answer;
-    csp_peer_reserve_t reserve_ask;
-    csp_peer_reserved_t reserve_answer;
+    csp_peer_reserve_ask_t reserve_ask;
+    csp_peer_reserve_answer_t reserve_answer;
     csp_commit_ask_t commit_ask;
     csp_commit_answer_t commit_answer;
     csp_peer_release_t release;
     csp_holdings_t holdings;
     csp_claim_ask_t claim_ask;
     csp_claim_answer_t claim_answer;
-    csp_outcome_tell_t outcome_tell;
+    csp_outcome_report_t outcome_tell;
     struct
     {
       int64_t after;
@@ -152,7 +152,7 @@
 typedef struct csp_peer_call csp_peer_call_t;
 
 /* Called for each request received.  The callee answers it exactly once, on
-   any thread, by csp_answer_peer.  The data is valid only during the
+   any thread, by csp_reply_to_peer.  The data is valid only during the
    callback.  */
 typedef void (*csp_handle_peer_request_t) (void *state, csp_peer_call_t *call,
                                            const uint8_t *data,
@@ -172,7 +172,7 @@
   uint16_t port; /* 0: any free port */
   const char *deployment;
   const csp_tls_settings_t *tls;
-  csp_handle_peer_request_t take;
+  csp_handle_peer_request_t on_request;
   void *state;
 } csp_peers_settings_t;
 
@@ -189,14 +189,15 @@
 
 /* Send a request to a peer.  on_reply is called once, possibly on another
    thread.  */
-void csp_ask_peer (csp_peers_t *peers, const char *address, uint16_t port,
-                   const uint8_t *data, size_t size_bytes, uint32_t timeout_ms,
-                   csp_handle_peer_reply_t on_reply, void *state);
+void csp_send_peer_request (csp_peers_t *peers, const char *address,
+                            uint16_t port, const uint8_t *data,
+                            size_t size_bytes, uint32_t timeout_ms,
+                            csp_handle_peer_reply_t on_reply, void *state);
 
 /* Send the reply to a request.  With size_bytes 0 no reply is sent, and the
    sender times out.  */
-void csp_answer_peer (csp_peer_call_t *call, const uint8_t *data,
-                      size_t size_bytes);
+void csp_reply_to_peer (csp_peer_call_t *call, const uint8_t *data,
+                        size_t size_bytes);
 
 /* Payload bytes sent and received so far, to check control traffic against
    its budget.  */
--- a/include/cowslipspoke/placement.h
+++ b/include/cowslipspoke/placement.h
@@ -38,7 +38,7 @@
   /* Estimated tokens of the prompt that are in its cache.  */
   uint32_t cached_tokens;
   /* Share of its memory that may be used, by its health and slow start.  */
-  double open;
+  double usable_share;
   /* Its gap between tokens relative to its peers; 1 if as fast.  */
   double slowness;
 } csp_candidate_t;
@@ -52,9 +52,9 @@
                         uint32_t *chosen);
 
 /* Whether a request of a borrowing organisation, one above its share, may be
-   admitted: kept_tokens (csp_queue_kept_tokens) must stay free in addition to
-   its cost.  The sum over all candidates counts, as a request of a returning
-   organisation needs memory on one target and not some on each.  */
+   admitted: kept_tokens (csp_queue_lending_reserve_tokens) must stay free in
+   addition to its cost.  The sum over all candidates counts, as a request of a
+   returning organisation needs memory on one target and not some on each.  */
 bool csp_may_borrow (const csp_candidate_t *candidates, uint32_t count,
                      uint64_t kept_tokens, uint32_t cost_tokens,
                      int64_t now_ms);
--- a/include/cowslipspoke/preemption.h
+++ b/include/cowslipspoke/preemption.h
@@ -38,7 +38,7 @@
 
 /* Priority that the engine is given: the stream's own, plus one for each time
    that it was taken back, at most 9.  */
-uint8_t csp_engine_priority (const csp_stream_t *stream);
+uint8_t csp_compute_engine_priority (const csp_stream_t *stream);
 
 /* Memory, in tokens, by which the target is expected to overrun within
    ahead_tokens; 0 if it isn't.  */
--- a/include/cowslipspoke/quarantine.h
+++ b/include/cowslipspoke/quarantine.h
@@ -42,16 +42,17 @@
   uint64_t targets[CSP_STRIKES_MAX]; /* hashes of the target incarnations that
                                         ended */
   uint32_t age_ms;                   /* time since the last strike */
-  uint32_t trials; /* expired holds that were followed by a strike */
+  uint32_t failed_trials; /* expired holds that were followed by a strike */
 } csp_suspect_t;
 
 /* The effect of a strike or of another host's report.  */
 typedef enum
 {
-  CSP_SUSPECT_AS_BEFORE,
-  CSP_SUSPECT_STRUCK,
-  CSP_SUSPECT_QUARANTINED, /* it reached the last strike just now */
-  CSP_SUSPECT_SOUND        /* it was served recently: no strike is counted */
+  CSP_SUSPECT_UNCHANGED,
+  CSP_SUSPECT_STRIKE_ADDED,
+  CSP_SUSPECT_QUARANTINED,    /* it reached the last strike just now */
+  CSP_SUSPECT_RECENTLY_SERVED /* it was served recently: no strike is counted
+                               */
 } csp_suspect_change_t;
 
 typedef struct csp_quarantine csp_quarantine_t;
@@ -61,9 +62,9 @@
 void csp_destroy_quarantine (csp_quarantine_t *quarantine);
 
 /* Records that the target ended while it was running the request.  */
-csp_suspect_change_t csp_strike_request (csp_quarantine_t *quarantine,
-                                         uint64_t request, uint64_t target,
-                                         int64_t now_ms);
+csp_suspect_change_t csp_add_request_strike (csp_quarantine_t *quarantine,
+                                             uint64_t request, uint64_t target,
+                                             int64_t now_ms);
 
 /* Merges another host's report into this host's strikes.  */
 csp_suspect_change_t csp_merge_suspect (csp_quarantine_t *quarantine,
@@ -82,16 +83,16 @@
 
 /* Lists the suspects of this host that have to be broadcast now, and counts
    one broadcast for each of them.  */
-size_t csp_list_fresh_suspects (csp_quarantine_t *quarantine,
-                                csp_suspect_t *suspects, size_t capacity,
-                                int64_t now_ms);
+size_t csp_take_suspects_to_broadcast (csp_quarantine_t *quarantine,
+                                       csp_suspect_t *suspects,
+                                       size_t capacity, int64_t now_ms);
 
 /* Lists suspects to include in a greeting, round robin: quarantined ones
    first, then those with several strikes and those with a recent one, whose
    broadcast may have been lost.  */
-size_t csp_name_suspects (csp_quarantine_t *quarantine,
-                          csp_suspect_t *suspects, size_t capacity,
-                          int64_t now_ms);
+size_t csp_list_suspects_for_greeting (csp_quarantine_t *quarantine,
+                                       csp_suspect_t *suspects,
+                                       size_t capacity, int64_t now_ms);
 
 /* Drops old strikes and holds that expired long ago.  Call it
    periodically.  */
--- a/include/cowslipspoke/queue.h
+++ b/include/cowslipspoke/queue.h
@@ -25,8 +25,8 @@
    ones.
 
    Unused shares are lent.  An organisation that has more in flight than its
-   share is *borrowing*; it must leave lend_keep of the memory free, so that
-   others find memory at once when they need their share again.  */
+   share is *borrowing*; it must leave lending_reserve of the memory free, so
+   that others find memory at once when they need their share again.  */
 typedef struct csp_queue csp_queue_t;
 
 /* Parameters of the queue.  docs/DECISIONS.md has the measurements.
@@ -34,8 +34,8 @@
    quantum_tokens: credit that weight 1 earns in a round; near the mean cost,
    so that a round serves each organisation about once.
 
-   max_waiting, max_waiting_each: maximum number of waiting requests, in all
-   and of one organisation.
+   max_waiting, max_waiting_per_organisation: maximum number of waiting
+   requests, in all and of one organisation.
 
    max_wait_ms: maximum wait when the caller states no deadline.
 
@@ -44,11 +44,11 @@
    the largest organisation's scores expired at load 0.9, and with first come,
    first served 14 in 100 of its lookups.
 
-   lend_keep: share of memory that borrowers must leave free.  At load 1.5 on
-   12 engines and 8 hosts the small organisations' p99 wait is 14 s with 0, 2.0
-   s with 0.07 and 0.04 s with 0.1, at 3,037, 2,971 and 2,922 useful tokens a
-   second; with one host 0.07 leaves almost no wait, and 0.1 costs 3 in 100 of
-   the throughput.
+   lending_reserve: share of memory that borrowers must leave free.  At
+   load 1.5 on 12 engines and 8 hosts the small organisations' p99 wait is 14 s
+   with 0, 2.0 s with 0.07 and 0.04 s with 0.1, at 3,037, 2,971 and 2,922
+   useful tokens a second; with one host 0.07 leaves almost no wait, and 0.1
+   costs 3 in 100 of the throughput.
 
    rate_half_life_ms: half-life of the moving average of the service rate.
 
@@ -72,10 +72,10 @@
 {
   uint32_t quantum_tokens;
   uint32_t max_waiting;
-  uint32_t max_waiting_each;
+  uint32_t max_waiting_per_organisation;
   uint32_t max_wait_ms;
   uint32_t priority_step_ms;
-  double lend_keep;
+  double lending_reserve;
   uint32_t rate_half_life_ms;
   uint32_t blocking_after_ms;
   uint32_t max_skips_per_pump;
@@ -97,7 +97,7 @@
   int64_t start_by_ms;
   int64_t arrived_ms;
   uint8_t priority;
-} csp_waiting_t;
+} csp_waiting_request_t;
 
 csp_queue_t *csp_create_queue (const csp_queue_policy_t *policy);
 void csp_destroy_queue (csp_queue_t *queue);
@@ -122,20 +122,21 @@
    and the organisation waits up to 10 s at p99 at load 1.5 though it uses half
    its share of the pool.  Only organisations with more in flight at this host
    than their part need to be reported to others.  */
-void csp_set_shared_memory (csp_queue_t *queue, uint64_t memory_tokens);
-void csp_set_flight_elsewhere (csp_queue_t *queue, uint32_t organisation,
-                               uint64_t tokens);
+void csp_set_pool_memory (csp_queue_t *queue, uint64_t memory_tokens);
+void csp_set_in_flight_elsewhere (csp_queue_t *queue, uint32_t organisation,
+                                  uint64_t tokens);
 
 /* Queues a request.  Returns false when it is refused at once: the queue is
    full (QUEUE_FULL), or the request can't start in time at the measured rate
    (DEADLINE).  The error has the time after which to retry and the verdict
    NOT_RUN.  */
-bool csp_push_waiting (csp_queue_t *queue, const csp_waiting_t *waiting,
-                       int64_t now_ms, csp_error_t *error);
+bool csp_push_waiting (csp_queue_t *queue,
+                       const csp_waiting_request_t *waiting, int64_t now_ms,
+                       csp_error_t *error);
 
 /* Predicts this request's wait from the measured rate.  */
 uint32_t csp_predict_wait_ms (const csp_queue_t *queue,
-                              const csp_waiting_t *waiting);
+                              const csp_waiting_request_t *waiting);
 
 /* Functions of the loop that serves the queue when a request has arrived or
    memory has become free:
@@ -151,7 +152,7 @@
    csp_take_waiting removes it and charges its cost.  csp_skip_waiting skips
    its organisation until the next pump.  */
 void csp_begin_pump (csp_queue_t *queue, int64_t now_ms);
-bool csp_next_waiting (csp_queue_t *queue, csp_waiting_t *waiting,
+bool csp_next_waiting (csp_queue_t *queue, csp_waiting_request_t *waiting,
                        bool *borrowing);
 void csp_take_waiting (csp_queue_t *queue, int64_t now_ms);
 void csp_skip_waiting (csp_queue_t *queue);
@@ -175,17 +176,18 @@
    be met; to be called until it returns false, a few times a second.  The
    error has the verdict NOT_RUN, and the request must be answered at once.  */
 bool csp_expire_waiting (csp_queue_t *queue, int64_t now_ms,
-                         csp_waiting_t *waiting, csp_error_t *error);
+                         csp_waiting_request_t *waiting, csp_error_t *error);
 
 /* Memory, in tokens, that borrowers must leave free in the whole pool.  */
-uint64_t csp_queue_kept_tokens (const csp_queue_t *queue);
+uint64_t csp_queue_lending_reserve_tokens (const csp_queue_t *queue);
 
 /* Number of waiting requests, of all and of one organisation, and an
    organisation's tokens in flight.  */
 uint32_t csp_queue_length (const csp_queue_t *queue);
-uint32_t csp_queue_length_of (const csp_queue_t *queue, uint32_t organisation);
-uint64_t csp_queue_flight_tokens (const csp_queue_t *queue,
-                                  uint32_t organisation);
+uint32_t csp_organisation_queue_length (const csp_queue_t *queue,
+                                        uint32_t organisation);
+uint64_t csp_queue_in_flight_tokens (const csp_queue_t *queue,
+                                     uint32_t organisation);
 
 /* Service rate in cost tokens per second while requests were waiting; 0 when
    not yet known.  */
--- a/include/cowslipspoke/reach.h
+++ b/include/cowslipspoke/reach.h
@@ -30,12 +30,12 @@
 void csp_destroy_reach (csp_reach_t *reach);
 
 /* Records that a target there sent bytes of an answer.  */
-void csp_note_answer_from (csp_reach_t *reach, uint32_t data_centre,
-                           int64_t now_ms);
+void csp_note_target_answer_from (csp_reach_t *reach, uint32_t data_centre,
+                                  int64_t now_ms);
 
 /* Records that a message from a host there was received.  */
-void csp_note_host_heard (csp_reach_t *reach, uint32_t data_centre,
-                          int64_t now_ms);
+void csp_note_host_message_from (csp_reach_t *reach, uint32_t data_centre,
+                                 int64_t now_ms);
 
 /* Sets the period in which each host greets some host of every other data
    centre.  */
@@ -48,8 +48,8 @@
 
 /* Whether the data centre is reachable, so that requests that aren't
    idempotent can be sent there.  */
-bool csp_is_reached (const csp_reach_t *reach, uint32_t data_centre,
-                     int64_t now_ms);
+bool csp_is_reachable (const csp_reach_t *reach, uint32_t data_centre,
+                       int64_t now_ms);
 
 /* Whether reachability has changed since the last call for this data
    centre.  */
@@ -58,7 +58,7 @@
 
 /* Whether a probe is due to a target of this unreachable data centre.  If so,
    the probe counts as sent.  */
-bool csp_take_reach_question (csp_reach_t *reach, uint32_t data_centre,
-                              int64_t now_ms);
+bool csp_take_reach_probe (csp_reach_t *reach, uint32_t data_centre,
+                           int64_t now_ms);
 
 #endif
--- a/include/cowslipspoke/recovery.h
+++ b/include/cowslipspoke/recovery.h
@@ -42,7 +42,7 @@
 
 /* Whether an end indicates a failure of the target rather than of the request
    or the caller.  */
-bool csp_link_failed (csp_link_end_t end);
+bool csp_is_target_failure (csp_link_end_t end);
 
 /* State of one request at one target.  */
 typedef struct
@@ -55,11 +55,11 @@
   int64_t idle_ms;       /* time since the last token, or since the start */
 } csp_attempt_t;
 
-/* Records how a link ended.  byte_left: a byte that could start work may have
-   been sent on it.  may_have_started stays as it was when the end guarantees
-   that the target started nothing.  */
-void csp_note_link_end (csp_attempt_t *attempt, csp_link_end_t end,
-                        bool byte_left, uint64_t delivered);
+/* Records how a link ended.  may_have_been_sent: a byte that could start work
+   may have been sent on it.  may_have_started stays as it was when the end
+   guarantees that the target started nothing.  */
+void csp_record_link_end (csp_attempt_t *attempt, csp_link_end_t end,
+                          bool may_have_been_sent, uint64_t delivered);
 
 /* Parameters of the decision.
 
@@ -79,10 +79,10 @@
 
 typedef enum
 {
-  CSP_RECOVER_DONE,      /* the answer is complete */
-  CSP_RECOVER_RESUME,    /* the same generation at the same target */
-  CSP_RECOVER_ELSEWHERE, /* a new generation at another target */
-  CSP_RECOVER_GIVE_UP    /* end with the error, cancel at the target */
+  CSP_RECOVER_DONE,            /* the answer is complete */
+  CSP_RECOVER_RESUME,          /* the same generation at the same target */
+  CSP_RECOVER_RETRY_ELSEWHERE, /* a new generation at another target */
+  CSP_RECOVER_GIVE_UP          /* end with the error, cancel at the target */
 } csp_recovery_kind_t;
 
 typedef struct
@@ -90,8 +90,9 @@
   csp_recovery_kind_t kind;
   uint32_t pause_ms; /* before a resume */
   bool cancel;       /* the target may still be running it: send a cancel */
-  csp_error_t error; /* for CSP_RECOVER_GIVE_UP, and for CSP_RECOVER_ELSEWHERE
-                        when no other target or no retry budget is left  */
+  csp_error_t
+      error; /* for CSP_RECOVER_GIVE_UP, and for CSP_RECOVER_RETRY_ELSEWHERE
+                when no other target or no retry budget is left  */
 } csp_recovery_t;
 
 /* Decides on the next step.  The result depends only on the arguments.  */
--- a/include/cowslipspoke/request.h
+++ b/include/cowslipspoke/request.h
@@ -33,7 +33,7 @@
   const char *attempt;
   const char *deadline_ms;
   const char *class_name;
-} csp_request_marks_t;
+} csp_request_header_fields_t;
 
 /* The options from the header fields of a request, parsed and validated.  A
    missing field leaves an empty string, 0 or false.  */
@@ -44,12 +44,13 @@
   bool non_idempotent;
   uint32_t attempt;
   uint32_t deadline_ms;
-} csp_marks_t;
+} csp_request_options_t;
 
 /* Parses the header fields.  Returns 0, or -1 with an error that names the
    invalid field.  */
-int csp_read_marks (const csp_request_marks_t *fields, csp_marks_t *options,
-                    csp_error_t *error);
+int csp_parse_request_headers (const csp_request_header_fields_t *fields,
+                               csp_request_options_t *options,
+                               csp_error_t *error);
 
 /* Parses a request body.  Returns NULL with an error that says what is wrong
    with the body.  */
@@ -63,7 +64,7 @@
    belongs to the request.  */
 csp_api_t csp_request_api (const csp_request_t *request);
 const char *csp_request_model (const csp_request_t *request);
-bool csp_request_streams (const csp_request_t *request);
+bool csp_request_wants_stream (const csp_request_t *request);
 
 /* Returns the number of prompt tokens, estimated from its size in bytes.  */
 uint32_t csp_request_prompt_tokens (const csp_request_t *request);
@@ -71,8 +72,8 @@
 /* Hashes the beginning of the prompt, for placement on an engine that has it
    in its prefix cache.  Returns a hash other than 0 and the prefix's
    approximate number of tokens; 0 and 0 where the prompt is too short.  */
-void csp_request_prefix (const csp_request_t *request, uint64_t *hash,
-                         uint32_t *tokens);
+void csp_hash_request_prefix (const csp_request_t *request, uint64_t *hash,
+                              uint32_t *tokens);
 
 /* Returns the caller's max_tokens; 0 where there is none.  */
 uint32_t csp_request_max_tokens (const csp_request_t *request);
@@ -81,7 +82,7 @@
    streaming on, and max_tokens where it is not 0.  The text belongs to the
    request and is valid until the next call.  Returns NULL when out of
    memory.  */
-const char *csp_request_engine_body (csp_request_t *request, const char *model,
-                                     uint32_t max_tokens);
+const char *csp_build_engine_body (csp_request_t *request, const char *model,
+                                   uint32_t max_tokens);
 
 #endif
--- a/include/cowslipspoke/retry-lease.h
+++ b/include/cowslipspoke/retry-lease.h
@@ -36,9 +36,9 @@
 
 typedef struct
 {
-  uint32_t extra;     /* limit of the whole fleet in any window */
-  uint32_t window_ms; /* length of the operators' window */
-  uint32_t lease_ms;  /* lifetime of a grant; 0: CSP_LEASE_MS */
+  uint32_t max_per_window; /* limit of the whole fleet in any window */
+  uint32_t window_ms;      /* length of the operators' window */
+  uint32_t lease_ms;       /* lifetime of a grant; 0: CSP_LEASE_MS */
 } csp_lease_policy_t;
 
 /* The pool of one service; a plain value.  */
@@ -56,17 +56,17 @@
 {
   size_t hosts_asking; /* hosts that ask this host, itself included */
   size_t hosts_known;  /* all known hosts, dead or alive, itself included */
-  size_t data_centres_heard;
+  size_t data_centres_live;
   size_t data_centres_listed; /* that have targets */
 } csp_lease_facts_t;
 
-void csp_open_lease_pool (csp_lease_pool_t *pool,
+void csp_init_lease_pool (csp_lease_pool_t *pool,
                           const csp_lease_policy_t *policy, int64_t now_ms);
 
 /* Sets whether this host is the decider.  Call it whenever that may have
    changed, and before each grant.  */
-void csp_note_lease_duty (csp_lease_pool_t *pool, bool decides,
-                          int64_t now_ms);
+void csp_set_lease_decider (csp_lease_pool_t *pool, bool decides,
+                            int64_t now_ms);
 
 /* Returns how many leases could be granted now.  */
 uint32_t csp_count_grantable (csp_lease_pool_t *pool,
@@ -80,6 +80,7 @@
 
 /* Returns how many granted leases still count, as they could have been used
    within the current window.  */
-uint32_t csp_count_leased (const csp_lease_pool_t *pool, int64_t now_ms);
+uint32_t csp_count_outstanding_leases (const csp_lease_pool_t *pool,
+                                       int64_t now_ms);
 
 #endif
--- a/include/cowslipspoke/retry.h
+++ b/include/cowslipspoke/retry.h
@@ -24,7 +24,7 @@
 
 /* retry_share: 0.1 adds a tenth of load at worst, and fully covers the loss of
    one engine of twelve (8 per cent of requests).
-   retry_most: capacity of the bucket; at 27 requests a second a host saves up
+   retry_max: capacity of the bucket; at 27 requests a second a host saves up
    20 retries in 7 s.
    retry_start: initial content of the bucket.  With 0, the first caller of a
    restarted host whose request reaches a dead engine gets an error.  Ten on
@@ -35,7 +35,7 @@
 typedef struct
 {
   double retry_share;
-  double retry_most;
+  double retry_max;
   double retry_start;
   double hedge_share;
   double hedge_max;
@@ -59,7 +59,7 @@
   uint64_t denied;
 } csp_retry_budget_t;
 
-void csp_open_retry_budget (csp_retry_budget_t *budget,
+void csp_init_retry_budget (csp_retry_budget_t *budget,
                             const csp_retry_policy_t *policy);
 
 /* Records that a first attempt was sent, which adds to the budget.  */
@@ -73,8 +73,9 @@
 /* State of a request that could be sent again.  idempotent: it is marked so,
    or has an idempotency key with which targets run it only once.  tokens_sent:
    the caller has received a part of the answer.  verdict: of the last attempt.
-   left_ms: until its deadline.  needs_ms: usual time to first token.  waiting:
-   queued requests.  load: share of the targets' memory that is used.  */
+   left_ms: until its deadline.  usual_first_token_ms: usual time to first
+   token.  waiting: queued requests.  load: share of the targets' memory that
+   is used.  */
 typedef struct
 {
   bool idempotent;
@@ -82,7 +83,7 @@
   csp_verdict_t verdict;
   uint32_t attempts;
   int64_t left_ms;
-  int64_t needs_ms;
+  int64_t usual_first_token_ms;
   uint32_t waiting;
   double load;
   int64_t now_ms; /* needed only with leases */
@@ -91,25 +92,25 @@
 /* The decision on a second attempt, or the reason for refusing it.  */
 typedef enum
 {
-  CSP_RETRY_YES,
+  CSP_RETRY_ALLOWED,
   CSP_RETRY_TOKENS_SENT,
   CSP_RETRY_MAY_HAVE_RUN,
-  CSP_RETRY_ATTEMPTS,
+  CSP_RETRY_ATTEMPTS_USED_UP,
   CSP_RETRY_DEADLINE,
-  CSP_RETRY_BUDGET,
+  CSP_RETRY_BUDGET_USED_UP,
   CSP_RETRY_BUSY
-} csp_retry_t;
+} csp_retry_decision_t;
 
-/* Decides whether to retry a failed request; CSP_RETRY_YES takes a retry from
-   the budget.  A request that didn't run, by its verdict, may be retried even
-   if it isn't idempotent; that also takes from the budget.  */
-csp_retry_t csp_decide_retry (csp_retry_budget_t *budget,
-                              const csp_retry_facts_t *facts);
+/* Decides whether to retry a failed request; CSP_RETRY_ALLOWED takes a retry
+   from the budget.  A request that didn't run, by its verdict, may be retried
+   even if it isn't idempotent; that also takes from the budget.  */
+csp_retry_decision_t csp_decide_retry (csp_retry_budget_t *budget,
+                                       const csp_retry_facts_t *facts);
 
 /* Decides whether to hedge a first attempt that is late.  Never if the request
    isn't idempotent, the caller has received a token, requests are queued, or
    the targets' memory is used to more than hedge_load.  */
-csp_retry_t csp_decide_hedge (csp_retry_budget_t *budget,
-                              const csp_retry_facts_t *facts);
+csp_retry_decision_t csp_decide_hedge (csp_retry_budget_t *budget,
+                                       const csp_retry_facts_t *facts);
 
 #endif
--- a/include/cowslipspoke/roster.h
+++ b/include/cowslipspoke/roster.h
@@ -48,11 +48,11 @@
   CSP_DECIDERS_MAX = 3,
   /* Hosts of one data centre, and of the fleet, that may read the platform for
      others, best first.  */
-  CSP_READERS_NEAR_MAX = 4,
+  CSP_LOCAL_READERS_MAX = 4,
   /* If the store refuses this many hosts and no host is known to read it, it
      counts as down for all.  */
   CSP_OUTAGE_HOSTS = 6,
-  CSP_READERS_FLEET_MAX = 3
+  CSP_FLEET_READERS_MAX = 3
 };
 
 enum
@@ -67,37 +67,37 @@
 } csp_peer_address_t;
 
 bool csp_is_same_peer (csp_peer_address_t a, csp_peer_address_t b);
-csp_peer_address_t csp_peer_of_socket (const struct sockaddr_in *address);
-struct sockaddr_in csp_socket_of_peer (csp_peer_address_t peer);
+csp_peer_address_t csp_peer_from_sockaddr (const struct sockaddr_in *address);
+struct sockaddr_in csp_sockaddr_from_peer (csp_peer_address_t peer);
 
 /* Packs address and port into one number; 0 is none.  */
 uint64_t csp_pack_peer (csp_peer_address_t peer);
 
 /* Formats address and port for logs.  */
-void csp_print_peer (csp_peer_address_t peer, char text[CSP_PEER_TEXT_BYTES]);
+void csp_format_peer (csp_peer_address_t peer, char text[CSP_PEER_TEXT_BYTES]);
 
 /* A pseudo-random rank of a host on which all hosts agree; another salt gives
    another order.  */
-uint64_t csp_order_peer (csp_peer_address_t peer, uint64_t salt);
+uint64_t csp_hash_peer_rank (csp_peer_address_t peer, uint64_t salt);
 
 /* What gossip says about a host.  */
 typedef struct
 {
   csp_peer_address_t address;
   uint32_t data_centre; /* hash of its name */
-  uint32_t capacity;    /* see csp_set_roster_self */
+  uint32_t capacity;    /* see csp_set_roster_local_info */
   uint32_t age_ms;      /* since its last report, direct or through others */
   uint32_t up_ms;       /* time since its start at that report, at most
-                           CSP_UP_TOLD_MAX_MS */
+                           CSP_UP_REPORTED_MAX_MS */
   bool leaving;
-  bool blind;
-  bool sighted;
+  bool platform_unreachable;
+  bool platform_read;
 } csp_known_host_t;
 
 enum
 {
   /* From this uptime on all hosts count as equally old.  */
-  CSP_UP_TOLD_MAX_MS = 10000
+  CSP_UP_REPORTED_MAX_MS = 10000
 };
 
 /* The load that one host has under way at one target.  */
@@ -107,7 +107,7 @@
   uint32_t requests;
   uint32_t tokens;
   uint32_t backup_tokens;
-  uint32_t reading_tokens; /* of prompts without a first token yet */
+  uint32_t prefill_tokens; /* of prompts without a first token yet */
   uint32_t movable_tokens; /* of streams that must move if the target leaves */
 } csp_peer_load_t;
 
@@ -124,7 +124,7 @@
   uint64_t moves_from; /* hash of a moving stream's target; 0: none */
   uint64_t refused_at; /* hash of a target that refused it for lack of
                           capacity; 0: none */
-  uint32_t left_ms;    /* estimated remaining time of its output */
+  uint32_t expected_remaining_ms; /* estimated remaining time of its output */
   size_t backoff_count;
   uint64_t backoffs[CSP_ASK_BACKOFFS_MAX]; /* hashes of targets that are backed
                                               off for its host */
@@ -162,20 +162,20 @@
 /* A hello: one datagram.  */
 typedef struct
 {
-  uint64_t boot;     /* identifies one start of the sender */
-  uint64_t sequence; /* increases with each datagram of a boot */
-  bool whole;        /* a full report: loads that aren't listed are 0 */
+  uint64_t boot;       /* identifies one start of the sender */
+  uint64_t sequence;   /* increases with each datagram of a boot */
+  bool is_full_report; /* a full report: loads that aren't listed are 0 */
   bool leaving;
-  bool blind;           /* the sender can't reach the platform */
-  bool sighted;         /* the sender reads the platform successfully */
-  bool wants_answer;    /* requests a hello in reply, which requests none */
+  bool platform_unreachable; /* the sender can't reach the platform */
+  bool platform_read;        /* the sender reads the platform successfully */
+  bool reply_requested; /* requests a hello in reply, which requests none */
   uint32_t data_centre; /* hash of its name */
   uint32_t capacity;
   uint32_t up_ms;
   size_t load_count;
   csp_peer_load_t loads[CSP_HELLO_LOADS_MAX];
   size_t known_count;
-  csp_known_host_t known[CSP_HELLO_KNOWN_MAX];
+  csp_known_host_t known_hosts[CSP_HELLO_KNOWN_MAX];
   size_t ask_count;
   csp_hello_ask_t asks[CSP_HELLO_ASKS_MAX];
   size_t answer_count;
@@ -184,13 +184,13 @@
   uint64_t cancels[CSP_HELLO_ASKS_MAX];
   uint64_t decider; /* the host that the sender asks, see csp_pack_peer; 0:
                        unspecified */
-  size_t want_count;
-  csp_hello_lease_t wants[CSP_HELLO_LEASES_MAX];
+  size_t lease_request_count;
+  csp_hello_lease_t lease_requests[CSP_HELLO_LEASES_MAX];
   size_t lease_count;
   csp_hello_lease_t leases[CSP_HELLO_LEASES_MAX];
   size_t left_count;
-  uint64_t left[CSP_HELLO_LEFT_MAX]; /* hashes of targets that announced that
-                                        they leave */
+  uint64_t leaving_targets[CSP_HELLO_LEFT_MAX]; /* hashes of targets that
+                                        announced that they leave */
   size_t suspect_count;
   csp_suspect_t suspects[CSP_HELLO_SUSPECTS_MAX];
   size_t cleared_count;
@@ -214,27 +214,28 @@
 
 /* Sets what this host reports about itself.  capacity: what its processor and
    its link can carry, in thousandths of a core; 0: unknown.  */
-void csp_set_roster_self (csp_roster_t *roster, uint32_t capacity,
-                          int64_t started_ms);
+void csp_set_roster_local_info (csp_roster_t *roster, uint32_t capacity,
+                                int64_t started_ms);
 
 /* Sets whether this host is stopping, can't reach the platform, or reads it
    successfully.  */
 void csp_set_roster_leaving (csp_roster_t *roster);
-void csp_set_roster_blind (csp_roster_t *roster, bool unreachable);
-void csp_set_roster_sighted (csp_roster_t *roster, bool reads);
+void csp_set_roster_platform_unreachable (csp_roster_t *roster,
+                                          bool unreachable);
+void csp_set_roster_platform_read (csp_roster_t *roster, bool reads);
 
 /* Fills in the fields of a hello that describe this host.  */
-void csp_describe_self (const csp_roster_t *roster, csp_hello_t *hello,
-                        int64_t now_ms);
+void csp_fill_own_hello (const csp_roster_t *roster, csp_hello_t *hello,
+                         int64_t now_ms);
 
 /* Adds an address; the host becomes live when a datagram or gossip about it
    arrives.  */
-void csp_learn_peer (csp_roster_t *roster, csp_peer_address_t address);
+void csp_add_peer_address (csp_roster_t *roster, csp_peer_address_t address);
 
 /* Handles a received hello.  False if it is from this host itself, out of
    order, or of a replaced boot.  */
-bool csp_hear_peer (csp_roster_t *roster, csp_peer_address_t from,
-                    const csp_hello_t *hello, int64_t now_ms);
+bool csp_receive_hello (csp_roster_t *roster, csp_peer_address_t from,
+                        const csp_hello_t *hello, int64_t now_ms);
 
 /* Expires silent hosts and their loads.  True if the loads changed.  Call it a
    few times a second: the functions below use the state of the last call.  */
@@ -243,18 +244,19 @@
 /* The number of hosts that use this one as decider; of all known hosts, live
    or not; and of data centres with hosts that are reported to live.  Each
    includes this host or its own data centre.  */
-size_t csp_count_askers (const csp_roster_t *roster);
+size_t csp_count_asking_hosts (const csp_roster_t *roster);
 size_t csp_count_known_hosts (const csp_roster_t *roster);
-size_t csp_count_heard_data_centres (const csp_roster_t *roster);
+size_t csp_count_reachable_data_centres (const csp_roster_t *roster);
 
 /* Chooses the hosts that get a hello now: a random one of each other data
    centre and of this one when those are due, and addresses that never
    answered.  Returns how many were written; each is recorded as sent.  */
-size_t csp_list_due_peers (csp_roster_t *roster, int64_t now_ms,
-                           csp_peer_address_t *addresses, size_t max_count);
+size_t csp_choose_hello_targets (csp_roster_t *roster, int64_t now_ms,
+                                 csp_peer_address_t *addresses,
+                                 size_t max_count);
 
 /* How often a host of each other data centre gets a hello, in ms.  */
-uint32_t csp_greeting_period_ms (const csp_roster_t *roster);
+uint32_t csp_remote_hello_period_ms (const csp_roster_t *roster);
 
 /* All live hosts, known directly or through others.  */
 size_t csp_list_live_peers (const csp_roster_t *roster,
@@ -262,14 +264,14 @@
 size_t csp_count_live_peers (const csp_roster_t *roster);
 
 /* Some random live hosts.  */
-size_t csp_draw_peers (csp_roster_t *roster, csp_peer_address_t *addresses,
-                       size_t max_count);
+size_t csp_sample_live_peers (csp_roster_t *roster,
+                              csp_peer_address_t *addresses, size_t max_count);
 
 /* Chooses the hosts to name in a hello: those that rank first for each duty,
    and random others.  Returns how many were written.  */
-size_t csp_name_known_hosts (csp_roster_t *roster, csp_peer_address_t to,
-                             csp_known_host_t *hosts, size_t max_count,
-                             int64_t now_ms);
+size_t csp_choose_known_hosts (csp_roster_t *roster, csp_peer_address_t to,
+                               csp_known_host_t *hosts, size_t max_count,
+                               int64_t now_ms);
 
 /* Returns the host that decides on placements for all hosts.  Hosts with more
    capacity come first, as each ask and each change of load goes to the
@@ -295,12 +297,12 @@
 typedef struct
 {
   csp_peer_address_t self;
-  size_t near_count;
-  csp_peer_address_t near[CSP_READERS_NEAR_MAX];
-  size_t fleet_count;
-  csp_peer_address_t fleet[CSP_READERS_FLEET_MAX];
-  size_t hosts;       /* live ones, including this host */
-  size_t blind_hosts; /* those of them that can't reach the platform */
+  size_t local_reader_count;
+  csp_peer_address_t local_readers[CSP_LOCAL_READERS_MAX];
+  size_t fleet_reader_count;
+  csp_peer_address_t fleet_readers[CSP_FLEET_READERS_MAX];
+  size_t hosts;         /* live ones, including this host */
+  size_t refused_hosts; /* those of them that can't reach the platform */
   bool outage; /* many can't reach the platform, and no host is known to read
                   it */
 } csp_reader_ranks_t;
@@ -310,12 +312,12 @@
 /* Calls take for each load of each host.  */
 typedef void (*csp_load_visitor_t) (void *state, csp_peer_address_t peer,
                                     const csp_peer_load_t *load);
-void csp_each_peer_load (const csp_roster_t *roster, csp_load_visitor_t take,
-                         void *state);
+void csp_visit_peer_loads (const csp_roster_t *roster, csp_load_visitor_t take,
+                           void *state);
 
 /* Calls take for each load of one host; does nothing if the host is
    unknown.  */
-void csp_each_load_of_peer (csp_roster_t *roster, csp_peer_address_t address,
-                            csp_load_visitor_t take, void *state);
+void csp_visit_loads_of_peer (csp_roster_t *roster, csp_peer_address_t address,
+                              csp_load_visitor_t take, void *state);
 
 #endif
--- a/include/cowslipspoke/route.h
+++ b/include/cowslipspoke/route.h
@@ -16,9 +16,9 @@
 /* Whether a request may run twice, which decides about retries.  */
 typedef enum
 {
-  CSP_ROUTE_IDEMPOTENT, /* may run more than once */
-  CSP_ROUTE_ONCE,       /* may run at most once */
-  CSP_ROUTE_STREAM      /* at most once; the response is an event stream */
+  CSP_ROUTE_IDEMPOTENT,   /* may run more than once */
+  CSP_ROUTE_AT_MOST_ONCE, /* may run at most once */
+  CSP_ROUTE_STREAM        /* at most once; the response is an event stream */
 } csp_route_kind_t;
 
 enum
@@ -44,8 +44,8 @@
   uint32_t objective_ms;   /* latency objective; 0: none */
   uint32_t longest_gap_ms; /* longest pause between two events of a stream */
   uint32_t attempts_max;
-  uint32_t urgency; /* 0 is the most urgent */
-  bool open_to_all; /* needs no key */
+  uint32_t urgency;      /* 0 is the most urgent */
+  bool allows_anonymous; /* needs no key */
   size_t share_count;
   csp_route_share_t shares[CSP_ROUTE_SHARES_MAX];
 } csp_route_t;
@@ -56,8 +56,9 @@
 {
   const char *name;
   bool is_engine;
-  bool takes_backups; /* a stream's KV memory can be backed up as it grows */
-  bool moves_runs;    /* a stream's KV memory can be copied on demand */
+  bool supports_kv_backups; /* a stream's KV memory can be backed up as it
+                               grows */
+  bool supports_kv_moves;   /* a stream's KV memory can be copied on demand */
   uint32_t memory_tokens;
   /* The time to copy a stream's KV memory within a data centre.  */
   double copy_ms_per_token;
@@ -105,14 +106,14 @@
 void csp_seal_routes (csp_routes_t *routes);
 
 /* Add or drop a reference; dropping the last one frees the version.  */
-csp_routes_t *csp_hold_routes (csp_routes_t *routes);
+csp_routes_t *csp_retain_routes (csp_routes_t *routes);
 void csp_release_routes (csp_routes_t *routes);
 
 uint64_t csp_routes_version (const csp_routes_t *routes);
 const csp_caller_limits_t *csp_routes_limits (const csp_routes_t *routes);
 
 /* Whether callers need keys: true if any organisation is declared.  */
-bool csp_routes_have_keys (const csp_routes_t *routes);
+bool csp_routes_require_keys (const csp_routes_t *routes);
 
 /* The route for a host name, with or without a port, that has the longest
    matching prefix of the path; NULL if there is none.  */
@@ -120,19 +121,20 @@
                                     const char *host, const char *path);
 
 /* The organisation that owns a key; NULL if there is none.  */
-const csp_route_organisation_t *csp_find_key (const csp_routes_t *routes,
-                                              const char *key);
+const csp_route_organisation_t *csp_find_key_owner (const csp_routes_t *routes,
+                                                    const char *key);
 
 /* The service with this name; NULL if there is none.  */
-const csp_route_service_t *csp_get_route_service (const csp_routes_t *routes,
-                                                  const char *name);
+const csp_route_service_t *csp_find_route_service (const csp_routes_t *routes,
+                                                   const char *name);
 
 /* The service at an index; NULL past the last one.  */
-const csp_route_service_t *csp_list_route_service (const csp_routes_t *routes,
-                                                   size_t index);
+const csp_route_service_t *
+csp_get_route_service_at (const csp_routes_t *routes, size_t index);
 
 /* Pick one of a route's services at random, in proportion to their weights;
    NULL if all weights are 0.  */
-const char *csp_draw_service (const csp_route_t *route, csp_random_t *random);
+const char *csp_pick_weighted_service (const csp_route_t *route,
+                                       csp_random_t *random);
 
 #endif
--- a/include/cowslipspoke/service-call.h
+++ b/include/cowslipspoke/service-call.h
@@ -32,7 +32,7 @@
   char content_type[CSP_CONTENT_TYPE_BYTES];
   char *body;
   size_t body_bytes;
-  bool byte_left;
+  bool may_have_been_sent;
 } csp_service_answer_t;
 
 /* Makes the call.  Returns CSP_LINK_COMPLETE for any answer of the service,
--- a/include/cowslipspoke/settings.h
+++ b/include/cowslipspoke/settings.h
@@ -74,7 +74,7 @@
 };
 
 /* Sets all defaults; names and addresses without a default become "".  */
-void csp_default_settings (csp_settings_t *settings);
+void csp_set_default_settings (csp_settings_t *settings);
 
 /* Parses JSON with comments; each key in the text overrides the value in
    settings.  where names the text in faults.  Returns true where no fault was
--- a/include/cowslipspoke/shift.h
+++ b/include/cowslipspoke/shift.h
@@ -47,25 +47,26 @@
   double open;
   int64_t advanced_ms;
   bool opening;
-} csp_shift_t;
+} csp_slow_start_t;
 
 /* Begins a slow start at policy->start, as the target is new, came back or was
    emptied.  */
-void csp_start_shift (csp_shift_t *shift, const csp_shift_policy_t *policy,
-                      int64_t now_ms);
+void csp_begin_slow_start (csp_slow_start_t *shift,
+                           const csp_shift_policy_t *policy, int64_t now_ms);
 
 /* Opens the target fully at once, without a slow start: for example when a
    host restarts and finds the target in full service.  */
-void csp_open_shift (csp_shift_t *shift);
+void csp_skip_slow_start (csp_slow_start_t *shift);
 
 /* Closes the target, as it is leaving or lost.  */
-void csp_stop_slow_start (csp_shift_t *shift);
+void csp_stop_slow_start (csp_slow_start_t *shift);
 
 /* Advances the slow start to now_ms and returns the share of the target's
    memory that may be used.  The share doesn't grow while the target isn't
    healthy (is slow, or reports more load than the hosts know of).  */
-double csp_move_shift (csp_shift_t *shift, const csp_shift_policy_t *policy,
-                       bool healthy, int64_t now_ms);
+double csp_advance_slow_start (csp_slow_start_t *shift,
+                               const csp_shift_policy_t *policy, bool healthy,
+                               int64_t now_ms);
 
 /* Returns a data centre's share of the spilled load, moved from `current`
    towards `wanted` over passed_ms.  */
--- a/include/cowslipspoke/spread.h
+++ b/include/cowslipspoke/spread.h
@@ -20,7 +20,7 @@
 
    Performs no I/O: takes events, returns actions and is deterministic for a
    seed.  */
-typedef struct csp_spread csp_spread_t;
+typedef struct csp_config_sync csp_config_sync_t;
 
 enum
 {
@@ -53,7 +53,8 @@
   CSP_START_PEER_WAIT_MS = 2000
 };
 
-/* A peer's state from the membership, filled in by csp_fill_spread_peers.  */
+/* A peer's state from the membership, filled in by csp_fill_config_sync_peers.
+ */
 typedef struct
 {
   int64_t revision;
@@ -63,39 +64,39 @@
   bool same_data_centre;
   /* The peer tried to read the service and failed.  */
   bool service_silent;
-} csp_spread_peer_t;
+} csp_config_sync_peer_t;
 
 typedef enum
 {
   /* GET /v1/config?after=after&wait_ms=wait_ms; time out after timeout_ms and
      report csp_handle_read or csp_handle_read_failed with id.  */
-  CSP_SPREAD_READ_SERVICE,
+  CSP_CONFIG_SYNC_READ_SERVICE,
   /* Request the changes after revision after from peer; report
      csp_handle_pull or csp_handle_pull_failed with id.  */
-  CSP_SPREAD_PULL_PEER
-} csp_spread_kind_t;
+  CSP_CONFIG_SYNC_PULL_PEER
+} csp_config_sync_kind_t;
 
 typedef struct
 {
-  csp_spread_kind_t kind;
+  csp_config_sync_kind_t kind;
   uint64_t id;
   int64_t after;
   uint32_t wait_ms;
   uint32_t timeout_ms;
   char peer[CSP_HOST_NAME_BYTES];
-} csp_spread_action_t;
+} csp_config_sync_action_t;
 
 enum
 {
-  CSP_MAX_SPREAD_ACTIONS = 2,
-  CSP_MAX_SPREAD_PEERS = 128
+  CSP_MAX_CONFIG_SYNC_ACTIONS = 2,
+  CSP_MAX_CONFIG_SYNC_PEERS = 128
 };
 
 typedef struct
 {
   size_t count;
-  csp_spread_action_t items[CSP_MAX_SPREAD_ACTIONS];
-} csp_spread_actions_t;
+  csp_config_sync_action_t items[CSP_MAX_CONFIG_SYNC_ACTIONS];
+} csp_config_sync_actions_t;
 
 typedef struct
 {
@@ -112,47 +113,49 @@
   uint64_t dropped_answers;
   /* Peers that now report the revision in force with another digest.  */
   size_t peer_conflicts;
-} csp_spread_status_t;
+} csp_config_sync_status_t;
 
 /* Fills peers from the membership: the hosts of the own data centre in
    rendezvous order, then hosts of other data centres that answered recently.
    Returns how many, and in rank this host's own position in the order.  */
-size_t csp_fill_spread_peers (const csp_membership_t *membership,
-                              int64_t now_ms, csp_spread_peer_t *peers,
-                              size_t capacity, size_t *rank);
+size_t csp_fill_config_sync_peers (const csp_membership_t *membership,
+                                   int64_t now_ms,
+                                   csp_config_sync_peer_t *peers,
+                                   size_t capacity, size_t *rank);
 
 /* Creates the state for a configuration, which must outlive it.  */
-csp_spread_t *csp_create_spread (csp_configuration_t *configuration,
-                                 uint64_t seed, int64_t now_ms);
-void csp_destroy_spread (csp_spread_t *spread);
+csp_config_sync_t *csp_create_config_sync (csp_configuration_t *configuration,
+                                           uint64_t seed, int64_t now_ms);
+void csp_destroy_config_sync (csp_config_sync_t *spread);
 
 /* Times out pending requests and decides on new ones.  peers: the live hosts,
    those of the own data centre first and in rendezvous order.  rank: this
    host's own position in that order (0 is first) among the hosts of its data
    centre.  To be called every 100 ms to 500 ms and after events.  */
-void csp_tick_spread (csp_spread_t *spread, const csp_spread_peer_t *peers,
-                      size_t peer_count, size_t rank, int64_t now_ms,
-                      csp_spread_actions_t *actions);
+void csp_tick_config_sync (csp_config_sync_t *spread,
+                           const csp_config_sync_peer_t *peers,
+                           size_t peer_count, size_t rank, int64_t now_ms,
+                           csp_config_sync_actions_t *actions);
 
 /* Handles the service's answer to the read with this id.  If the read is no
    longer pending, the answer is counted and dropped, and the result is
    CSP_CONFIG_SAME.  The same holds for pulls.  */
-csp_config_result_t csp_handle_read (csp_spread_t *spread, uint64_t id,
+csp_config_result_t csp_handle_read (csp_config_sync_t *spread, uint64_t id,
                                      const csp_config_delta_t *delta,
                                      int64_t now_ms);
-void csp_handle_read_failed (csp_spread_t *spread, uint64_t id,
+void csp_handle_read_failed (csp_config_sync_t *spread, uint64_t id,
                              int64_t now_ms);
 
 /* Handles a peer's answer to the pull with this id, with the peer's refused
    revision, 0 if none, and its faults.  */
-csp_config_result_t csp_handle_pull (csp_spread_t *spread, uint64_t id,
+csp_config_result_t csp_handle_pull (csp_config_sync_t *spread, uint64_t id,
                                      const csp_config_delta_t *delta,
                                      int64_t refused_revision,
                                      const char *fault, int64_t now_ms);
-void csp_handle_pull_failed (csp_spread_t *spread, uint64_t id,
+void csp_handle_pull_failed (csp_config_sync_t *spread, uint64_t id,
                              int64_t now_ms);
 
-void csp_describe_spread (const csp_spread_t *spread,
-                          csp_spread_status_t *status);
+void csp_get_config_sync_status (const csp_config_sync_t *spread,
+                                 csp_config_sync_status_t *status);
 
 #endif
--- a/include/cowslipspoke/warmup.h
+++ b/include/cowslipspoke/warmup.h
@@ -32,7 +32,7 @@
   bool decides;
   int64_t decides_since_ms;
   csp_lease_facts_t fleet;
-} csp_warmup_duty_t;
+} csp_decider_role_t;
 
 /* The limit of one target; a plain value.  */
 typedef struct
@@ -41,15 +41,15 @@
   csp_lease_pool_t grants;
 } csp_warmup_t;
 
-void csp_open_warmup (csp_warmup_t *warmup, int64_t now_ms);
+void csp_init_warmup (csp_warmup_t *warmup, int64_t now_ms);
 void csp_set_warmup_bound (csp_warmup_t *warmup, uint32_t bound_per_s);
 
 /* Whether this host may grant a placement now.  */
-bool csp_has_warmup_place (csp_warmup_t *warmup, const csp_warmup_duty_t *role,
-                           int64_t now_ms);
+bool csp_has_warmup_grant (csp_warmup_t *warmup,
+                           const csp_decider_role_t *role, int64_t now_ms);
 
 /* Grants a placement; returns false if none may be granted now.  */
-bool csp_take_warmup_place (csp_warmup_t *warmup,
-                            const csp_warmup_duty_t *role, int64_t now_ms);
+bool csp_take_warmup_grant (csp_warmup_t *warmup,
+                            const csp_decider_role_t *role, int64_t now_ms);
 
 #endif
--- a/include/cowslipspoke/watch.h
+++ b/include/cowslipspoke/watch.h
@@ -29,10 +29,10 @@
    store's return for at most the maximum backoff.  */
 typedef struct
 {
-  uint32_t wait_ms;       /* how long the store may hold a watch */
-  uint32_t slack_ms;      /* how much later its answer counts as lost */
-  uint32_t pause_last_ms; /* maximum backoff between failed calls */
-  uint32_t gap_ms;        /* between watches that are answered */
+  uint32_t wait_ms;         /* how long the store may hold a watch */
+  uint32_t answer_grace_ms; /* how much later its answer counts as lost */
+  uint32_t max_backoff_ms;  /* maximum backoff between failed calls */
+  uint32_t gap_ms;          /* between watches that are answered */
 } csp_watch_policy_t;
 
 typedef enum
--- a/source/admission/admission-decide.c
+++ b/source/admission/admission-decide.c
@@ -73,7 +73,7 @@
             uint32_t memory)
 {
   double answer
-      = csp_expect_tokens_left (ledger->lengths, stream->length_key, 0);
+      = csp_mean_tokens_left (ledger->lengths, stream->length_key, 0);
 
   if (stream->max_tokens != 0)
     answer = fmin (answer, stream->max_tokens);
@@ -93,8 +93,8 @@
     return false;
   if (stream->max_tokens != 0 && stream->max_tokens <= policy->long_tokens)
     return false;
-  return csp_survive_length (ledger->lengths, stream->length_key, 0,
-                             policy->long_tokens)
+  return csp_length_survival (ledger->lengths, stream->length_key, 0,
+                              policy->long_tokens)
          > long_answer_probability;
 }
 
--- a/source/admission/admission-ledger.c
+++ b/source/admission/admission-ledger.c
@@ -47,7 +47,7 @@
 
 void
 csp_forecast_stream (csp_lengths_t *lengths, const csp_stream_t *stream,
-                     uint32_t made_tokens, forecast_t *forecast)
+                     uint32_t generated_token_count, forecast_t *forecast)
 {
   uint32_t i;
   uint32_t ahead;
@@ -57,12 +57,13 @@
   for (i = 0; i < CSP_LEDGER_HORIZONS; i++)
     {
       ahead = csp_ledger_horizon_tokens[i];
-      held_tokens = (double)stream->prompt_tokens + made_tokens
+      held_tokens = (double)stream->prompt_tokens + generated_token_count
                     + step_middle_tokens (i);
       survival = 0;
-      if (stream->max_tokens == 0 || made_tokens + ahead <= stream->max_tokens)
-        survival = csp_survive_length (lengths, stream->length_key,
-                                       made_tokens, ahead);
+      if (stream->max_tokens == 0
+          || generated_token_count + ahead <= stream->max_tokens)
+        survival = csp_length_survival (lengths, stream->length_key,
+                                        generated_token_count, ahead);
       if (i == 0)
         survival = 1;
       forecast->mean[i] = (float)(survival * held_tokens);
@@ -167,20 +168,20 @@
 static uint32_t
 stream_tokens (const csp_stream_state_t *state)
 {
-  return state->stream.prompt_tokens + state->made_tokens;
+  return state->stream.prompt_tokens + state->generated_token_count;
 }
 
 static bool
 is_long_stream (const csp_ledger_t *ledger, const csp_stream_state_t *state)
 {
-  return state->made_tokens > ledger->policy.long_tokens;
+  return state->generated_token_count > ledger->policy.long_tokens;
 }
 
 static void
 count_tokens (csp_ledger_t *ledger, const csp_stream_state_t *state, int sign)
 {
   ledger->used_tokens += (uint32_t)sign * stream_tokens (state);
-  if (state->made_tokens == 0)
+  if (state->generated_token_count == 0)
     ledger->unstarted_tokens += (uint32_t)sign * state->stream.prompt_tokens;
   if (is_long_stream (ledger, state))
     ledger->long_used_tokens += (uint32_t)sign * stream_tokens (state);
@@ -188,7 +189,7 @@
 
 uint32_t
 csp_add_stream (csp_ledger_t *ledger, const csp_stream_t *stream,
-                uint32_t made_tokens, int64_t now_ms)
+                uint32_t generated_token_count, int64_t now_ms)
 {
   uint32_t handle;
   slot_t *slot;
@@ -200,10 +201,11 @@
   ledger->first_free = slot->next_free;
   slot->used = true;
   slot->state.stream = *stream;
-  slot->state.made_tokens = made_tokens;
+  slot->state.generated_token_count = generated_token_count;
   slot->state.added_ms = now_ms;
   slot->state.progress_ms = now_ms;
-  csp_forecast_stream (ledger->lengths, stream, made_tokens, &slot->forecast);
+  csp_forecast_stream (ledger->lengths, stream, generated_token_count,
+                       &slot->forecast);
   add_forecast (ledger, &slot->forecast, 1);
   count_tokens (ledger, &slot->state, 1);
   ledger->streams++;
@@ -220,21 +222,23 @@
 }
 
 void
-csp_note_tokens (csp_ledger_t *ledger, uint32_t handle, uint32_t made_tokens,
-                 int64_t now_ms)
+csp_note_tokens (csp_ledger_t *ledger, uint32_t handle,
+                 uint32_t generated_token_count, int64_t now_ms)
 {
   slot_t *slot = find_slot (ledger, handle);
 
-  if (slot == NULL || made_tokens <= slot->state.made_tokens)
+  if (slot == NULL
+      || generated_token_count <= slot->state.generated_token_count)
     return;
-  csp_note_length (ledger->lengths, slot->state.stream.length_key,
-                   slot->state.made_tokens, made_tokens);
+  csp_record_length_growth (ledger->lengths, slot->state.stream.length_key,
+                            slot->state.generated_token_count,
+                            generated_token_count);
   count_tokens (ledger, &slot->state, -1);
   add_forecast (ledger, &slot->forecast, -1);
-  slot->state.made_tokens = made_tokens;
+  slot->state.generated_token_count = generated_token_count;
   slot->state.progress_ms = now_ms;
-  csp_forecast_stream (ledger->lengths, &slot->state.stream, made_tokens,
-                       &slot->forecast);
+  csp_forecast_stream (ledger->lengths, &slot->state.stream,
+                       generated_token_count, &slot->forecast);
   add_forecast (ledger, &slot->forecast, 1);
   count_tokens (ledger, &slot->state, 1);
   record_peak (ledger, now_ms);
@@ -259,8 +263,8 @@
   if (slot == NULL)
     return;
   record_peak (ledger, now_ms);
-  csp_learn_length (ledger->lengths, slot->state.stream.length_key,
-                    slot->state.made_tokens, end);
+  csp_record_length_end (ledger->lengths, slot->state.stream.length_key,
+                         slot->state.generated_token_count, end);
   count_tokens (ledger, &slot->state, -1);
   add_forecast (ledger, &slot->forecast, -1);
   ledger->streams--;
--- a/source/admission/admission-report.c
+++ b/source/admission/admission-report.c
@@ -29,14 +29,14 @@
 is_outdated_report (const csp_ledger_t *ledger,
                     const csp_load_report_t *report, int64_t now_ms)
 {
-  if (!ledger->reported || report->report > ledger->report.report)
+  if (!ledger->reported || report->sequence > ledger->report.sequence)
     return false;
   return now_ms - ledger->report_ms <= ledger->policy.report_stale_ms;
 }
 
 bool
-csp_take_report (csp_ledger_t *ledger, const csp_load_report_t *report,
-                 int64_t now_ms)
+csp_apply_load_report (csp_ledger_t *ledger, const csp_load_report_t *report,
+                       int64_t now_ms)
 {
   uint64_t preempted_before = ledger->report.preemptions;
   bool first = !ledger->reported;
--- a/source/admission/ledger-imp.h
+++ b/source/admission/ledger-imp.h
@@ -58,9 +58,10 @@
 
 extern const uint32_t csp_ledger_horizon_tokens[CSP_LEDGER_HORIZONS];
 
-/* Computes what a stream with made_tokens needs at each horizon.  */
+/* Computes what a stream with generated_token_count needs at each horizon.  */
 void csp_forecast_stream (csp_lengths_t *lengths, const csp_stream_t *stream,
-                          uint32_t made_tokens, forecast_t *forecast);
+                          uint32_t generated_token_count,
+                          forecast_t *forecast);
 
 /* Like csp_decide_admission, with a forecast of the stream computed before,
    for a choice among many targets.  usable_share is the share of the target's
--- a/source/base/clock.c
+++ b/source/base/clock.c
@@ -87,7 +87,7 @@
 }
 
 csp_clock_t
-csp_clock_of_fake (csp_fake_clock_t *fake)
+csp_clock_from_fake (csp_fake_clock_t *fake)
 {
   csp_clock_t clock = { read_fake_steady, read_fake_wall, fake };
 
--- a/source/base/index-imp.h
+++ b/source/base/index-imp.h
@@ -20,7 +20,7 @@
 } csp_index_t;
 
 /* The structure of a type that contains the node as member.  */
-#define CSP_INDEXED(node, type, member)                                       \
+#define CSP_INDEX_ENTRY(node, type, member)                                   \
   ((type *)(void *)((char *)(node)-offsetof (type, member)))
 
 /* Initialises an index with capacity for about expected nodes before it grows.
--- a/source/configuration/configuration.c
+++ b/source/configuration/configuration.c
@@ -13,21 +13,21 @@
 
 struct csp_configuration
 {
-  csp_config_check_t check;
+  csp_config_builder_t check;
   csp_config_state_t *state;
   void *built;
   /* Deltas after an older revision than this would miss deletions.  */
   int64_t oldest_delta_base;
   size_t tombstone_count;
   tombstone_t tombstones[CSP_MAX_TOMBSTONES];
-  /* The values of the last delta returned by csp_find_config_changes.  */
+  /* The values of the last delta returned by csp_collect_config_changes.  */
   csp_config_value_t *changes;
   size_t changes_capacity;
   csp_config_status_t status;
 };
 
 csp_configuration_t *
-csp_create_configuration (const csp_config_check_t *check)
+csp_create_configuration (const csp_config_builder_t *check)
 {
   csp_configuration_t *configuration = calloc (1, sizeof *configuration);
 
@@ -147,8 +147,9 @@
 refuse (csp_configuration_t *configuration, int64_t revision,
         const char *fault)
 {
-  csp_note_refused (configuration, revision,
-                    fault[0] == '\0' ? "no fault was given" : fault);
+  csp_record_refused_revision (configuration, revision,
+                               fault[0] == '\0' ? "no fault was given"
+                                                : fault);
   return CSP_CONFIG_REFUSED;
 }
 
@@ -199,7 +200,7 @@
       && (delta->base > configuration->state->revision
           || configuration->state->revision == 0
           || (source == CSP_SOURCE_SERVICE && status->needs_full_read)))
-    return CSP_CONFIG_ASK_WHOLE;
+    return CSP_CONFIG_NEEDS_FULL;
   merged = csp_merge_config_state (configuration->state, delta, fault);
   if (merged == NULL)
     return refuse (configuration, delta->revision, fault);
@@ -208,7 +209,7 @@
   if (delta->digest != 0 && delta->digest != merged->digest)
     {
       csp_destroy_config_state (merged);
-      return CSP_CONFIG_ASK_WHOLE;
+      return CSP_CONFIG_NEEDS_FULL;
     }
   built = configuration->check.build (configuration->check.state,
                                       merged->revision, merged->values,
@@ -219,7 +220,7 @@
       return refuse (configuration, delta->revision, fault);
     }
   activate (configuration, merged, built);
-  return CSP_CONFIG_TAKEN;
+  return CSP_CONFIG_APPLIED;
 }
 
 static csp_config_result_t
@@ -255,16 +256,16 @@
       || result == CSP_CONFIG_CONFLICT)
     status->needs_full_read = true;
   else if (delta->full
-           && (result == CSP_CONFIG_TAKEN || result == CSP_CONFIG_SAME))
+           && (result == CSP_CONFIG_APPLIED || result == CSP_CONFIG_SAME))
     status->needs_full_read = false;
   status->service_revision = delta->revision;
   status->service_stale = result == CSP_CONFIG_STALE;
 }
 
 csp_config_result_t
-csp_take_configuration (csp_configuration_t *configuration,
-                        csp_config_source_t source,
-                        const csp_config_delta_t *delta)
+csp_apply_configuration (csp_configuration_t *configuration,
+                         csp_config_source_t source,
+                         const csp_config_delta_t *delta)
 {
   csp_config_result_t result = apply_delta (configuration, source, delta);
 
@@ -275,7 +276,7 @@
 }
 
 int64_t
-csp_find_watch_base (const csp_configuration_t *configuration)
+csp_get_watch_revision (const csp_configuration_t *configuration)
 {
   int64_t revision = configuration->state->revision;
   int64_t refused = configuration->status.refused_revision;
@@ -322,8 +323,8 @@
 }
 
 void
-csp_find_config_changes (csp_configuration_t *configuration, int64_t after,
-                         csp_config_delta_t *delta)
+csp_collect_config_changes (csp_configuration_t *configuration, int64_t after,
+                            csp_config_delta_t *delta)
 {
   const csp_config_state_t *state = configuration->state;
 
@@ -347,8 +348,8 @@
 }
 
 void
-csp_note_refused (csp_configuration_t *configuration, int64_t revision,
-                  const char *fault)
+csp_record_refused_revision (csp_configuration_t *configuration,
+                             int64_t revision, const char *fault)
 {
   csp_config_status_t *status = &configuration->status;
 
@@ -360,20 +361,20 @@
 }
 
 void
-csp_note_conflict (csp_configuration_t *configuration)
+csp_record_config_conflict (csp_configuration_t *configuration)
 {
   configuration->status.needs_full_read = true;
 }
 
 void *
-csp_built_configuration (const csp_configuration_t *configuration)
+csp_get_built_configuration (const csp_configuration_t *configuration)
 {
   return configuration->built;
 }
 
 void
-csp_describe_configuration (const csp_configuration_t *configuration,
-                            csp_config_status_t *status)
+csp_get_configuration_status (const csp_configuration_t *configuration,
+                              csp_config_status_t *status)
 {
   *status = configuration->status;
   status->revision = configuration->state->revision;
@@ -385,9 +386,9 @@
 csp_config_result_name (csp_config_result_t result)
 {
   static const char *const names[CSP_CONFIG_RESULT_COUNT] = {
-    [CSP_CONFIG_TAKEN] = "taken",         [CSP_CONFIG_SAME] = "same",
-    [CSP_CONFIG_STALE] = "stale",         [CSP_CONFIG_CONFLICT] = "conflict",
-    [CSP_CONFIG_ASK_WHOLE] = "ask_whole", [CSP_CONFIG_REFUSED] = "refused"
+    [CSP_CONFIG_APPLIED] = "taken",        [CSP_CONFIG_SAME] = "same",
+    [CSP_CONFIG_STALE] = "stale",          [CSP_CONFIG_CONFLICT] = "conflict",
+    [CSP_CONFIG_NEEDS_FULL] = "ask_whole", [CSP_CONFIG_REFUSED] = "refused"
   };
 
   return result < CSP_CONFIG_RESULT_COUNT ? names[result] : "unknown";
--- a/source/configuration/spread.c
+++ b/source/configuration/spread.c
@@ -15,7 +15,7 @@
   char peer[CSP_HOST_NAME_BYTES];
 } pending_request_t;
 
-struct csp_spread
+struct csp_config_sync
 {
   csp_configuration_t *configuration;
   csp_random_t random;
@@ -28,20 +28,20 @@
      start.  failed_peer: the peer of the last failed pull.  */
   bool service_tried;
   char failed_peer[CSP_HOST_NAME_BYTES];
-  csp_spread_status_t status;
+  csp_config_sync_status_t status;
 };
 
 static int64_t
-jitter (csp_spread_t *spread, int64_t ms)
+jitter (csp_config_sync_t *spread, int64_t ms)
 {
   return (int64_t)csp_random_below (&spread->random, (uint32_t)ms + 1);
 }
 
-csp_spread_t *
-csp_create_spread (csp_configuration_t *configuration, uint64_t seed,
-                   int64_t now_ms)
+csp_config_sync_t *
+csp_create_config_sync (csp_configuration_t *configuration, uint64_t seed,
+                        int64_t now_ms)
 {
-  csp_spread_t *spread = calloc (1, sizeof *spread);
+  csp_config_sync_t *spread = calloc (1, sizeof *spread);
 
   if (spread == NULL)
     return NULL;
@@ -54,14 +54,14 @@
 }
 
 void
-csp_destroy_spread (csp_spread_t *spread)
+csp_destroy_config_sync (csp_config_sync_t *spread)
 {
   free (spread);
 }
 
 static void
-start_request (csp_spread_t *spread, pending_request_t *request, bool full,
-               uint32_t timeout_ms, int64_t now_ms)
+start_request (csp_config_sync_t *spread, pending_request_t *request,
+               bool full, uint32_t timeout_ms, int64_t now_ms)
 {
   request->id = ++spread->last_id;
   request->started_ms = now_ms;
@@ -75,7 +75,7 @@
    reports so in its heartbeats; in both cases the next host in order takes its
    place.  */
 static bool
-is_reader (const csp_spread_peer_t *peers, size_t peer_count, size_t rank)
+is_reader (const csp_config_sync_peer_t *peers, size_t peer_count, size_t rank)
 {
   size_t answering_before = 0;
   size_t seen = 0;
@@ -90,11 +90,11 @@
   return answering_before < CSP_READERS_PER_DATA_CENTRE;
 }
 
-static csp_spread_action_t *
-add_action (csp_spread_actions_t *actions, csp_spread_kind_t kind,
+static csp_config_sync_action_t *
+add_action (csp_config_sync_actions_t *actions, csp_config_sync_kind_t kind,
             const pending_request_t *request, int64_t after)
 {
-  csp_spread_action_t *action = &actions->items[actions->count++];
+  csp_config_sync_action_t *action = &actions->items[actions->count++];
 
   memset (action, 0, sizeof *action);
   action->kind = kind;
@@ -106,12 +106,12 @@
 }
 
 static void
-decide_read (csp_spread_t *spread, int64_t now_ms,
-             csp_spread_actions_t *actions)
+decide_read (csp_config_sync_t *spread, int64_t now_ms,
+             csp_config_sync_actions_t *actions)
 {
-  int64_t after = csp_find_watch_base (spread->configuration);
+  int64_t after = csp_get_watch_revision (spread->configuration);
   bool first_read = !spread->service_tried;
-  csp_spread_action_t *action;
+  csp_config_sync_action_t *action;
   pending_request_t *read = &spread->read;
   bool full = read->full;
   uint32_t wait_ms;
@@ -127,7 +127,7 @@
     }
   wait_ms = full || after == 0 ? 0 : CSP_WATCH_WAIT_MS;
   start_request (spread, read, full, wait_ms + CSP_WATCH_GRACE_MS, now_ms);
-  action = add_action (actions, CSP_SPREAD_READ_SERVICE, read, after);
+  action = add_action (actions, CSP_CONFIG_SYNC_READ_SERVICE, read, after);
   action->wait_ms = wait_ms;
   spread->status.reads++;
 }
@@ -135,7 +135,7 @@
 /* Whether a peer has a higher revision, or a higher refused revision, than
    this host.  */
 static bool
-has_newer_revision (const csp_spread_peer_t *peer,
+has_newer_revision (const csp_config_sync_peer_t *peer,
                     const csp_config_status_t *current, int64_t known_revision)
 {
   return peer->revision > known_revision
@@ -145,18 +145,18 @@
 
 /* Chooses a peer with a newer revision, one of the own data centre if there is
    any.  The choice is random, so that pulls are shared among the readers.  */
-static const csp_spread_peer_t *
-choose_peer (csp_spread_t *spread, const csp_spread_peer_t *peers,
+static const csp_config_sync_peer_t *
+choose_peer (csp_config_sync_t *spread, const csp_config_sync_peer_t *peers,
              size_t peer_count)
 {
-  const csp_spread_peer_t *chosen = NULL;
+  const csp_config_sync_peer_t *chosen = NULL;
   csp_config_status_t current;
-  int64_t known_revision = csp_find_watch_base (spread->configuration);
+  int64_t known_revision = csp_get_watch_revision (spread->configuration);
   uint32_t tie_count = 0;
   bool better;
   size_t i;
 
-  csp_describe_configuration (spread->configuration, &current);
+  csp_get_configuration_status (spread->configuration, &current);
   for (i = 0; i < peer_count; i++)
     {
       if (!has_newer_revision (&peers[i], &current, known_revision)
@@ -177,12 +177,13 @@
 }
 
 static void
-decide_pull (csp_spread_t *spread, const csp_spread_peer_t *peers,
-             size_t peer_count, int64_t now_ms, csp_spread_actions_t *actions)
+decide_pull (csp_config_sync_t *spread, const csp_config_sync_peer_t *peers,
+             size_t peer_count, int64_t now_ms,
+             csp_config_sync_actions_t *actions)
 {
-  const csp_spread_peer_t *peer;
+  const csp_config_sync_peer_t *peer;
   csp_config_status_t current;
-  csp_spread_action_t *action;
+  csp_config_sync_action_t *action;
   pending_request_t *pull = &spread->pull;
 
   if (pull->id != 0 || now_ms < pull->next_ms)
@@ -190,33 +191,34 @@
   peer = choose_peer (spread, peers, peer_count);
   if (peer == NULL)
     return;
-  csp_describe_configuration (spread->configuration, &current);
+  csp_get_configuration_status (spread->configuration, &current);
   start_request (spread, pull, pull->full, CSP_PULL_TIMEOUT_MS, now_ms);
   memcpy (pull->peer, peer->name, sizeof pull->peer);
-  action = add_action (actions, CSP_SPREAD_PULL_PEER, pull, current.revision);
+  action = add_action (actions, CSP_CONFIG_SYNC_PULL_PEER, pull,
+                       current.revision);
   memcpy (action->peer, peer->name, sizeof action->peer);
   spread->status.pulls++;
 }
 
 static void
-record_conflicts (csp_spread_t *spread, const csp_spread_peer_t *peers,
-                  size_t peer_count)
+record_conflicts (csp_config_sync_t *spread,
+                  const csp_config_sync_peer_t *peers, size_t peer_count)
 {
   csp_config_status_t current;
   size_t count = 0;
   size_t i;
 
-  csp_describe_configuration (spread->configuration, &current);
+  csp_get_configuration_status (spread->configuration, &current);
   for (i = 0; i < peer_count; i++)
     count += peers[i].revision == current.revision && current.revision > 0
              && peers[i].digest != 0 && peers[i].digest != current.digest;
   if (count > spread->status.peer_conflicts)
-    csp_note_conflict (spread->configuration);
+    csp_record_config_conflict (spread->configuration);
   spread->status.peer_conflicts = count;
 }
 
 static void
-update_startup (csp_spread_t *spread, const csp_spread_peer_t *peers,
+update_startup (csp_config_sync_t *spread, const csp_config_sync_peer_t *peers,
                 size_t peer_count, int64_t now_ms)
 {
   int64_t waited_ms = now_ms - spread->started_ms;
@@ -227,7 +229,7 @@
 
   if (spread->status.startup_done)
     return;
-  csp_describe_configuration (spread->configuration, &current);
+  csp_get_configuration_status (spread->configuration, &current);
   for (i = 0; i < peer_count; i++)
     {
       peer_has_configuration = peer_has_configuration || peers[i].revision > 0;
@@ -241,7 +243,7 @@
 }
 
 static void
-expire_requests (csp_spread_t *spread, int64_t now_ms)
+expire_requests (csp_config_sync_t *spread, int64_t now_ms)
 {
   if (spread->read.id != 0 && now_ms >= spread->read.timeout_at_ms)
     csp_handle_read_failed (spread, spread->read.id, now_ms);
@@ -250,9 +252,10 @@
 }
 
 void
-csp_tick_spread (csp_spread_t *spread, const csp_spread_peer_t *peers,
-                 size_t peer_count, size_t rank, int64_t now_ms,
-                 csp_spread_actions_t *actions)
+csp_tick_config_sync (csp_config_sync_t *spread,
+                      const csp_config_sync_peer_t *peers, size_t peer_count,
+                      size_t rank, int64_t now_ms,
+                      csp_config_sync_actions_t *actions)
 {
   actions->count = 0;
   expire_requests (spread, now_ms);
@@ -266,7 +269,8 @@
 /* Ends the pending request that an answer belongs to.  Returns false for an
    answer that arrives twice or after its request timed out.  */
 static bool
-finish_request (csp_spread_t *spread, pending_request_t *request, uint64_t id)
+finish_request (csp_config_sync_t *spread, pending_request_t *request,
+                uint64_t id)
 {
   if (id == 0 || request->id != id)
     {
@@ -284,7 +288,7 @@
 }
 
 csp_config_result_t
-csp_handle_read (csp_spread_t *spread, uint64_t id,
+csp_handle_read (csp_config_sync_t *spread, uint64_t id,
                  const csp_config_delta_t *delta, int64_t now_ms)
 {
   csp_config_result_t result;
@@ -294,9 +298,9 @@
     return CSP_CONFIG_SAME;
   spread->service_tried = true;
   spread->status.service_silent = false;
-  result = csp_take_configuration (spread->configuration, CSP_SOURCE_SERVICE,
-                                   delta);
-  read->full = result == CSP_CONFIG_ASK_WHOLE;
+  result = csp_apply_configuration (spread->configuration, CSP_SOURCE_SERVICE,
+                                    delta);
+  read->full = result == CSP_CONFIG_NEEDS_FULL;
   /* A stale service answers a watch at once, so without a pause every reader
      would read it in a loop.  */
   read->next_ms = next_allowed_ms (
@@ -307,7 +311,7 @@
 }
 
 void
-csp_handle_read_failed (csp_spread_t *spread, uint64_t id, int64_t now_ms)
+csp_handle_read_failed (csp_config_sync_t *spread, uint64_t id, int64_t now_ms)
 {
   if (!finish_request (spread, &spread->read, id))
     return;
@@ -319,14 +323,14 @@
 }
 
 static void
-record_failed_pull (csp_spread_t *spread)
+record_failed_pull (csp_config_sync_t *spread)
 {
   memcpy (spread->failed_peer, spread->pull.peer, sizeof spread->failed_peer);
   spread->status.failed_pulls++;
 }
 
 csp_config_result_t
-csp_handle_pull (csp_spread_t *spread, uint64_t id,
+csp_handle_pull (csp_config_sync_t *spread, uint64_t id,
                  const csp_config_delta_t *delta, int64_t refused_revision,
                  const char *fault, int64_t now_ms)
 {
@@ -335,26 +339,26 @@
 
   if (!finish_request (spread, pull, id))
     return CSP_CONFIG_SAME;
-  result
-      = csp_take_configuration (spread->configuration, CSP_SOURCE_PEER, delta);
-  csp_note_refused (spread->configuration, refused_revision, fault);
+  result = csp_apply_configuration (spread->configuration, CSP_SOURCE_PEER,
+                                    delta);
+  csp_record_refused_revision (spread->configuration, refused_revision, fault);
   pull->next_ms = next_allowed_ms (pull->started_ms, CSP_PULL_GAP_MS, now_ms);
   /* A full configuration that doesn't match its own digest is broken at the
      sender.  Without a pause, the full configuration would be pulled every
      second.  */
-  if (result == CSP_CONFIG_ASK_WHOLE && pull->full)
+  if (result == CSP_CONFIG_NEEDS_FULL && pull->full)
     {
       record_failed_pull (spread);
       pull->next_ms = now_ms + CSP_READ_RETRY_MS;
     }
-  pull->full = result == CSP_CONFIG_ASK_WHOLE && !pull->full;
-  if (result == CSP_CONFIG_TAKEN)
+  pull->full = result == CSP_CONFIG_NEEDS_FULL && !pull->full;
+  if (result == CSP_CONFIG_APPLIED)
     spread->failed_peer[0] = '\0';
   return result;
 }
 
 void
-csp_handle_pull_failed (csp_spread_t *spread, uint64_t id, int64_t now_ms)
+csp_handle_pull_failed (csp_config_sync_t *spread, uint64_t id, int64_t now_ms)
 {
   if (!finish_request (spread, &spread->pull, id))
     return;
@@ -363,7 +367,8 @@
 }
 
 void
-csp_describe_spread (const csp_spread_t *spread, csp_spread_status_t *status)
+csp_get_config_sync_status (const csp_config_sync_t *spread,
+                            csp_config_sync_status_t *status)
 {
   *status = spread->status;
 }
--- a/source/control/control-admission.c
+++ b/source/control/control-admission.c
@@ -22,7 +22,7 @@
 
   control->lengths = csp_create_lengths (&policy);
   control->organisations = csp_create_intern (CSP_CONTROL_MAX_ORGANISATIONS);
-  csp_open_retry_budget (&control->retry_budget, &retry);
+  csp_init_retry_budget (&control->retry_budget, &retry);
   control->shift_policy = csp_default_shift_policy ();
   control->started_ms = csp_now_ms (&control->context->clock);
   control->health = csp_create_health (&health, CSP_CONTROL_MAX_TARGETS);
@@ -78,7 +78,7 @@
                uint32_t length_key)
 {
   uint32_t answer
-      = (uint32_t)csp_expect_tokens_left (control->lengths, length_key, 0);
+      = (uint32_t)csp_mean_tokens_left (control->lengths, length_key, 0);
 
   if (ask->max_tokens != 0 && ask->max_tokens < answer)
     answer = ask->max_tokens;
@@ -99,7 +99,7 @@
       = csp_intern_name (control->organisations, ask->organisation);
   request->pool = find_or_add_pool (control, ask->terms.pool);
   request->length_key
-      = csp_find_length_key (control->lengths, ask->model, ask->class_name);
+      = csp_get_length_key (control->lengths, ask->model, ask->class_name);
   request->cost_tokens = estimate_cost (control, ask, request->length_key);
   return request->organisation != CSP_INTERN_NONE
          && request->pool != UINT32_MAX;
@@ -114,10 +114,11 @@
                               .verdict = ask->last_verdict,
                               .attempts = ask->tried.count,
                               .left_ms = ask->deadline_ms - now_ms,
-                              .needs_ms = TYPICAL_FIRST_TOKEN_MS };
+                              .usual_first_token_ms = TYPICAL_FIRST_TOKEN_MS };
 
-  if (ask->retry)
-    return csp_decide_retry (&control->retry_budget, &facts) == CSP_RETRY_YES;
+  if (ask->is_retry)
+    return csp_decide_retry (&control->retry_budget, &facts)
+           == CSP_RETRY_ALLOWED;
   csp_note_first_attempt (&control->retry_budget);
   return true;
 }
@@ -129,7 +130,7 @@
 {
   const csp_admission_ask_t *ask = request->waiter->ask;
   csp_pool_state_t *pool = &control->pools[request->pool];
-  csp_waiting_t waiting
+  csp_waiting_request_t waiting
       = { .id = request->id,
           .organisation = request->organisation,
           .cost_tokens = request->cost_tokens,
@@ -206,7 +207,7 @@
   if (request->waiter->ask->prefix != 0)
     csp_note_prefix (&target->prefixes, request->waiter->ask->prefix,
                      request->waiter->ask->prefix_tokens, now_ms);
-  grant->priority = csp_engine_priority (&stream);
+  grant->priority = csp_compute_engine_priority (&stream);
   grant->recall = csp_create_recall ();
   request->recall = csp_ref_recall (grant->recall);
   csp_copy_text (grant->target, sizeof grant->target, target->listed.name);
@@ -225,7 +226,7 @@
   const csp_admission_ask_t *ask = request->waiter->ask;
   csp_stream_t stream = describe_stream (request);
 
-  if (ask->kind == CSP_POOL_SERVICES)
+  if (ask->pool_kind == CSP_POOL_SERVICES)
     return csp_choose_service (control, ask, now_ms);
   if (csp_is_for_other_data_centre (control, ask, now_ms)
       || (kept_tokens > 0
@@ -248,8 +249,9 @@
                   int64_t now_ms)
 {
   const csp_admission_ask_t *ask = request->waiter->ask;
-  csp_target_kind_t kind
-      = ask->kind == CSP_POOL_ENGINES ? CSP_TARGET_ENGINE : CSP_TARGET_SERVICE;
+  csp_target_kind_t kind = ask->pool_kind == CSP_POOL_ENGINES
+                               ? CSP_TARGET_ENGINE
+                               : CSP_TARGET_SERVICE;
   uint32_t i;
 
   if (request->spill != NULL
@@ -257,7 +259,7 @@
     return true;
   /* A leaving host grants nothing more on its own targets.  Without a peer
      that takes them over, the request would wait until the drain limit.  */
-  if (atomic_load (&control->leaving) && ask->kind == CSP_POOL_ENGINES
+  if (atomic_load (&control->leaving) && ask->pool_kind == CSP_POOL_ENGINES
       && !csp_has_live_local_peer (control, now_ms))
     return false;
   for (i = 0; i < control->target_capacity; i++)
@@ -275,7 +277,7 @@
 {
   csp_error_t error;
 
-  if (request->waiter->ask->kind == CSP_POOL_ENGINES)
+  if (request->waiter->ask->pool_kind == CSP_POOL_ENGINES)
     csp_start_spill (control, request, now_ms);
   if (is_worth_waiting (control, request, now_ms))
     {
@@ -293,7 +295,7 @@
 static void
 pump_pool (csp_control_t *control, csp_pool_state_t *pool, int64_t now_ms)
 {
-  csp_waiting_t waiting;
+  csp_waiting_request_t waiting;
   csp_tracked_request_t *request;
   uint64_t kept;
   uint32_t index;
@@ -304,7 +306,7 @@
   while (csp_next_waiting (pool->queue, &waiting, &borrowing))
     {
       request = csp_find_request (control, waiting.id);
-      kept = borrowing ? csp_queue_kept_tokens (pool->queue) : 0;
+      kept = borrowing ? csp_queue_lending_reserve_tokens (pool->queue) : 0;
       index = choose_target (control, request, kept, now_ms);
       if (index == UINT32_MAX)
         {
@@ -319,7 +321,7 @@
 static void
 refuse_expired (csp_control_t *control, csp_pool_state_t *pool, int64_t now_ms)
 {
-  csp_waiting_t waiting;
+  csp_waiting_request_t waiting;
   csp_error_t error;
   csp_tracked_request_t *request;
 
