--- a/source/control/control-choose.c
+++ b/source/control/control-choose.c
@@ -63,7 +63,7 @@
   const csp_target_state_t *target = control->targets[index];
   const csp_ledger_t *ledger = target->ledger;
   csp_stream_t needed = *stream;
-  uint32_t opening = csp_find_opening (control->ownership, index, now_ms);
+  uint32_t opening = csp_get_open_share (control->ownership, index, now_ms);
   uint64_t slots
       = csp_count_slot_tokens (control, target->listed.name, now_ms);
   uint64_t open_tokens
@@ -72,7 +72,7 @@
 
   needed.reserve_tokens += (uint32_t)slots;
   return opening > 0 && !csp_ledger_leaving (ledger)
-         && used_tokens * CSP_OPEN_FULL <= open_tokens
+         && used_tokens * CSP_OPEN_SHARE_FULL <= open_tokens
          && csp_decide_admission (ledger, &needed, now_ms) == CSP_ADMIT;
 }
 
@@ -83,7 +83,7 @@
 {
   const csp_target_state_t *target = control->targets[index];
 
-  return csp_health_open (control->health, index) * target->shift.open;
+  return csp_health_share (control->health, index) * target->shift.open;
 }
 
 static csp_candidate_t
@@ -94,7 +94,7 @@
   csp_candidate_t candidate
       = { .ledger = target->ledger,
           .cached_tokens = csp_cached_tokens (&target->prefixes, prefix),
-          .open = usable_share (control, index),
+          .usable_share = usable_share (control, index),
           .slowness = csp_health_slowness (control->health, index) };
 
   return candidate;
@@ -112,7 +112,7 @@
   for (i = 0; i < control->target_capacity; i++)
     if (is_available_target (control, pool, CSP_TARGET_ENGINE, tried, i,
                              now_ms)
-        && csp_health_open (control->health, i) <= 0
+        && csp_health_share (control->health, i) <= 0
         && has_capacity (control, stream, i, now_ms)
         && csp_take_probe (control->health, i, control->targets[i]->streams,
                            now_ms))
@@ -136,7 +136,7 @@
   for (i = 0; i < control->target_capacity; i++)
     if (is_available_target (control, pool, CSP_TARGET_ENGINE, &none, i,
                              now_ms)
-        && csp_find_opening (control->ownership, i, now_ms) > 0)
+        && csp_get_open_share (control->ownership, i, now_ms) > 0)
       control->candidates[count++] = describe_candidate (control, i, 0);
   return csp_may_borrow (control->candidates, count, kept_tokens, cost_tokens,
                          now_ms);
@@ -201,10 +201,10 @@
 
   if (end == CSP_LINK_COMPLETE)
     target->failures = 0;
-  if (!csp_link_failed (end))
+  if (!csp_is_target_failure (end))
     return;
   target->failures++;
-  csp_start_shift (&target->shift, &control->shift_policy, now_ms);
+  csp_begin_slow_start (&target->shift, &control->shift_policy, now_ms);
   target->avoid_until_ms
       = now_ms + (avoid_ms < AVOID_MAX_MS ? avoid_ms : AVOID_MAX_MS);
   CSP_LOG (control->context->log, CSP_EVENT_TARGET_LOST, NULL,
@@ -218,9 +218,9 @@
                        int64_t now_ms)
 {
   if (now_ms - control->started_ms < STARTUP_MS)
-    csp_open_shift (&target->shift);
+    csp_skip_slow_start (&target->shift);
   else
-    csp_start_shift (&target->shift, &control->shift_policy, now_ms);
+    csp_begin_slow_start (&target->shift, &control->shift_policy, now_ms);
 }
 
 static int
@@ -274,7 +274,7 @@
   if (now_ms >= control->next_health_ms)
     {
       update_fleet_health (control, now_ms);
-      csp_weigh_health (control->health, now_ms);
+      csp_update_health (control->health, now_ms);
       control->next_health_ms = now_ms + HEALTH_INTERVAL_MS;
     }
   for (i = 0; i < control->target_capacity; i++)
@@ -284,7 +284,8 @@
         continue;
       healthy = now_ms >= target->avoid_until_ms
                 && csp_ledger_foreign_tokens (target->ledger) == 0;
-      csp_move_shift (&target->shift, &control->shift_policy, healthy, now_ms);
+      csp_advance_slow_start (&target->shift, &control->shift_policy, healthy,
+                              now_ms);
     }
 }
 
@@ -299,7 +300,7 @@
   for (i = 0; i < known; i++)
     {
       csp_view_host (control->membership, i, now_ms, &view);
-      if (csp_host_owns (&view))
+      if (csp_may_host_own_targets (&view))
         owners++;
     }
   return owners == 0 ? 1 : owners;
--- a/source/control/control-config.c
+++ b/source/control/control-config.c
@@ -42,7 +42,7 @@
     view = csp_create_view (declaration);
   if (view != NULL && !csp_note_pool_revisions (view, values, count))
     {
-      csp_put_view (view);
+      csp_release_view (view);
       view = NULL;
     }
   if (csp_count_faults (faults) > 0)
@@ -60,14 +60,14 @@
 release_view (void *state, void *built)
 {
   (void)state;
-  csp_put_view (built);
+  csp_release_view (built);
 }
 
 bool
 csp_open_config (csp_control_t *control, int64_t now_ms)
 {
   const csp_settings_t *settings = &control->context->settings;
-  csp_config_check_t check = { build_view, release_view, control };
+  csp_config_builder_t check = { build_view, release_view, control };
   csp_membership_settings_t member
       = { .deployment = settings->deployment,
           .name = settings->host,
@@ -86,7 +86,7 @@
   if (control->configuration == NULL || control->membership == NULL
       || control->ownership == NULL)
     return false;
-  control->spread = csp_create_spread (
+  control->spread = csp_create_config_sync (
       control->configuration, csp_random_u64 (&control->random), now_ms);
   return control->spread != NULL;
 }
@@ -94,7 +94,7 @@
 void
 csp_close_config (csp_control_t *control)
 {
-  csp_destroy_spread (control->spread);
+  csp_destroy_config_sync (control->spread);
   csp_destroy_ownership (control->ownership);
   csp_destroy_membership (control->membership);
   csp_destroy_configuration (control->configuration);
@@ -106,10 +106,10 @@
 {
   csp_config_status_t status;
 
-  csp_describe_configuration (control->configuration, &status);
+  csp_get_configuration_status (control->configuration, &status);
   switch (result)
     {
-    case CSP_CONFIG_TAKEN:
+    case CSP_CONFIG_APPLIED:
       CSP_LOG (control->context->log, CSP_EVENT_CONFIGURATION_TAKEN, NULL,
                csp_number ("revision", status.revision),
                csp_number ("values", (int64_t)status.value_count));
@@ -130,7 +130,7 @@
                csp_text ("fault", status.fault));
       break;
     case CSP_CONFIG_SAME:
-    case CSP_CONFIG_ASK_WHOLE:
+    case CSP_CONFIG_NEEDS_FULL:
     case CSP_CONFIG_RESULT_COUNT:
       break;
     }
@@ -140,9 +140,9 @@
 csp_apply_config_result (csp_control_t *control, csp_config_result_t result)
 {
   log_config_result (control, result);
-  if (result == CSP_CONFIG_TAKEN)
+  if (result == CSP_CONFIG_APPLIED)
     csp_publish_view (control,
-                      csp_built_configuration (control->configuration));
+                      csp_get_built_configuration (control->configuration));
 }
 
 static void
@@ -187,7 +187,7 @@
   char *copy;
 
   if (csp_apply_host_list (control->membership, list, now_ms)
-      != CSP_LIST_TAKEN)
+      != CSP_LIST_APPLIED)
     return;
   watch->version = list->version;
   copy = strdup (text);
@@ -229,7 +229,8 @@
   bool read_ok = command->body != NULL
                  && read_host_list (control, command->body, now_ms);
 
-  csp_note_list_read (&control->host_watch.read_schedule, read_ok, now_ms);
+  csp_note_list_read_ended (&control->host_watch.read_schedule, read_ok,
+                            now_ms);
 }
 
 void
@@ -255,7 +256,7 @@
   csp_host_view_t view;
   size_t i;
 
-  if (!watch->read_schedule.away || now_ms < watch->next_pull_ms)
+  if (!watch->read_schedule.last_read_failed || now_ms < watch->next_pull_ms)
     return;
   message.u.hosts_ask.after = watch->version;
   for (i = 0; i < count; i++)
@@ -317,7 +318,7 @@
 }
 
 static void
-read_config (csp_control_t *control, const csp_spread_action_t *action,
+read_config (csp_control_t *control, const csp_config_sync_action_t *action,
              int64_t now_ms)
 {
   csp_control_command_t *command = csp_new_command (CSP_COMMAND_CONFIG_READ);
@@ -336,7 +337,7 @@
 }
 
 static void
-pull_config (csp_control_t *control, const csp_spread_action_t *action,
+pull_config (csp_control_t *control, const csp_config_sync_action_t *action,
              int64_t now_ms)
 {
   csp_peer_message_t message = { .kind = CSP_PEER_PULL_ASK };
@@ -361,27 +362,27 @@
   sent = csp_start_read (control, &control->platform, path,
                          HOSTS_WAIT_MS + HOSTS_TIMEOUT_MARGIN_MS,
                          csp_new_command (CSP_COMMAND_HOSTS_READ));
-  csp_note_list_asked (&watch->read_schedule, sent, now_ms);
+  csp_note_list_read_sent (&watch->read_schedule, sent, now_ms);
 }
 
 void
 csp_tick_config (csp_control_t *control, int64_t now_ms)
 {
-  csp_spread_peer_t peers[CSP_MAX_SPREAD_PEERS];
-  csp_spread_actions_t actions;
+  csp_config_sync_peer_t peers[CSP_MAX_CONFIG_SYNC_PEERS];
+  csp_config_sync_actions_t actions;
   size_t rank;
-  size_t count = csp_fill_spread_peers (control->membership, now_ms, peers,
-                                        CSP_MAX_SPREAD_PEERS, &rank);
+  size_t count = csp_fill_config_sync_peers (
+      control->membership, now_ms, peers, CSP_MAX_CONFIG_SYNC_PEERS, &rank);
   size_t i;
 
-  csp_tick_spread (control->spread, peers, count, rank, now_ms, &actions);
+  csp_tick_config_sync (control->spread, peers, count, rank, now_ms, &actions);
   for (i = 0; i < actions.count; i++)
     switch (actions.items[i].kind)
       {
-      case CSP_SPREAD_READ_SERVICE:
+      case CSP_CONFIG_SYNC_READ_SERVICE:
         read_config (control, &actions.items[i], now_ms);
         break;
-      case CSP_SPREAD_PULL_PEER:
+      case CSP_CONFIG_SYNC_PULL_PEER:
         pull_config (control, &actions.items[i], now_ms);
         break;
       }
--- a/source/control/control-holdings.c
+++ b/source/control/control-holdings.c
@@ -50,8 +50,8 @@
     {
       request = &control->requests[i];
       if (request->id == 0 || request->spill == NULL
-          || !csp_held_by_handoff (request->spill->handoff, &granting_peer,
-                                   &slots[message.u.holdings.count])
+          || !csp_get_handoff_slot (request->spill->handoff, &granting_peer,
+                                    &slots[message.u.holdings.count])
           || (strcmp (request->spill->peers[granting_peer].name, peer->name)
                   != 0
               && !is_current_owner (control, request->spill->target,
--- a/source/control/control-imp.h
+++ b/source/control/control-imp.h
@@ -91,7 +91,7 @@
   uint64_t tracking_id;
   uint64_t tokens;
   int64_t blocked_ms;
-  csp_place_outcome_t outcome;
+  csp_grant_outcome_t outcome;
   csp_once_outcome_t once_outcome;
   uint64_t id;
   int64_t after;
@@ -143,11 +143,11 @@
   int64_t avoid_until_ms;
   int64_t next_report_ms;
   csp_prefixes_t prefixes;
-  csp_shift_t shift;
+  csp_slow_start_t shift;
   bool report_pending;
   bool owned;
   int64_t leaving_since_ms;
-  csp_order_engine_t *orders;
+  csp_order_tracker_t *orders;
   struct json_object *last_report; /* of its load and its orders */
 } csp_target_state_t;
 
@@ -247,7 +247,7 @@
   csp_host_watch_t host_watch;
 
   csp_configuration_t *configuration;
-  csp_spread_t *spread;
+  csp_config_sync_t *spread;
   csp_membership_t *membership;
   csp_ownership_t *ownership;
   bool platform_unreachable;
@@ -264,7 +264,7 @@
   uint32_t request_count;
   uint64_t next_request;
   csp_once_settings_t once_settings;
-  csp_once_t *once;
+  csp_once_key_store_t *once;
   csp_once_entry_t *once_rounds;
   uint64_t next_round_id;
   csp_order_pool_t order_pools[CSP_CONTROL_MAX_POOLS];
@@ -503,7 +503,7 @@
                       int64_t now_ms);
 void csp_handle_reserve_answer (csp_control_t *control,
                                 const csp_control_command_t *command,
-                                const csp_peer_reserved_t *reserved,
+                                const csp_peer_reserve_answer_t *reserved,
                                 int64_t now_ms);
 void csp_handle_commit_answer (csp_control_t *control,
                                const csp_control_command_t *command,
@@ -514,7 +514,7 @@
 void csp_cancel_spill (csp_control_t *control, csp_tracked_request_t *request,
                        int64_t now_ms);
 void csp_finish_spill (csp_control_t *control, csp_tracked_request_t *request,
-                       const csp_place_outcome_t *outcome, int64_t now_ms);
+                       const csp_grant_outcome_t *outcome, int64_t now_ms);
 void csp_tick_spills (csp_control_t *control, int64_t now_ms);
 void csp_tick_holdings (csp_control_t *control, int64_t now_ms);
 
@@ -530,8 +530,8 @@
                               const csp_peer_release_t *release,
                               int64_t now_ms);
 void csp_answer_reserve (csp_control_t *control,
-                         const csp_peer_reserve_t *reserve, int64_t now_ms,
-                         csp_peer_reserved_t *reserved);
+                         const csp_peer_reserve_ask_t *reserve, int64_t now_ms,
+                         csp_peer_reserve_answer_t *reserved);
 void csp_sync_ownership (csp_control_t *control, int64_t now_ms);
 uint64_t csp_count_slot_tokens (csp_control_t *control, const char *target,
                                 int64_t now_ms);
--- a/source/control/control-limits.c
+++ b/source/control/control-limits.c
@@ -98,7 +98,7 @@
 
   if (row == NULL)
     return NULL;
-  csp_open_limit (&row->limit, &policy, declared->tokens_per_s,
+  csp_init_limit (&row->limit, &policy, declared->tokens_per_s,
                   declared->max_open_streams,
                   control->limits->other_host_count + 1, now_ms);
   return row;
@@ -128,8 +128,8 @@
   if (row == NULL)
     return NULL;
   if (row->limit.tokens_per_s != declared->tokens_per_s
-      || row->limit.most_open != declared->max_open_streams)
-    csp_change_limit (&row->limit, declared->tokens_per_s,
+      || row->limit.max_open != declared->max_open_streams)
+    csp_update_limit (&row->limit, declared->tokens_per_s,
                       declared->max_open_streams);
   row->max_waiting = declared->max_waiting;
   return row;
@@ -164,8 +164,8 @@
   if (row == NULL)
     return false;
   if (!may_queue (row)
-      || !csp_open_limited (&row->limit, request->cost_tokens, now_ms,
-                            &after_ms))
+      || !csp_admit_limited_stream (&row->limit, request->cost_tokens, now_ms,
+                                    &after_ms))
     {
       csp_set_error (error, CSP_VERDICT_NOT_RUN, CSP_REASON_LIMIT, after_ms,
                      "the limit of %s %s is used up", kind, name);
@@ -195,8 +195,8 @@
       if (limits->rows[i] == NULL)
         continue;
       csp_publish_demand (&limits->rows[i]->limit);
-      csp_share_limit (&limits->rows[i]->limit, limits->other_hosts,
-                       limits->other_host_count);
+      csp_update_limit_share (&limits->rows[i]->limit, limits->other_hosts,
+                              limits->other_host_count);
     }
 }
 
@@ -248,7 +248,7 @@
 
   csp_end_limited_wait (request);
   for (i = 0; i < request->limit_count; i++)
-    csp_close_limited (&request->limits[i]->limit, request->cost_tokens,
-                       used_tokens);
+    csp_end_limited_stream (&request->limits[i]->limit, request->cost_tokens,
+                            used_tokens);
   request->limit_count = 0;
 }
--- a/source/control/control-offers.c
+++ b/source/control/control-offers.c
@@ -15,7 +15,7 @@
 
 static size_t
 list_local_offers (csp_control_t *control, int64_t now_ms,
-                   csp_peer_offer_t *offers)
+                   csp_peer_candidate_t *offers)
 {
   size_t host_count = csp_count_hosts (control->membership);
   csp_host_view_t view;
@@ -46,7 +46,7 @@
    new count.  */
 static size_t
 list_remote_offers (csp_control_t *control, const char *data_centre,
-                    int64_t now_ms, csp_peer_offer_t *offers, size_t count)
+                    int64_t now_ms, csp_peer_candidate_t *offers, size_t count)
 {
   csp_summary_t summary;
   size_t row;
@@ -73,7 +73,7 @@
 csp_choose_spill_peers (csp_control_t *control, csp_tracked_request_t *request,
                         int64_t now_ms)
 {
-  csp_peer_offer_t offers[MAX_OFFERS];
+  csp_peer_candidate_t offers[MAX_OFFERS];
   size_t chosen[CSP_HANDOFF_MAX_PEERS];
   const char *data_centre = request->waiter->ask->spill_to;
   size_t count = 0;
@@ -100,9 +100,9 @@
 csp_is_for_other_data_centre (csp_control_t *control,
                               const csp_admission_ask_t *ask, int64_t now_ms)
 {
-  csp_peer_offer_t offers[MAX_OFFERS];
+  csp_peer_candidate_t offers[MAX_OFFERS];
 
-  return ask->spill_to != NULL && ask->kind == CSP_POOL_ENGINES
+  return ask->spill_to != NULL && ask->pool_kind == CSP_POOL_ENGINES
          && !is_own_data_centre (control, ask->spill_to)
          && list_remote_offers (control, ask->spill_to, now_ms, offers, 0) > 0;
 }
@@ -110,7 +110,7 @@
 bool
 csp_has_live_local_peer (csp_control_t *control, int64_t now_ms)
 {
-  csp_peer_offer_t offers[MAX_OFFERS];
+  csp_peer_candidate_t offers[MAX_OFFERS];
 
   return list_local_offers (control, now_ms, offers) > 0;
 }
--- a/source/control/control-once.c
+++ b/source/control/control-once.c
@@ -4,9 +4,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Sends and receives the messages of at-most-once rounds.  csp_once_t, which
-   records keys on this host, and csp_once_round_t, one request with a key,
-   decide.  See docs/AT-MOST-ONCE.md.  */
+/* Sends and receives the messages of at-most-once rounds.
+   csp_once_key_store_t, which records keys on this host, and csp_once_round_t,
+   one request with a key, decide.  See docs/AT-MOST-ONCE.md.  */
 
 enum
 {
@@ -31,7 +31,8 @@
 
   csp_copy_text (self.name, sizeof self.name, control->context->settings.host);
   control->once_settings = csp_default_once_settings ();
-  control->once = csp_create_once (&control->once_settings, &self, now_ms);
+  control->once
+      = csp_create_once_key_store (&control->once_settings, &self, now_ms);
   return control->once != NULL;
 }
 
@@ -46,7 +47,7 @@
       csp_destroy_once_round (entry->round);
       free (entry);
     }
-  csp_destroy_once (control->once);
+  csp_destroy_once_key_store (control->once);
 }
 
 static csp_once_entry_t *
@@ -119,17 +120,18 @@
 
 static void
 send_outcome (csp_control_t *control, csp_once_entry_t *entry,
-              const char *host, const csp_outcome_tell_t *tell, int64_t now_ms)
+              const char *host, const csp_outcome_report_t *tell,
+              int64_t now_ms)
 {
   csp_peer_message_t message = { .kind = CSP_PEER_OUTCOME_TELL };
-  csp_once_event_t event = { .kind = CSP_ONCE_TOLD, .host = host };
+  csp_once_event_t event = { .kind = CSP_ONCE_OUTCOME_ACKED, .host = host };
   csp_once_action_t action;
   csp_peer_address_t peer;
 
   if (strcmp (host, control->context->settings.host) == 0)
     {
-      csp_settle_claim (control->once, tell, now_ms,
-                        csp_wall_ms (&control->context->clock));
+      csp_record_claim_outcome (control->once, tell, now_ms,
+                                csp_wall_ms (&control->context->clock));
       step_round (control, entry, &event, now_ms, &action);
       return;
     }
@@ -155,7 +157,7 @@
     csp_copy_text (names[i], sizeof names[i], copy.hosts[i]);
   for (i = 0; i < copy.host_count; i++)
     if (tell)
-      send_outcome (control, entry, names[i], &copy.tell, now_ms);
+      send_outcome (control, entry, names[i], &copy.report, now_ms);
     else
       send_claim (control, entry, names[i], &copy.ask, now_ms);
   free (names);
@@ -181,7 +183,7 @@
 {
   switch (action->kind)
     {
-    case CSP_ONCE_ASK:
+    case CSP_ONCE_SEND_CLAIM:
       send_to_hosts (control, entry, action, false, now_ms);
       break;
     case CSP_ONCE_RUN:
@@ -195,7 +197,7 @@
       answer_claim (entry, &action->error);
       send_to_hosts (control, entry, action, true, now_ms);
       break;
-    case CSP_ONCE_TELL:
+    case CSP_ONCE_SEND_OUTCOME:
       send_to_hosts (control, entry, action, true, now_ms);
       break;
     case CSP_ONCE_SEND:
@@ -230,9 +232,10 @@
   for (i = 0; i < known; i++)
     {
       csp_view_host (control->membership, i, now_ms, &view);
-      if (csp_is_live_local_peer (control, &view) && view.confirmed_age_ms >= 0
-          && now_ms - view.confirmed_age_ms > confirmed_ms)
-        confirmed_ms = now_ms - view.confirmed_age_ms;
+      if (csp_is_live_local_peer (control, &view)
+          && view.round_trip_age_ms >= 0
+          && now_ms - view.round_trip_age_ms > confirmed_ms)
+        confirmed_ms = now_ms - view.round_trip_age_ms;
     }
   return confirmed_ms;
 }
@@ -249,7 +252,7 @@
     goto fail;
   view.count = list_claim_hosts (control, now_ms, hosts);
   view.confirmed_ms = find_confirmed_ms (control, now_ms);
-  view.complete = control->host_watch.version > 0;
+  view.list_read = control->host_watch.version > 0;
   entry->round
       = csp_create_once_round (&control->once_settings, &ask->key, &view,
                                &control->random, ask->deadline_ms);
@@ -306,7 +309,7 @@
 {
   csp_once_entry_t *entry = find_round (control, id);
   csp_once_event_t event
-      = { .kind = CSP_ONCE_ENDED, .u = { .outcome = outcome } };
+      = { .kind = CSP_ONCE_RUN_ENDED, .u = { .outcome = outcome } };
   csp_once_action_t action;
 
   if (entry != NULL)
@@ -335,7 +338,8 @@
                                  int64_t now_ms)
 {
   csp_once_entry_t *entry = find_round (control, command->id);
-  csp_once_event_t event = { .kind = CSP_ONCE_TOLD, .host = command->name };
+  csp_once_event_t event
+      = { .kind = CSP_ONCE_OUTCOME_ACKED, .host = command->name };
   csp_once_action_t action;
 
   if (entry != NULL && answer->kind == CSP_PEER_ACKNOWLEDGE)
@@ -354,7 +358,7 @@
     {
       if (now_ms >= csp_next_once_tick (entry->round))
         step_round (control, entry, &event, now_ms, &action);
-      if (!csp_once_round_over (entry->round))
+      if (!csp_is_once_round_over (entry->round))
         {
           link = &entry->next;
           continue;
--- a/source/control/control-orders-status.c
+++ b/source/control/control-orders-status.c
@@ -5,7 +5,7 @@
 /* Renders the wanted and reported state of an engine, for operators.  */
 
 static json_object *
-render_wanted_list (const csp_versioned_t *list, size_t count)
+render_wanted_list (const csp_named_version_t *list, size_t count)
 {
   json_object *object = json_object_new_object ();
   size_t i;
@@ -17,7 +17,7 @@
 }
 
 static json_object *
-render_wanted (const csp_wanted_t *wanted)
+render_wanted (const csp_wanted_state_t *wanted)
 {
   json_object *object = json_object_new_object ();
 
@@ -79,7 +79,7 @@
   if (target->last_report == NULL || control->view == NULL)
     return;
   csp_fill_config_facts (control, target, &facts);
-  csp_describe_order (target->orders, &status);
+  csp_get_order_status (target->orders, &status);
   object = json_object_new_object ();
   json_object_object_add (
       object, "state",
--- a/source/control/control-orders.c
+++ b/source/control/control-orders.c
@@ -114,14 +114,14 @@
 
 /* Read the loaded models or adapters of a report with their versions.  The
    strings belong to the report.  */
-static csp_versioned_t *
+static csp_named_version_t *
 read_versioned (json_object *report, const char *list, const char *versions,
                 size_t *count)
 {
   json_object *names = get_member (report, list, json_type_array);
   json_object *by_name = get_member (report, versions, json_type_object);
   json_object *version;
-  csp_versioned_t *read;
+  csp_named_version_t *read;
   size_t i;
 
   *count = names == NULL ? 0 : json_object_array_length (names);
@@ -245,7 +245,7 @@
   order_callback_t *callback = malloc (sizeof *callback);
   char *body = format_order (order);
   csp_endpoint_t endpoint;
-  int64_t lease_ms = csp_grant_until_ms (control->ownership);
+  int64_t lease_ms = csp_get_grant_lease_until_ms (control->ownership);
 
   if (command == NULL || callback == NULL || body == NULL)
     {
@@ -261,7 +261,7 @@
   csp_copy_text (command->name, sizeof command->name, target->listed.name);
   callback->control = control;
   callback->command = command;
-  callback->send_by_ms = now_ms + CSP_ORDER_FRESH_MS;
+  callback->send_by_ms = now_ms + CSP_ORDER_REPORT_MAX_AGE_MS;
   if (callback->send_by_ms > lease_ms)
     callback->send_by_ms = lease_ms;
   log_order (control, CSP_EVENT_ORDER_SENT, target, order);
@@ -276,20 +276,20 @@
 log_order_events (csp_control_t *control, const csp_target_state_t *target,
                   const csp_order_action_t *action, int64_t fence)
 {
-  if (action->events & CSP_ORDER_SAW_RESTART)
+  if (action->events & CSP_ORDER_EVENT_RESTART)
     CSP_LOG (control->context->log, CSP_EVENT_ENGINE_RESTARTED, NULL,
              csp_text ("target", target->listed.name));
-  if (action->events & CSP_ORDER_SAW_HELD_BACK)
+  if (action->events & CSP_ORDER_EVENT_HELD_BACK)
     CSP_LOG (control->context->log, CSP_EVENT_ORDER_HELD_BACK, NULL,
              csp_text ("target", target->listed.name),
              csp_number ("fence", fence));
-  if (action->events & CSP_ORDER_SAW_DONE)
+  if (action->events & CSP_ORDER_EVENT_DONE)
     log_order (control, CSP_EVENT_ORDER_DONE, target, &action->subject);
-  if (action->events & CSP_ORDER_SAW_FAILED)
+  if (action->events & CSP_ORDER_EVENT_FAILED)
     log_order (control, CSP_EVENT_ORDER_FAILED, target, &action->subject);
-  if (action->events & CSP_ORDER_SAW_GIVEN_UP)
+  if (action->events & CSP_ORDER_EVENT_GIVEN_UP)
     log_order (control, CSP_EVENT_ORDER_GIVEN_UP, target, &action->subject);
-  if (action->events & CSP_ORDER_SAW_UNDONE)
+  if (action->events & CSP_ORDER_EVENT_UNDONE)
     log_order (control, CSP_EVENT_ORDER_UNDONE, target, &action->subject);
 }
 
@@ -303,14 +303,14 @@
                                           target->listed.pool);
   csp_config_status_t status;
 
-  csp_describe_configuration (control->configuration, &status);
+  csp_get_configuration_status (control->configuration, &status);
   facts->revision = status.revision;
   facts->wanted_revision
       = csp_view_pool_revision (control->view, target->listed.pool);
   facts->routed = csp_view_models (control->view, &facts->routed_count);
   if (pool == NULL)
     return;
-  facts->wanted = csp_find_wanted (pool, target->listed.name);
+  facts->wanted = csp_get_wanted_state (pool, target->listed.name);
   facts->longest_order_ms = pool->longest_order_ms;
 }
 
@@ -324,7 +324,7 @@
 
   if (!csp_view_target (control->ownership, index, &view))
     return;
-  facts->granted = csp_find_opening (control->ownership, index, now_ms) > 0;
+  facts->granted = csp_get_open_share (control->ownership, index, now_ms) > 0;
   facts->leaving = view.state == CSP_OWN_LEAVING
                    || target->listed.state == CSP_MEMBER_LEAVING;
   facts->checks_fence = target->listed.checks_fence;
@@ -354,14 +354,14 @@
   const char *order = get_text (document, "order");
   csp_order_report_t report
       = { .asked_ms = asked_ms,
-          .report = (uint64_t)json_object_get_int64 (number),
+          .sequence = (uint64_t)json_object_get_int64 (number),
           .fence = json_object_get_int64 (fence),
           .role = get_text (document, "role"),
           .busy = order != NULL && strcmp (order, "busy") == 0 };
   csp_order_facts_t facts = { .report = &report };
   csp_order_action_t action;
-  csp_versioned_t *models;
-  csp_versioned_t *adapters;
+  csp_named_version_t *models;
+  csp_named_version_t *adapters;
 
   store_report (target, document);
   if (control->view == NULL || pool == NULL || pool->pace.interval_ms == 0)
@@ -397,7 +397,7 @@
       return CSP_ORDER_ANSWER_FENCE_OLD;
     case STATUS_UNAVAILABLE:
       return CSP_ORDER_ANSWER_BUSY;
-    case CSP_POST_LOST:
+    case CSP_POST_NO_RESPONSE:
       return CSP_ORDER_ANSWER_LOST;
     case CSP_POST_NOT_SENT:
       return CSP_ORDER_ANSWER_NOT_SENT;
@@ -428,6 +428,6 @@
 void
 csp_free_orders (csp_target_state_t *target)
 {
-  csp_destroy_order_engine (target->orders);
+  csp_destroy_order_tracker (target->orders);
   json_object_put (target->last_report);
 }
--- a/source/control/control-peer.c
+++ b/source/control/control-peer.c
@@ -45,7 +45,7 @@
   if (command == NULL || !copy_body (command, data, size_bytes))
     {
       csp_free_command (command);
-      csp_answer_peer (call, NULL, 0);
+      csp_reply_to_peer (call, NULL, 0);
       return;
     }
   command->call = call;
@@ -72,7 +72,7 @@
                                  .port = settings->peer_port,
                                  .deployment = settings->deployment,
                                  .tls = &settings->peer_tls,
-                                 .take = post_peer_ask,
+                                 .on_request = post_peer_ask,
                                  .state = control };
 
   control->deployment = csp_hash_pair ("deployment", settings->deployment);
@@ -103,8 +103,8 @@
   csp_copy_text (command->name, sizeof command->name, peer->name);
   callback->control = control;
   callback->command = command;
-  csp_ask_peer (control->peers, peer->address, peer->port, data, size_bytes,
-                timeout_ms, post_peer_answer, callback);
+  csp_send_peer_request (control->peers, peer->address, peer->port, data,
+                         size_bytes, timeout_ms, post_peer_answer, callback);
   free (data);
   return true;
 }
@@ -152,23 +152,23 @@
 /* The log event for each kind of membership event.  */
 static const csp_event_t member_events[] = {
   [CSP_MEMBER_EVENT_ALIVE] = CSP_EVENT_PEER_ALIVE,
-  [CSP_MEMBER_EVENT_CUT] = CSP_EVENT_PEER_SILENT,
+  [CSP_MEMBER_EVENT_UNREACHABLE] = CSP_EVENT_PEER_SILENT,
   [CSP_MEMBER_EVENT_SILENT] = CSP_EVENT_PEER_SILENT,
   [CSP_MEMBER_EVENT_RESTARTED] = CSP_EVENT_PEER_ALIVE,
   [CSP_MEMBER_EVENT_LEAVING] = CSP_EVENT_PEER_ALIVE,
   [CSP_MEMBER_EVENT_REFUSED] = CSP_EVENT_PEER_REFUSED,
-  [CSP_MEMBER_EVENT_WOKE_LATE] = CSP_EVENT_WOKE_LATE,
+  [CSP_MEMBER_EVENT_RESUMED] = CSP_EVENT_WOKE_LATE,
   [CSP_MEMBER_EVENT_LIST_STALE] = CSP_EVENT_HOST_LIST_BAD,
 };
 
 static const char *const member_states[] = {
   [CSP_MEMBER_EVENT_ALIVE] = "alive",
-  [CSP_MEMBER_EVENT_CUT] = "cut",
+  [CSP_MEMBER_EVENT_UNREACHABLE] = "cut",
   [CSP_MEMBER_EVENT_SILENT] = "silent",
   [CSP_MEMBER_EVENT_RESTARTED] = "restarted",
   [CSP_MEMBER_EVENT_LEAVING] = "leaving",
   [CSP_MEMBER_EVENT_REFUSED] = "refused",
-  [CSP_MEMBER_EVENT_WOKE_LATE] = "woke late",
+  [CSP_MEMBER_EVENT_RESUMED] = "woke late",
   [CSP_MEMBER_EVENT_LIST_STALE] = "stale list",
 };
 
@@ -177,12 +177,13 @@
 {
   csp_member_event_t event;
 
-  while (csp_take_member_event (control->membership, &event))
+  while (csp_pop_member_event (control->membership, &event))
     {
       if (event.kind == CSP_MEMBER_EVENT_SILENT)
         csp_orphan_holder (control->slots, event.peer, now_ms);
-      if (event.kind == CSP_MEMBER_EVENT_WOKE_LATE)
-        csp_note_list_woke (&control->host_watch.read_schedule, now_ms);
+      if (event.kind == CSP_MEMBER_EVENT_RESUMED)
+        csp_note_list_host_resumed (&control->host_watch.read_schedule,
+                                    now_ms);
       CSP_LOG (control->context->log, member_events[event.kind], NULL,
                csp_text ("peer", event.peer),
                csp_text ("state", member_states[event.kind]),
@@ -220,13 +221,13 @@
 publish_local_state (csp_control_t *control, int64_t now_ms)
 {
   csp_config_status_t config;
-  csp_spread_status_t spread;
+  csp_config_sync_status_t spread;
   csp_ownership_status_t owned;
   csp_local_state_t local = { 0 };
 
-  csp_describe_configuration (control->configuration, &config);
-  csp_describe_spread (control->spread, &spread);
-  csp_describe_ownership (control->ownership, &owned);
+  csp_get_configuration_status (control->configuration, &config);
+  csp_get_config_sync_status (control->spread, &spread);
+  csp_get_ownership_status (control->ownership, &owned);
   local.state
       = atomic_load (&control->leaving) ? CSP_MEMBER_LEAVING : CSP_MEMBER_LIVE;
   local.revision = config.revision;
@@ -237,7 +238,7 @@
   local.owned_targets = (uint32_t)owned.owned;
   local.median_gap_us
       = (uint32_t)(csp_health_median_ms (control->health) * US_PER_MS);
-  local.targets_out = csp_health_out (control->health);
+  local.targets_out = csp_count_reduced_targets (control->health);
   set_gauges (control, &local);
   csp_set_local_state (control->membership, &local);
 }
@@ -262,10 +263,10 @@
       if (view.liveness == CSP_PEER_SILENT)
         csp_orphan_holder (control->slots, view.name, now_ms);
       if (view.liveness == CSP_PEER_SILENT && !view.listed
-          && view.confirmed_age_ms > FORGET_HOLDER_AFTER_MS)
-        csp_forget_holder (control->slots, view.name);
-      if (csp_is_live_local_peer (control, &view) && !view.knows_us)
-        csp_delay_witness (control->once, now_ms);
+          && view.round_trip_age_ms > FORGET_HOLDER_AFTER_MS)
+        csp_remove_holder (control->slots, view.name);
+      if (csp_is_live_local_peer (control, &view) && !view.knows_this_host)
+        csp_restart_witness_delay (control->once, now_ms);
     }
   control->live_peers = live;
 }
@@ -293,14 +294,14 @@
               csp_peer_message_t *answer)
 {
   size_t count = ask->u.carry_ask.count;
-  csp_carry_t *carries = calloc (count + 1, sizeof *carries);
+  csp_carried_load_t *carries = calloc (count + 1, sizeof *carries);
   size_t i;
 
   if (carries == NULL)
     return;
   for (i = 0; i < count; i++)
-    csp_answer_carry (control->ownership, ask->u.carry_ask.targets[i],
-                      &carries[i]);
+    csp_get_carried_load (control->ownership, ask->u.carry_ask.targets[i],
+                          &carries[i]);
   answer->kind = CSP_PEER_CARRY_ANSWER;
   answer->u.carry_answer.count = count;
   answer->u.carry_answer.carries = carries;
@@ -311,10 +312,10 @@
 answer_pull (csp_control_t *control, const csp_peer_message_t *ask,
              csp_config_status_t *status, csp_peer_message_t *answer)
 {
-  csp_describe_configuration (control->configuration, status);
+  csp_get_configuration_status (control->configuration, status);
   answer->kind = CSP_PEER_PULL_ANSWER;
-  csp_find_config_changes (control->configuration, ask->u.pull_ask.after,
-                           &answer->u.pull_answer.delta);
+  csp_collect_config_changes (control->configuration, ask->u.pull_ask.after,
+                              &answer->u.pull_answer.delta);
   answer->u.pull_answer.refused_revision = status->refused_revision;
   answer->u.pull_answer.fault = status->fault;
 }
@@ -374,12 +375,12 @@
       break;
     case CSP_PEER_OUTCOME_TELL:
       answer->kind = CSP_PEER_ACKNOWLEDGE;
-      csp_settle_claim (control->once, &ask->u.outcome_tell, now_ms,
-                        csp_wall_ms (&control->context->clock));
+      csp_record_claim_outcome (control->once, &ask->u.outcome_tell, now_ms,
+                                csp_wall_ms (&control->context->clock));
       break;
     case CSP_PEER_HOLDINGS:
       answer->kind = CSP_PEER_ACKNOWLEDGE;
-      csp_take_holdings (control->slots, &ask->u.holdings, now_ms);
+      csp_apply_holdings (control->slots, &ask->u.holdings, now_ms);
       break;
     default:
       break;
@@ -404,7 +405,7 @@
              csp_number ("bytes", (int64_t)command->body_bytes));
   if (answer.kind != CSP_PEER_NONE)
     data = csp_encode_peer_message (&answer, control->deployment, &size_bytes);
-  csp_answer_peer (command->call, data, data == NULL ? 0 : size_bytes);
+  csp_reply_to_peer (command->call, data, data == NULL ? 0 : size_bytes);
   free (data);
   free (answer.array);
   csp_clear_peer_message (&ask);
@@ -429,12 +430,12 @@
                      const csp_peer_message_t *answer, int64_t now_ms)
 {
   if (answer->kind == CSP_PEER_CARRY_ANSWER)
-    csp_handle_carry (control->ownership, command->name, command->id,
-                      answer->u.carry_answer.carries,
-                      answer->u.carry_answer.count, now_ms);
+    csp_handle_load_query_answer (control->ownership, command->name,
+                                  command->id, answer->u.carry_answer.carries,
+                                  answer->u.carry_answer.count, now_ms);
   else
-    csp_handle_carry_lost (control->ownership, command->name, command->id,
-                           now_ms);
+    csp_handle_load_query_lost (control->ownership, command->name, command->id,
+                                now_ms);
 }
 
 static void
--- a/source/control/control-rules.c
+++ b/source/control/control-rules.c
@@ -17,7 +17,8 @@
 static const double min_lend_load = 0.001;
 
 void
-csp_set_terms (csp_admission_ask_t *ask, const csp_rule_outcome_t *outcome)
+csp_apply_rule_terms (csp_admission_ask_t *ask,
+                      const csp_rule_outcome_t *outcome)
 {
   ask->rule = outcome->rule;
   ask->lend_below = 0;
@@ -108,7 +109,7 @@
           used += target->streams;
           capacity += pool->max_open_streams;
         }
-      else if (csp_find_opening (control->ownership, i, now_ms) > 0)
+      else if (csp_get_open_share (control->ownership, i, now_ms) > 0)
         {
           used += csp_ledger_used_tokens (target->ledger)
                   + csp_count_slot_tokens (control, target->listed.name,
@@ -237,8 +238,8 @@
     return false;
   facts.load = csp_find_pool_load (control, find_declared_pool (ask));
   facts.time_in_queue_ms = now_ms - request->arrived_ms;
-  csp_decide_rule (ask->declaration, &facts, outcome);
-  return outcome->waited
+  csp_evaluate_rules (ask->declaration, &facts, outcome);
+  return outcome->requires_queue_time
          && (ask->rule == NULL || strcmp (ask->rule, outcome->rule) != 0);
 }
 
@@ -259,7 +260,7 @@
       csp_reject_waiting (control, request, &error, now_ms);
       return;
     }
-  csp_set_terms (&request->waiter->current_ask, &outcome);
+  csp_apply_rule_terms (&request->waiter->current_ask, &outcome);
   csp_requeue_waiting (control, request, now_ms);
 }
 
--- a/source/control/control-running.c
+++ b/source/control/control-running.c
@@ -96,14 +96,14 @@
   /* While this thread was paused, another host may have become the target's
      owner; both hosts would then fill the target.  */
   return request->target->index != UINT32_MAX
-         && csp_find_opening (control->ownership, request->target->index,
-                              now_ms)
+         && csp_get_open_share (control->ownership, request->target->index,
+                                now_ms)
                 > 0;
 }
 
 static void
 release_local (csp_control_t *control, csp_tracked_request_t *request,
-               const csp_place_outcome_t *outcome, int64_t now_ms)
+               const csp_grant_outcome_t *outcome, int64_t now_ms)
 {
   csp_target_state_t *target = request->target;
 
@@ -129,7 +129,7 @@
 {
   csp_tracked_request_t *request
       = csp_find_request (control, command->tracking_id);
-  const csp_place_outcome_t *outcome = &command->outcome;
+  const csp_grant_outcome_t *outcome = &command->outcome;
   csp_pool_state_t *pool;
 
   if (request == NULL || request->state == CSP_REQUEST_WAITING)
--- a/source/control/control-slots.c
+++ b/source/control/control-slots.c
@@ -31,13 +31,13 @@
 {
   csp_target_usage_t usage;
 
-  csp_count_target (control->slots, target, now_ms, &usage);
+  csp_get_target_usage (control->slots, target, now_ms, &usage);
   return usage.expected_tokens;
 }
 
 static uint32_t
 choose_engine_for_peer (csp_control_t *control,
-                        const csp_peer_reserve_t *reserve, int64_t now_ms)
+                        const csp_peer_reserve_ask_t *reserve, int64_t now_ms)
 {
   csp_stream_t stream = { .prompt_tokens = reserve->prompt_tokens,
                           .max_tokens = reserve->max_tokens,
@@ -52,8 +52,8 @@
           && !csp_may_lend (control, reserve->ask.pool,
                             reserve->lend_below_millis / 1000.0, now_ms)))
     return UINT32_MAX;
-  stream.length_key = csp_find_length_key (
-      control->lengths, reserve->ask.model, reserve->class_name);
+  stream.length_key = csp_get_length_key (control->lengths, reserve->ask.model,
+                                          reserve->class_name);
   tried.count = reserve->tried_count;
   memcpy (tried.names, reserve->tried, sizeof tried.names);
   return csp_choose_engine (control, reserve->ask.pool, &tried, &stream, 0,
@@ -61,7 +61,8 @@
 }
 
 static void
-fill_target_address (csp_control_t *control, csp_peer_reserved_t *reserved)
+fill_target_address (csp_control_t *control,
+                     csp_peer_reserve_answer_t *reserved)
 {
   const csp_target_state_t *target;
   uint32_t index;
@@ -77,14 +78,15 @@
 }
 
 void
-csp_answer_reserve (csp_control_t *control, const csp_peer_reserve_t *reserve,
-                    int64_t now_ms, csp_peer_reserved_t *reserved)
+csp_answer_reserve (csp_control_t *control,
+                    const csp_peer_reserve_ask_t *reserve, int64_t now_ms,
+                    csp_peer_reserve_answer_t *reserved)
 {
   uint32_t index;
 
   memset (reserved, 0, sizeof *reserved);
-  if (!csp_find_slot (control->slots, &reserve->ask, now_ms,
-                      &reserved->answer))
+  if (!csp_repeat_reserve_answer (control->slots, &reserve->ask, now_ms,
+                                  &reserved->answer))
     {
       index = choose_engine_for_peer (control, reserve, now_ms);
       if (index == UINT32_MAX)
@@ -104,7 +106,7 @@
   csp_target_state_t *target;
   uint32_t index;
 
-  if (release->failed
+  if (release->link_failed
       && csp_find_target (control->ownership, release->target, &index)
       && index < control->target_capacity && control->targets[index] != NULL)
     {
@@ -135,17 +137,17 @@
       if (target->listed.state == CSP_MEMBER_LIVE)
         target->leaving_since_ms = 0;
       if (owned && !target->owned)
-        csp_gain_target (control->slots, target->listed.name, now_ms);
+        csp_add_owned_target (control->slots, target->listed.name, now_ms);
       if (!owned && target->owned)
-        csp_lose_target (control->slots, target->listed.name);
+        csp_remove_owned_target (control->slots, target->listed.name);
       if (owned != target->owned)
         CSP_LOG (control->context->log, CSP_EVENT_OWNERSHIP_MOVED, NULL,
                  csp_text ("target", target->listed.name),
                  csp_text ("owner", view.owner));
       /* The ownership opens a target once peers have reported their streams on
          it.  */
-      if (owned && csp_find_opening (control->ownership, i, now_ms) > 0)
-        csp_open_target (control->slots, target->listed.name);
+      if (owned && csp_get_open_share (control->ownership, i, now_ms) > 0)
+        csp_end_target_settling (control->slots, target->listed.name);
       target->owned = owned;
     }
 }
--- a/source/control/control-spill.c
+++ b/source/control/control-spill.c
@@ -20,7 +20,7 @@
               const csp_handoff_action_t *action)
 {
   csp_peer_message_t message = { .kind = CSP_PEER_RESERVE_ASK };
-  csp_peer_reserve_t *reserve = &message.u.reserve_ask;
+  csp_peer_reserve_ask_t *reserve = &message.u.reserve_ask;
 
   reserve->ask = action->u.reserve;
   reserve->prompt_tokens = request->prompt_tokens;
@@ -61,7 +61,7 @@
   if (request != NULL)
     {
       message.u.release.tokens = request->generated_tokens;
-      message.u.release.failed = request->link_failed;
+      message.u.release.link_failed = request->link_failed;
       csp_copy_text (message.u.release.target, sizeof message.u.release.target,
                      request->spill->target);
     }
@@ -226,7 +226,8 @@
 void
 csp_handle_reserve_answer (csp_control_t *control,
                            const csp_control_command_t *command,
-                           const csp_peer_reserved_t *reserved, int64_t now_ms)
+                           const csp_peer_reserve_answer_t *reserved,
+                           int64_t now_ms)
 {
   csp_tracked_request_t *request = csp_find_request (control, command->id);
   csp_handoff_event_t event = { .kind = CSP_HANDOFF_RESERVE_ANSWER };
@@ -272,7 +273,7 @@
 csp_cancel_spill (csp_control_t *control, csp_tracked_request_t *request,
                   int64_t now_ms)
 {
-  csp_handoff_event_t event = { .kind = CSP_HANDOFF_HUNG_UP };
+  csp_handoff_event_t event = { .kind = CSP_HANDOFF_CALLER_GONE };
   csp_handoff_action_t action;
 
   if (request->spill == NULL)
@@ -299,7 +300,7 @@
 }
 
 static csp_handoff_event_kind_t
-classify_outcome (const csp_place_outcome_t *outcome)
+classify_outcome (const csp_grant_outcome_t *outcome)
 {
   switch (outcome->end)
     {
@@ -312,14 +313,14 @@
       return CSP_HANDOFF_TARGET_REFUSED;
     default:
       /* A target that confirmed the stop has freed the stream's memory.  */
-      return outcome->stopped ? CSP_HANDOFF_FINISHED
-                              : CSP_HANDOFF_TARGET_FAILED;
+      return outcome->stop_confirmed ? CSP_HANDOFF_FINISHED
+                                     : CSP_HANDOFF_TARGET_FAILED;
     }
 }
 
 void
 csp_finish_spill (csp_control_t *control, csp_tracked_request_t *request,
-                  const csp_place_outcome_t *outcome, int64_t now_ms)
+                  const csp_grant_outcome_t *outcome, int64_t now_ms)
 {
   csp_handoff_event_t event = { .kind = classify_outcome (outcome) };
   csp_handoff_action_t action;
@@ -327,7 +328,7 @@
   if (request->spill == NULL)
     return;
   request->generated_tokens = outcome->tokens;
-  request->link_failed = csp_link_failed (outcome->end);
+  request->link_failed = csp_is_target_failure (outcome->end);
   step_spill (control, request, &event, now_ms, &action);
   csp_cancel_spill (control, request, now_ms);
 }
--- a/source/control/control-status.c
+++ b/source/control/control-status.c
@@ -23,10 +23,10 @@
 {
   json_object *object = json_object_new_object ();
   csp_config_status_t status;
-  csp_spread_status_t spread;
+  csp_config_sync_status_t spread;
 
-  csp_describe_configuration (control->configuration, &status);
-  csp_describe_spread (control->spread, &spread);
+  csp_get_configuration_status (control->configuration, &status);
+  csp_get_config_sync_status (control->spread, &spread);
   add_number (object, "revision", status.revision);
   add_number (object, "values", (int64_t)status.value_count);
   add_number (object, "refused_revision", status.refused_revision);
--- a/source/control/control-targets.c
+++ b/source/control/control-targets.c
@@ -68,7 +68,7 @@
   if (target == NULL)
     return;
   target->ledger = csp_create_ledger (&policy, control->lengths);
-  target->orders = csp_create_order_engine ();
+  target->orders = csp_create_order_tracker ();
   if (target->ledger == NULL || target->orders == NULL)
     {
       csp_destroy_ledger (target->ledger);
@@ -151,7 +151,7 @@
                    json_object *document, int64_t now_ms)
 {
   csp_load_report_t report
-      = { .report = (uint64_t)get_number (document, "report"),
+      = { .sequence = (uint64_t)get_number (document, "report"),
           .memory_tokens = (uint32_t)get_number (document, "memory_tokens"),
           .used_tokens = (uint32_t)get_number (document, "used_tokens"),
           .running = (uint32_t)get_number (document, "running"),
@@ -159,7 +159,7 @@
           .preemptions = (uint64_t)get_number (document, "preemptions"),
           .leaving = reports_leaving (document) };
 
-  csp_take_report (control->targets[index]->ledger, &report, now_ms);
+  csp_apply_load_report (control->targets[index]->ledger, &report, now_ms);
   csp_handle_load_report (control->ownership, index, report.used_tokens,
                           report.memory_tokens, report.leaving, now_ms);
 }
@@ -207,11 +207,11 @@
 }
 
 static void
-send_carry_ask (csp_control_t *control, const csp_carry_ask_t *ask,
+send_carry_ask (csp_control_t *control, const csp_load_query_t *ask,
                 int64_t now_ms)
 {
   csp_peer_message_t message = { .kind = CSP_PEER_CARRY_ASK };
-  char *names[CSP_MAX_CARRY_TARGETS];
+  char *names[CSP_MAX_LOAD_QUERY_TARGETS];
   csp_peer_address_t peer;
   size_t i;
 
@@ -226,7 +226,8 @@
   message.u.carry_ask.targets = names;
   if (!csp_locate_peer (control, ask->peer, now_ms, &peer)
       || !csp_send_peer (control, &peer, &message, ask->id, ask->timeout_ms))
-    csp_handle_carry_lost (control->ownership, ask->peer, ask->id, now_ms);
+    csp_handle_load_query_lost (control->ownership, ask->peer, ask->id,
+                                now_ms);
 }
 
 int64_t
@@ -238,7 +239,7 @@
   for (i = 0; i < control->target_capacity; i++)
     if (control->targets[i] != NULL
         && control->targets[i]->listed.kind == CSP_TARGET_ENGINE
-        && csp_find_opening (control->ownership, i, now_ms) > 0)
+        && csp_get_open_share (control->ownership, i, now_ms) > 0)
       headroom_tokens += csp_ledger_headroom_tokens (
           control->targets[i]->ledger, CSP_PRIORITY_DEFAULT, now_ms);
   return headroom_tokens;
@@ -247,7 +248,7 @@
 void
 csp_tick_targets (csp_control_t *control, int64_t now_ms)
 {
-  csp_carry_asks_t asks;
+  csp_load_queries_t asks;
   csp_target_view_t view;
   csp_target_state_t *target;
   size_t ask_index;
@@ -264,9 +265,9 @@
           || !csp_view_target (control->ownership, i, &view)
           || view.state == CSP_OWN_OTHER)
         continue;
-      csp_set_carried (control->ownership, i,
-                       csp_ledger_used_tokens (target->ledger),
-                       target->streams, now_ms);
+      csp_set_carried_load (control->ownership, i,
+                            csp_ledger_used_tokens (target->ledger),
+                            target->streams, now_ms);
       read_load (control, i, now_ms);
     }
 }
--- a/source/control/control.c
+++ b/source/control/control.c
@@ -285,19 +285,19 @@
 }
 
 bool
-csp_control_ready (csp_control_t *control)
+csp_is_control_ready (csp_control_t *control)
 {
   return atomic_load (&control->ready);
 }
 
 void
-csp_leave_control (csp_control_t *control)
+csp_set_control_leaving (csp_control_t *control)
 {
   atomic_store (&control->leaving, true);
 }
 
 uint32_t
-csp_open_claims (csp_control_t *control)
+csp_count_open_claims (csp_control_t *control)
 {
   return atomic_load (&control->open_claims);
 }
--- a/source/control/view.c
+++ b/source/control/view.c
@@ -97,7 +97,7 @@
 }
 
 csp_view_t *
-csp_take_view (csp_control_t *control)
+csp_acquire_view (csp_control_t *control)
 {
   csp_view_t *view;
 
@@ -110,7 +110,7 @@
 }
 
 void
-csp_put_view (csp_view_t *view)
+csp_release_view (csp_view_t *view)
 {
   if (view == NULL || atomic_fetch_sub (&view->references, 1) != 1)
     return;
@@ -138,5 +138,5 @@
     atomic_fetch_add (&view->references, 1);
   rcu_assign_pointer (control->view, view);
   synchronize_rcu ();
-  csp_put_view (old);
+  csp_release_view (old);
 }
--- a/source/control/waiter.c
+++ b/source/control/waiter.c
@@ -74,8 +74,8 @@
 }
 
 int
-csp_ask_admission (csp_control_t *control, const csp_admission_ask_t *ask,
-                   csp_grant_t *grant, csp_error_t *error)
+csp_request_admission (csp_control_t *control, const csp_admission_ask_t *ask,
+                       csp_grant_t *grant, csp_error_t *error)
 {
   csp_waiter_t waiter
       = { .current_ask = *ask, .grant = grant, .error = error };
@@ -135,8 +135,8 @@
 }
 
 void
-csp_note_progress (csp_control_t *control, const csp_grant_t *grant,
-                   uint64_t tokens, int64_t blocked_ms)
+csp_report_progress (csp_control_t *control, const csp_grant_t *grant,
+                     uint64_t tokens, int64_t blocked_ms)
 {
   csp_control_command_t *command = csp_new_command (CSP_COMMAND_PROGRESS);
 
@@ -150,7 +150,7 @@
 
 void
 csp_release_grant (csp_control_t *control, const csp_grant_t *grant,
-                   const csp_place_outcome_t *outcome)
+                   const csp_grant_outcome_t *outcome)
 {
   csp_control_command_t *command = csp_new_command (CSP_COMMAND_RELEASE);
 
--- a/source/cordon/cordon.c
+++ b/source/cordon/cordon.c
@@ -86,9 +86,9 @@
   csp_cordon_t *row = find_row (cordons, data_centre);
 
   if (data_centre[0] == '\0' || strlen (data_centre) >= CSP_CORDON_NAME_BYTES)
-    return CSP_CORDON_NO_NAME;
+    return CSP_CORDON_INVALID_NAME;
   if (cordoned == (row != NULL))
-    return CSP_CORDON_AS_BEFORE;
+    return CSP_CORDON_UNCHANGED;
   if (cordoned)
     return add_cordon (cordons, data_centre, now_ms);
   *row = cordons->rows[--cordons->count];
--- a/source/cowslipd/cowslipd.c
+++ b/source/cowslipd/cowslipd.c
@@ -56,20 +56,20 @@
       = csp_now_ms (&context->clock) + settings->drain_limit_ms;
   bool stop_requested;
 
-  csp_announce_drain (entry);
+  csp_fail_readiness (entry);
   CSP_LOG (context->log, CSP_EVENT_DRAINING, NULL,
-           csp_number ("open_requests", csp_open_requests (entry)));
+           csp_number ("open_requests", csp_count_open_requests (entry)));
   stop_requested = wait_for_signal (signals, settings->drain_notice_ms);
-  csp_refuse_new (entry);
-  while (!stop_requested && csp_open_requests (entry) > 0
+  csp_refuse_new_requests (entry);
+  while (!stop_requested && csp_count_open_requests (entry) > 0
          && csp_now_ms (&context->clock) < deadline_ms)
     stop_requested = wait_for_signal (signals, DRAIN_POLL_MS);
-  if (csp_open_requests (entry) == 0)
+  if (csp_count_open_requests (entry) == 0)
     return;
   CSP_LOG (context->log, CSP_EVENT_DRAIN_LIMIT, NULL,
-           csp_number ("open_requests", csp_open_requests (entry)));
-  csp_stop_open (entry);
-  while (csp_open_requests (entry) > 0)
+           csp_number ("open_requests", csp_count_open_requests (entry)));
+  csp_abort_open_requests (entry);
+  while (csp_count_open_requests (entry) > 0)
     wait_for_signal (signals, DRAIN_POLL_MS);
 }
 
@@ -81,7 +81,7 @@
 {
   int64_t deadline_ms = csp_now_ms (&context->clock) + CLAIM_WAIT_MAX_MS;
 
-  while (csp_open_claims (control) > 0
+  while (csp_count_open_claims (control) > 0
          && csp_now_ms (&context->clock) < deadline_ms)
     if (wait_for_signal (signals, DRAIN_POLL_MS))
       break;
@@ -111,7 +111,7 @@
           csp_control_peer_port (control));
   fflush (stdout);
   sigwaitinfo (signals, NULL);
-  csp_leave_control (control);
+  csp_set_control_leaving (control);
   drain (entry, context, signals);
   wait_for_claims (control, context, signals);
   result = EXIT_SUCCESS;
--- a/source/declaration/declaration-explain.c
+++ b/source/declaration/declaration-explain.c
@@ -37,7 +37,7 @@
           .type = CSP_FIELD_U8,
           .offset = offsetof (request_t, facts.priority),
           .max = CSP_PRIORITY_MAX,
-          .standard = "255" },
+          .default_setting = "255" },
         { .name = "prompt_tokens",
           .type = CSP_FIELD_U32,
           .offset = offsetof (request_t, facts.prompt_tokens),
@@ -152,7 +152,7 @@
                             csp_described_request_t *request,
                             csp_faults_t *faults)
 {
-  csp_place_t place = { .where = where, .faults = faults };
+  csp_json_position_t place = { .where = where, .faults = faults };
   size_t before = csp_count_faults (faults);
   request_fields_t fields;
   struct json_object *root;
@@ -239,6 +239,6 @@
     fprintf (stream, "%zu %s: decides\n", i + 1, declaration->rules[i]->name);
   else
     fputs ("no rule holds: the route's or service's own pool\n", stream);
-  csp_decide_rule (declaration, facts, &outcome);
+  csp_evaluate_rules (declaration, facts, &outcome);
   print_outcome (&outcome, stream);
 }
--- a/source/declaration/declaration-item.c
+++ b/source/declaration/declaration-item.c
@@ -45,7 +45,7 @@
 }
 
 static void
-check_route (csp_place_t *place, csp_route_t *route)
+check_route (csp_json_position_t *place, csp_route_t *route)
 {
   if (route->model == NULL)
     route->model = route->name;
@@ -57,7 +57,7 @@
 }
 
 static void
-check_service (csp_place_t *place, csp_service_t *service)
+check_service (csp_json_position_t *place, csp_service_t *service)
 {
   if (service->path_prefix == NULL)
     service->path_prefix
@@ -72,24 +72,24 @@
 }
 
 static void
-check_ranges (csp_place_t *place, const csp_when_t *when)
+check_ranges (csp_json_position_t *place, const csp_when_t *when)
 {
   int i;
 
   for (i = 0; i < CSP_WHEN_RANGE_COUNT; i++)
     if (when->ranges[i].min > when->ranges[i].max)
       {
-        size_t length = csp_enter_place (place, "when", 0);
+        size_t length = csp_push_path (place, "when", 0);
 
-        csp_enter_place (place, csp_when_range_key (i), 0);
-        csp_add_place_fault (place, NULL, "min %g is above max %g",
-                             when->ranges[i].min, when->ranges[i].max);
-        csp_leave_place (place, length);
+        csp_push_path (place, csp_when_range_key (i), 0);
+        csp_add_fault_at (place, NULL, "min %g is above max %g",
+                          when->ranges[i].min, when->ranges[i].max);
+        csp_pop_path (place, length);
       }
 }
 
 static void
-check_rule (csp_place_t *place, csp_rule_t *rule)
+check_rule (csp_json_position_t *place, csp_rule_t *rule)
 {
   const csp_rule_action_t *then = &rule->then;
   int count = then->has_send + then->has_lend + then->has_spill
@@ -115,7 +115,7 @@
 }
 
 static void
-read_rule_order (csp_place_t *place, struct json_object *root,
+read_rule_order (csp_json_position_t *place, struct json_object *root,
                  csp_rule_order_t *order)
 {
   static const csp_field_t table[]
@@ -131,7 +131,7 @@
 
   if (!json_object_is_type (root, json_type_array))
     {
-      csp_add_place_fault (place, root, "must be a list of rules' names");
+      csp_add_fault_at (place, root, "must be a list of rules' names");
       return;
     }
   object = json_object_new_object ();
@@ -143,7 +143,7 @@
 /* Read the fields of an item.  The name is the first member of each struct in
    the union.  */
 static void
-read_item (csp_item_t *item, csp_place_t *place)
+read_item (csp_item_t *item, csp_json_position_t *place)
 {
   if (item->kind == CSP_KIND_RULE_ORDER)
     {
@@ -197,7 +197,7 @@
 {
   size_t before = csp_count_faults (faults);
   csp_item_t *item = create_item (value);
-  csp_place_t place
+  csp_json_position_t place
       = { .where = item->where, .arena = item->arena, .faults = faults };
 
   if (!csp_split_key (item->key, &item->kind, &item->name))
@@ -208,8 +208,8 @@
                      "NAME of 1 to 63 letters, digits, \".\", \"_\", \"-\"");
       goto fail;
     }
-  item->root
-      = csp_read_json_tree (item->where, item->text, item->text_bytes, faults);
+  item->root = csp_read_json_with_duplicates (item->where, item->text,
+                                              item->text_bytes, faults);
   if (item->root == NULL)
     goto fail;
   read_item (item, &place);
--- a/source/declaration/declaration-rules.c
+++ b/source/declaration/declaration-rules.c
@@ -217,7 +217,8 @@
             const csp_request_facts_t *facts, csp_rule_outcome_t *outcome)
 {
   outcome->rule = rule->name;
-  outcome->waited = rule->when.ranges[CSP_WHEN_TIME_IN_QUEUE].min > 0;
+  outcome->requires_queue_time
+      = rule->when.ranges[CSP_WHEN_TIME_IN_QUEUE].min > 0;
   outcome->action = rule->action;
   switch (rule->action)
     {
@@ -245,8 +246,9 @@
 }
 
 void
-csp_decide_rule (const csp_declaration_t *declaration,
-                 const csp_request_facts_t *facts, csp_rule_outcome_t *outcome)
+csp_evaluate_rules (const csp_declaration_t *declaration,
+                    const csp_request_facts_t *facts,
+                    csp_rule_outcome_t *outcome)
 {
   hashed_facts_t hashed;
   size_t i;
--- a/source/declaration/declaration-tables.c
+++ b/source/declaration/declaration-tables.c
@@ -66,7 +66,7 @@
           .help = "SHA-256 of each of its bearer keys" },
         { .name = "weight",
           U32 (csp_organisation_t, weight, 1, 1000000),
-          .standard = "1",
+          .default_setting = "1",
           .help = "share of tokens beside other organisations" },
         { .name = "limits",
           .type = CSP_FIELD_OBJECT,
@@ -77,7 +77,7 @@
 static const csp_field_t class_table[]
     = { { .name = "priority",
           PRIORITY (csp_class_t, priority),
-          .standard = "5",
+          .default_setting = "5",
           .help = "0, first to give way, to 9" },
         { .name = "deadline_ms",
           U32 (csp_class_t, deadline_ms, 1, DAY_MS),
@@ -153,7 +153,7 @@
           .help = "calls whose repeating differs from their method's" },
         { .name = "priority",
           PRIORITY (csp_service_t, priority),
-          .standard = "5",
+          .default_setting = "5",
           .help = "0, first to give way, to 9" },
         { .name = "deadline_ms",
           U32 (csp_service_t, deadline_ms, 1, DAY_MS),
@@ -172,7 +172,7 @@
 
 static const csp_field_t versioned_table[]
     = { { .name = "version",
-          TEXT (csp_versioned_t, version, CSP_FORM_NAME),
+          TEXT (csp_named_version_t, version, CSP_FORM_NAME),
           .required = true,
           .help = "version to have loaded" },
         { 0 } };
@@ -181,19 +181,19 @@
     = { { .name = "models",
           .type = CSP_FIELD_MAP,
           .form = CSP_FORM_NAME,
-          STRUCTS (csp_wanted_t, models, model_count, csp_versioned_t,
-                   versioned_table, MODELS_MAX),
+          STRUCTS (csp_wanted_state_t, models, model_count,
+                   csp_named_version_t, versioned_table, MODELS_MAX),
           .help = "models to have loaded" },
         { .name = "adapters",
           .type = CSP_FIELD_MAP,
           .form = CSP_FORM_NAME,
-          STRUCTS (csp_wanted_t, adapters, adapter_count, csp_versioned_t,
-                   versioned_table, MODELS_MAX),
+          STRUCTS (csp_wanted_state_t, adapters, adapter_count,
+                   csp_named_version_t, versioned_table, MODELS_MAX),
           .help = "adapters to have loaded" },
         { .name = "role",
           .type = CSP_FIELD_CHOICE,
-          .offset = offsetof (csp_wanted_t, role),
-          .present_offset = offsetof (csp_wanted_t, has_role),
+          .offset = offsetof (csp_wanted_state_t, role),
+          .present_offset = offsetof (csp_wanted_state_t, has_role),
           .choices = roles,
           .help = "what the engine does" },
         { 0 } };
@@ -215,27 +215,27 @@
           .help = "what its targets are" },
         { .name = "memory_tokens",
           U32 (csp_pool_t, memory_tokens, 1, LIMIT_MAX),
-          .standard = "100000",
+          .default_setting = "100000",
           .help = "memory of an engine until it reports its own" },
         { .name = "max_open_streams",
           U32 (csp_pool_t, max_open_streams, 1, LIMIT_MAX),
-          .standard = "256",
+          .default_setting = "256",
           .help = "requests open on one target" },
         { .name = "max_waiting",
           U32 (csp_pool_t, max_waiting, 1, LIMIT_MAX),
-          .standard = "1000",
+          .default_setting = "1000",
           .help = "requests that wait for it on one host" },
         { .name = "resume_window_ms",
           U32 (csp_pool_t, resume_window_ms, 1, DAY_MS),
-          .standard = "30000",
+          .default_setting = "30000",
           .help = "how long an engine keeps a generation whose link was cut" },
         { .name = "longest_order_ms",
           U32 (csp_pool_t, longest_order_ms, 1, DAY_MS),
-          .standard = "600000",
+          .default_setting = "600000",
           .help = "how long an order may take" },
         { .name = "loads_per_minute",
           U32 (csp_pool_t, loads_per_minute, 1, 100000),
-          .standard = "60",
+          .default_setting = "60",
           .help = "loads that start on its engines, over all hosts" },
         { .name = "wanted",
           .type = CSP_FIELD_OBJECT,
@@ -269,7 +269,7 @@
   {                                                                           \
     .name = (key), .type = (number_type),                                     \
     .offset = offsetof (csp_range_t, member), .min = 0, .max = (highest),     \
-    .standard = (default_text), .help = (help_text)                           \
+    .default_setting = (default_text), .help = (help_text)                    \
   }
 
 static const csp_field_t priority_table[]
@@ -303,7 +303,7 @@
     .help = "pool to send to; default the route's" },                         \
       { .name = "priority",                                                   \
         PRIORITY (csp_rule_t, then.member.priority),                          \
-        .standard = "255",                                                    \
+        .default_setting = "255",                                             \
         .help = "0 to 9; default the request's" },                            \
       { .name = "weight",                                                     \
         U32 (csp_rule_t, then.member.weight, 1, 1000000),                     \
@@ -322,7 +322,7 @@
           .offset = offsetof (csp_rule_t, then.lend_max_load),
           .min = 0,
           .max = 1,
-          .standard = "0.8",
+          .default_setting = "0.8",
           .help = "only while the pool's load is below" },
         { 0 } };
 static const csp_field_t spill_table[]
--- a/source/declaration/declaration.c
+++ b/source/declaration/declaration.c
@@ -302,8 +302,8 @@
   return false;
 }
 
-const csp_wanted_t *
-csp_find_wanted (const csp_pool_t *pool, const char *target)
+const csp_wanted_state_t *
+csp_get_wanted_state (const csp_pool_t *pool, const char *target)
 {
   size_t i;
 
--- a/source/dispatch/dispatch-imp.h
+++ b/source/dispatch/dispatch-imp.h
@@ -65,11 +65,11 @@
 struct csp_dispatch
 {
   csp_fleet_t *fleet;
-  csp_take_ask_answer_t deliver;
+  csp_deliver_ask_answer_t deliver;
   void *state;
   csp_random_t random;
   uint64_t next_id;
-  csp_warmup_duty_t duty;
+  csp_decider_role_t duty;
   size_t pool_count;
   csp_dispatch_pool_t pools[CSP_DISPATCH_POOLS_MAX];
   size_t organisation_count;
--- a/source/dispatch/dispatch-move.c
+++ b/source/dispatch/dispatch-move.c
@@ -110,7 +110,7 @@
 {
   csp_dispatch_move_t *move = find_move (dispatch, ask->host, ask->id);
   csp_fleet_target_t *from
-      = csp_find_hashed_target (dispatch->fleet, ask->moves_from);
+      = csp_find_target_by_hash (dispatch->fleet, ask->moves_from);
 
   if (move != NULL)
     {
@@ -200,8 +200,8 @@
                             .duty = &dispatch->duty,
                             .backoffs = move->ask.backoffs,
                             .backoff_count = move->ask.backoff_count,
-                            .not_this = move->from,
-                            .nor_this = csp_find_hashed_target (
+                            .excluded = move->from,
+                            .also_excluded = csp_find_target_by_hash (
                                 dispatch->fleet, move->ask.refused_at) };
   csp_fleet_target_t *to = csp_choose_fleet_target (dispatch->fleet, &need,
                                                     &dispatch->random, now_ms);
@@ -244,7 +244,7 @@
 
       if (move->used && move->pool == pool && move->to != NULL
           && !move->started && is_moved_before (move, best)
-          && csp_may_give_place (move->to, &dispatch->duty, now_ms)
+          && csp_may_assign_request (move->to, &dispatch->duty, now_ms)
           && !is_link_busy (dispatch, move->from)
           && !is_link_busy (dispatch, move->to))
         best = move;
@@ -260,7 +260,7 @@
 
   release_destination_load (move);
   csp_reserve_capacity (dispatch, move->to, ask.tokens, 0, now_ms);
-  csp_note_place_given (move->to, &dispatch->duty, now_ms);
+  csp_note_request_assigned (move->to, &dispatch->duty, now_ms);
   move->started = true;
   move->started_ms = now_ms;
   csp_send_ask_answer (dispatch, &ask, CSP_ASK_PLACED, move->to->hash, 0);
--- a/source/dispatch/dispatch-room.c
+++ b/source/dispatch/dispatch-room.c
@@ -18,7 +18,7 @@
 
   target->reserved.requests--;
   target->reserved.tokens -= reservation->tokens;
-  target->reserved.reading_tokens -= reservation->reading_tokens;
+  target->reserved.prefill_tokens -= reservation->reading_tokens;
   target->users--;
 }
 
@@ -35,7 +35,7 @@
     return;
   target->reserved.requests++;
   target->reserved.tokens += reservation.tokens;
-  target->reserved.reading_tokens += reservation.reading_tokens;
+  target->reserved.prefill_tokens += reservation.reading_tokens;
   target->users++;
   dispatch->reserved[dispatch->reserved_count++] = reservation;
 }
@@ -71,14 +71,14 @@
 pool_percent (const csp_dispatch_t *dispatch, uint64_t target_hash)
 {
   const csp_fleet_target_t *target
-      = csp_find_hashed_target (dispatch->fleet, target_hash);
+      = csp_find_target_by_hash (dispatch->fleet, target_hash);
   double share = 0;
   size_t i;
 
   for (i = 0; target != NULL && i < dispatch->pool_count; i++)
     if (strcmp (dispatch->pools[i].service, target->row.service) == 0)
-      share = csp_find_pool_share (dispatch->fleet, target->row.service,
-                                   dispatch->pools[i].memory_tokens, 0);
+      share = csp_find_pool_memory_share (dispatch->fleet, target->row.service,
+                                          dispatch->pools[i].memory_tokens, 0);
   return (uint32_t)(share * PERCENT);
 }
 
--- a/source/dispatch/dispatch.c
+++ b/source/dispatch/dispatch.c
@@ -25,7 +25,7 @@
 };
 
 csp_dispatch_t *
-csp_create_dispatch (csp_fleet_t *fleet, csp_take_ask_answer_t deliver,
+csp_create_dispatch (csp_fleet_t *fleet, csp_deliver_ask_answer_t deliver,
                      void *state, uint64_t seed)
 {
   csp_dispatch_t *dispatch = calloc (1, sizeof *dispatch);
@@ -55,8 +55,8 @@
 }
 
 void
-csp_note_dispatch_duty (csp_dispatch_t *dispatch,
-                        const csp_warmup_duty_t *duty)
+csp_set_dispatch_duty (csp_dispatch_t *dispatch,
+                       const csp_decider_role_t *duty)
 {
   dispatch->duty = *duty;
 }
@@ -185,7 +185,7 @@
                             .memory_share_max = max_placement_memory_share,
                             .tokens = ask->tokens,
                             .prompt_tokens = ask->prompt_tokens,
-                            .reading_tokens_max = READING_TOKENS_MAX,
+                            .prefill_tokens_max = READING_TOKENS_MAX,
                             .duty = &dispatch->duty,
                             .backoffs = ask->backoffs,
                             .backoff_count = ask->backoff_count };
@@ -198,7 +198,7 @@
 push_waiting (csp_dispatch_t *dispatch, csp_dispatch_pool_t *pool,
               const csp_ask_t *ask, int64_t now_ms)
 {
-  csp_waiting_t queued = {
+  csp_waiting_request_t queued = {
     .id = dispatch->next_id++,
     .organisation = map_organisation (dispatch, ask->organisation),
     .cost_tokens = ask->tokens,
@@ -301,7 +301,7 @@
   csp_reserve_capacity (dispatch, target, ask.tokens, ask.prompt_tokens,
                         now_ms);
   csp_note_prompt_given (target, ask.prompt_tokens, now_ms);
-  csp_note_place_given (target, &dispatch->duty, now_ms);
+  csp_note_request_assigned (target, &dispatch->duty, now_ms);
   csp_send_ask_answer (dispatch, &ask, CSP_ASK_PLACED, target->hash, 0);
 }
 
@@ -310,7 +310,7 @@
                 int64_t now_ms)
 {
   csp_error_t error = { .retry_after_ms = 0 };
-  csp_waiting_t queued;
+  csp_waiting_request_t queued;
 
   while (csp_expire_waiting (pool->queue, now_ms, &queued, &error))
     {
@@ -329,7 +329,7 @@
 static void
 pump_pool (csp_dispatch_t *dispatch, csp_dispatch_pool_t *pool, int64_t now_ms)
 {
-  csp_waiting_t queued;
+  csp_waiting_request_t queued;
   bool borrowing;
 
   /* A stream that must leave a target and finds no capacity is lost within a
--- a/source/entry/answer.c
+++ b/source/entry/answer.c
@@ -128,8 +128,8 @@
   if (json != NULL)
     mg_write (exchange->connection, json, strlen (json));
   free (json);
-  csp_count_end (exchange->entry->context->metrics, exchange->labels,
-                 adjusted_error.reason, adjusted_error.verdict);
+  csp_count_request_end (exchange->entry->context->metrics, exchange->labels,
+                         adjusted_error.reason, adjusted_error.verdict);
   CSP_LOG (exchange->entry->context->log, CSP_EVENT_REQUEST_REFUSED,
            exchange->id,
            csp_text ("organisation", exchange->organisation == NULL
--- a/source/entry/call.c
+++ b/source/entry/call.c
@@ -78,12 +78,12 @@
     return -1;
   if (exchange->options.deadline_ms == 0 && call->service->deadline_ms != 0)
     exchange->deadline_ms = exchange->arrived_ms + call->service->deadline_ms;
-  csp_count (exchange->labels, CSP_COUNT_REQUESTS, 1);
+  csp_add_count (exchange->labels, CSP_COUNT_REQUESTS, 1);
   call->ask.request_id = exchange->id;
   call->ask.organisation = exchange->organisation->name;
   call->ask.model = call->service->name;
   call->ask.class_name = "";
-  call->ask.kind = CSP_POOL_SERVICES;
+  call->ask.pool_kind = CSP_POOL_SERVICES;
   call->ask.max_tokens = 1;
   call->ask.deadline_ms = exchange->deadline_ms;
   call->ask.is_gone = csp_caller_is_gone;
@@ -117,14 +117,15 @@
           .state = call };
 
   *end = csp_run_service_link (&link, &call->answer);
-  csp_note_link_end (&call->attempt, *end, call->answer.byte_left, 0);
+  csp_record_link_end (&call->attempt, *end, call->answer.may_have_been_sent,
+                       0);
   return csp_decide_recovery (&policy, &call->attempt, *end);
 }
 
 static void
 release_grant (service_call_t *call, csp_link_end_t end)
 {
-  csp_place_outcome_t outcome = { .end = end, .tokens = 1 };
+  csp_grant_outcome_t outcome = { .end = end, .tokens = 1 };
 
   csp_release_grant (call->exchange->entry->control, &call->grant, &outcome);
 }
@@ -145,7 +146,7 @@
   csp_link_end_t end;
   csp_error_t refusal;
 
-  if (csp_ask_admission (control, ask, &call->grant, error) != 0)
+  if (csp_request_admission (control, ask, &call->grant, error) != 0)
     return -1;
   for (;;)
     {
@@ -155,15 +156,15 @@
       if (recovery.kind == CSP_RECOVER_DONE)
         return 0;
       free_answer (call);
-      if (recovery.kind != CSP_RECOVER_ELSEWHERE
+      if (recovery.kind != CSP_RECOVER_RETRY_ELSEWHERE
           || ask->tried.count == CSP_TRIED_MAX)
         return -1;
       csp_copy_text (ask->tried.names[ask->tried.count], CSP_NAME_BYTES,
                      call->grant.target);
       ask->tried.count++;
-      ask->retry = true;
+      ask->is_retry = true;
       ask->last_verdict = recovery.error.verdict;
-      if (csp_ask_admission (control, ask, &call->grant, &refusal) != 0)
+      if (csp_request_admission (control, ask, &call->grant, &refusal) != 0)
         return -1;
     }
 }
@@ -206,8 +207,8 @@
       return;
     }
   forward_answer (&call);
-  csp_count_end (exchange->entry->context->metrics, exchange->labels,
-                 CSP_REASON_NONE, CSP_VERDICT_RAN);
+  csp_count_request_end (exchange->entry->context->metrics, exchange->labels,
+                         CSP_REASON_NONE, CSP_VERDICT_RAN);
   CSP_LOG (exchange->entry->context->log, CSP_EVENT_REQUEST_ENDED,
            exchange->id,
            csp_text ("organisation", exchange->organisation->name),
--- a/source/entry/caller.c
+++ b/source/entry/caller.c
@@ -96,7 +96,7 @@
   const csp_declaration_t *declaration;
   char hex[CSP_SHA256_HEX_BYTES];
 
-  exchange->view = csp_take_view (exchange->entry->control);
+  exchange->view = csp_acquire_view (exchange->entry->control);
   declaration = csp_view_declaration (exchange->view);
   if (declaration == NULL)
     {
@@ -130,12 +130,12 @@
 
   facts->organisation = exchange->organisation->name;
   facts->data_centre = exchange->entry->context->settings.data_centre;
-  csp_decide_rule (csp_view_declaration (exchange->view), facts, &outcome);
+  csp_evaluate_rules (csp_view_declaration (exchange->view), facts, &outcome);
   ask->facts = *facts;
   ask->declaration = csp_view_declaration (exchange->view);
   if (outcome.action != CSP_ACTION_TURN_AWAY)
     {
-      csp_set_terms (ask, &outcome);
+      csp_apply_rule_terms (ask, &outcome);
       return 0;
     }
   csp_set_error (error, CSP_VERDICT_NOT_RUN, CSP_REASON_TURNED_AWAY,
--- a/source/entry/claim.c
+++ b/source/entry/claim.c
@@ -13,7 +13,7 @@
 
   if (exchange->options.idempotency_key[0] == '\0')
     return 0;
-  if (!csp_read_once_key (
+  if (!csp_parse_any_once_key (
           exchange->organisation->name, exchange->options.idempotency_key,
           csp_wall_ms (&exchange->entry->context->clock), &ask.key, error))
     return -1;
--- a/source/entry/entry-imp.h
+++ b/source/entry/entry-imp.h
@@ -37,7 +37,7 @@
   char id[CSP_REQUEST_ID_BYTES];
   int64_t arrived_ms;
   int64_t deadline_ms;
-  csp_marks_t options;
+  csp_request_options_t options;
   csp_view_t *view;
   csp_labels_t labels;
   const csp_organisation_t *organisation;
--- a/source/entry/generate-answer.c
+++ b/source/entry/generate-answer.c
@@ -41,7 +41,7 @@
   int64_t now_ms = now_us / US_PER_MS;
   int64_t gap_us = now_us - run->last_token_us;
 
-  csp_count (labels, CSP_COUNT_TOKENS, 1);
+  csp_add_count (labels, CSP_COUNT_TOKENS, 1);
   if (run->first_token_ms == 0)
     {
       run->first_token_ms = now_ms;
@@ -51,7 +51,7 @@
   else
     {
       csp_observe_time (labels, CSP_TIME_BETWEEN_TOKENS, gap_us);
-      run->stall_us += csp_stall_of_gap_us (gap_us);
+      run->stall_us += csp_compute_stall_us (gap_us);
       if (gap_us / US_PER_MS > run->worst_gap_ms)
         run->worst_gap_ms = (uint32_t)(gap_us / US_PER_MS);
     }
@@ -61,9 +61,9 @@
   if (run->generation.next_index == 1
       || run->generation.next_index % PROGRESS_INTERVAL_TOKENS == 0)
     {
-      csp_note_progress (run->exchange->entry->control, &run->grant,
-                         run->generation.next_index,
-                         run->blocked_us / US_PER_MS);
+      csp_report_progress (run->exchange->entry->control, &run->grant,
+                           run->generation.next_index,
+                           run->blocked_us / US_PER_MS);
       run->blocked_us = 0;
     }
 }
@@ -79,7 +79,7 @@
   if (token->finish_reason != NULL)
     csp_copy_text (run->finish_reason, sizeof run->finish_reason,
                    token->finish_reason);
-  if (!csp_request_streams (run->request))
+  if (!csp_request_wants_stream (run->request))
     return append_text (run, token->text);
   if (!run->stream_began && csp_begin_events (run->exchange) != 0)
     return -1;
@@ -168,15 +168,15 @@
                     run->grant.wait_ms * US_PER_MS);
   csp_observe_time (exchange->labels, CSP_TIME_STALLED, run->stall_us);
   if (run->grant.owner[0] != '\0')
-    csp_count (exchange->labels, CSP_COUNT_SPILLS, 1);
+    csp_add_count (exchange->labels, CSP_COUNT_SPILLS, 1);
   if (end == CSP_LINK_CALLER_GONE)
-    csp_count (exchange->labels, CSP_COUNT_CANCELS, 1);
+    csp_add_count (exchange->labels, CSP_COUNT_CANCELS, 1);
   if (result == 0)
-    csp_count_end (exchange->entry->context->metrics, exchange->labels,
-                   CSP_REASON_NONE, CSP_VERDICT_RAN);
+    csp_count_request_end (exchange->entry->context->metrics, exchange->labels,
+                           CSP_REASON_NONE, CSP_VERDICT_RAN);
   else if (run->stream_began)
-    csp_count_end (exchange->entry->context->metrics, exchange->labels,
-                   error->reason, error->verdict);
+    csp_count_request_end (exchange->entry->context->metrics, exchange->labels,
+                           error->reason, error->verdict);
 }
 
 static void
@@ -211,7 +211,7 @@
     end_stream_with_error (run, error);
   else if (result != 0)
     csp_answer_error (run->exchange, error);
-  else if (csp_request_streams (run->request))
+  else if (csp_request_wants_stream (run->request))
     {
       csp_send_event (run->exchange, NULL, "[DONE]");
       csp_end_events (run->exchange);
--- a/source/entry/generate-imp.h
+++ b/source/entry/generate-imp.h
@@ -31,7 +31,7 @@
 
 /* Delivers a token: sends it as an event, or collects it for an answer without
    streaming.  Returns non-zero when the caller is gone or the token can't be
-   stored.  A csp_take_delivery_t.  */
+   stored.  A csp_deliver_token_t.  */
 int csp_deliver_token (void *state, const csp_token_t *token,
                        const char *chunk_json);
 
--- a/source/entry/generate-prepare.c
+++ b/source/entry/generate-prepare.c
@@ -104,12 +104,13 @@
   exchange->labels
       = csp_get_labels (exchange->entry->context->metrics,
                         exchange->organisation->name, facts.class_name);
-  csp_count (exchange->labels, CSP_COUNT_REQUESTS, 1);
-  run->ask.kind = CSP_POOL_ENGINES;
+  csp_add_count (exchange->labels, CSP_COUNT_REQUESTS, 1);
+  run->ask.pool_kind = CSP_POOL_ENGINES;
   run->ask.prompt_tokens = facts.prompt_tokens;
   run->ask.max_tokens = choose_max_tokens (run);
   run->ask.deadline_ms = exchange->deadline_ms;
-  csp_request_prefix (run->request, &run->ask.prefix, &run->ask.prefix_tokens);
+  csp_hash_request_prefix (run->request, &run->ask.prefix,
+                           &run->ask.prefix_tokens);
   run->ask.repeatable = !exchange->options.non_idempotent;
   run->ask.is_gone = csp_caller_is_gone;
   run->ask.gone_state = exchange;
--- a/source/entry/generate.c
+++ b/source/entry/generate.c
@@ -101,19 +101,19 @@
 {
   csp_recovery_policy_t policy = csp_default_recovery_policy ();
   csp_recovery_t recovery;
-  csp_link_report_t report;
+  csp_engine_link_report_t report;
   csp_link_t link;
-  const char *body = csp_request_engine_body (run->request, run->route->model,
-                                              run->ask.max_tokens);
+  const char *body = csp_build_engine_body (run->request, run->route->model,
+                                            run->ask.max_tokens);
   bool resume = false;
 
   begin_generation (run);
   do
     {
       link = build_link (run, body, resume);
-      *end = csp_run_link (&link, &run->generation, &report);
-      csp_note_link_end (&run->attempt, *end, report.byte_left,
-                         report.delivered);
+      *end = csp_run_engine_link (&link, &run->generation, &report);
+      csp_record_link_end (&run->attempt, *end, report.may_have_been_sent,
+                           report.delivered);
       run->attempt.idle_ms = get_now_ms (run) - run->last_token_ms;
       recovery = csp_decide_recovery (&policy, &run->attempt, *end);
       if (*end == CSP_LINK_REJECTED && report.message[0] != '\0')
@@ -122,7 +122,7 @@
       resume = true;
       if (recovery.kind == CSP_RECOVER_RESUME)
         {
-          csp_count (run->exchange->labels, CSP_COUNT_RESUMES, 1);
+          csp_add_count (run->exchange->labels, CSP_COUNT_RESUMES, 1);
           CSP_LOG (run->exchange->entry->context->log,
                    CSP_EVENT_STREAM_RESUMED, run->exchange->id,
                    csp_text ("target", run->grant.target),
@@ -138,8 +138,8 @@
 static void
 release_grant (csp_generation_run_t *run, csp_link_end_t end, bool stopped)
 {
-  csp_place_outcome_t outcome = { .end = end,
-                                  .stopped = stopped,
+  csp_grant_outcome_t outcome = { .end = end,
+                                  .stop_confirmed = stopped,
                                   .tokens = run->generation.next_index,
                                   .worst_gap_ms = run->worst_gap_ms };
 
@@ -156,7 +156,7 @@
                  run->grant.target);
   if (ask->tried.count < CSP_TRIED_MAX)
     ask->tried.count++;
-  ask->retry = true;
+  ask->is_retry = true;
 }
 
 /* Requests admission, runs the generation, and retries it on other targets
@@ -170,7 +170,8 @@
   csp_error_t refusal;
   bool stopped;
 
-  if (csp_ask_admission (entry->control, &run->ask, &run->grant, error) != 0)
+  if (csp_request_admission (entry->control, &run->ask, &run->grant, error)
+      != 0)
     return -1;
   for (;;)
     {
@@ -195,10 +196,11 @@
       /* When no other target accepts the request, the caller gets the error
          of the last attempt: its verdict covers an attempt that may have
          started.  */
-      if (csp_ask_admission (entry->control, &run->ask, &run->grant, &refusal)
+      if (csp_request_admission (entry->control, &run->ask, &run->grant,
+                                 &refusal)
           != 0)
         return -1;
-      csp_count (run->exchange->labels, CSP_COUNT_RETRIES, 1);
+      csp_add_count (run->exchange->labels, CSP_COUNT_RETRIES, 1);
       CSP_LOG (entry->context->log, CSP_EVENT_REQUEST_RETRIED,
                run->exchange->id, csp_text ("target", run->grant.target),
                csp_text ("end", csp_link_end_name (*end)));
--- a/source/entry/request.c
+++ b/source/entry/request.c
@@ -91,8 +91,8 @@
 }
 
 int
-csp_read_marks (const csp_request_marks_t *fields, csp_marks_t *options,
-                csp_error_t *error)
+csp_parse_request_headers (const csp_request_header_fields_t *fields,
+                           csp_request_options_t *options, csp_error_t *error)
 {
   memset (options, 0, sizeof *options);
   if (read_name (fields->idempotency_key, options->idempotency_key,
@@ -266,7 +266,7 @@
 }
 
 bool
-csp_request_streams (const csp_request_t *request)
+csp_request_wants_stream (const csp_request_t *request)
 {
   return request->streams;
 }
@@ -278,8 +278,8 @@
 }
 
 void
-csp_request_prefix (const csp_request_t *request, uint64_t *hash,
-                    uint32_t *tokens)
+csp_hash_request_prefix (const csp_request_t *request, uint64_t *hash,
+                         uint32_t *tokens)
 {
   json_object *prompt = NULL;
   char prefix_text[PREFIX_BYTES];
@@ -305,8 +305,8 @@
 }
 
 const char *
-csp_request_engine_body (csp_request_t *request, const char *model,
-                         uint32_t max_tokens)
+csp_build_engine_body (csp_request_t *request, const char *model,
+                       uint32_t max_tokens)
 {
   json_object *body = request->body;
   char *model_copy = strdup (model);
--- a/source/entry/server.c
+++ b/source/entry/server.c
@@ -21,7 +21,7 @@
 init_exchange (csp_exchange_t *exchange, csp_entry_t *entry,
                struct mg_connection *connection, csp_error_t *error)
 {
-  csp_request_marks_t fields;
+  csp_request_header_fields_t fields;
 
   memset (exchange, 0, sizeof *exchange);
   exchange->entry = entry;
@@ -36,7 +36,7 @@
   fields.attempt = mg_get_header (connection, "X-Attempt");
   fields.deadline_ms = mg_get_header (connection, "X-Deadline-Ms");
   fields.class_name = mg_get_header (connection, "X-Class");
-  if (csp_read_marks (&fields, &exchange->options, error) != 0)
+  if (csp_parse_request_headers (&fields, &exchange->options, error) != 0)
     return false;
   exchange->deadline_ms
       = exchange->arrived_ms
@@ -60,7 +60,7 @@
 end_exchange (csp_exchange_t *exchange)
 {
   csp_discard_unread_input (exchange);
-  csp_put_view (exchange->view);
+  csp_release_view (exchange->view);
   free (exchange->body);
   atomic_fetch_sub (&exchange->entry->open_requests, 1);
 }
@@ -305,7 +305,7 @@
 handle_ready (struct mg_connection *connection, void *state)
 {
   csp_entry_t *entry = state;
-  bool ready = csp_control_ready (entry->control)
+  bool ready = csp_is_control_ready (entry->control)
                && !atomic_load (&entry->readiness_failing);
 
   send_operator_answer (connection, ready ? 200 : 503, "text/plain",
@@ -333,9 +333,9 @@
   char *text;
 
   csp_set_gauge (entry->context->metrics, CSP_GAUGE_READY,
-                 csp_control_ready (entry->control));
+                 csp_is_control_ready (entry->control));
   csp_set_gauge (entry->context->metrics, CSP_GAUGE_OPEN_STREAMS,
-                 csp_open_requests (entry));
+                 csp_count_open_requests (entry));
   text = csp_render_metrics (entry->context->metrics, &size_bytes);
   send_operator_answer (connection, text == NULL ? 500 : 200,
                         "text/plain; version=0.0.4", text == NULL ? "" : text);
@@ -472,25 +472,25 @@
 }
 
 void
-csp_announce_drain (csp_entry_t *entry)
+csp_fail_readiness (csp_entry_t *entry)
 {
   atomic_store (&entry->readiness_failing, true);
 }
 
 void
-csp_refuse_new (csp_entry_t *entry)
+csp_refuse_new_requests (csp_entry_t *entry)
 {
   atomic_store (&entry->refusing_new, true);
 }
 
 uint32_t
-csp_open_requests (const csp_entry_t *entry)
+csp_count_open_requests (const csp_entry_t *entry)
 {
   return (uint32_t)atomic_load (&entry->open_requests);
 }
 
 void
-csp_stop_open (csp_entry_t *entry)
+csp_abort_open_requests (csp_entry_t *entry)
 {
   atomic_store (&entry->aborting_open, true);
 }
--- a/source/fields/fields-imp.h
+++ b/source/fields/fields-imp.h
@@ -60,7 +60,7 @@
   double min;
   double max;
   /* The default, written as on a command line; NULL for zero.  */
-  const char *standard;
+  const char *default_setting;
   bool required;
   /* CHOICE, and strings with a fixed set of values: the values, terminated by
      NULL.  */
@@ -95,16 +95,17 @@
   char path[CSP_FIELD_PATH_BYTES];
   csp_arena_t *arena;
   csp_faults_t *faults;
-} csp_place_t;
+} csp_json_position_t;
 
 /* Appends ".name", or "[index]" where name is NULL, to the path.  Returns the
-   previous length, to which csp_leave_place truncates the path again.  */
-size_t csp_enter_place (csp_place_t *place, const char *name, size_t index);
-void csp_leave_place (csp_place_t *place, size_t length);
+   previous length, to which csp_pop_path truncates the path again.  */
+size_t csp_push_path (csp_json_position_t *place, const char *name,
+                      size_t index);
+void csp_pop_path (csp_json_position_t *place, size_t length);
 
 /* Adds a fault at the position, with the line of value, which may be NULL.  */
-void csp_add_place_fault (csp_place_t *place, struct json_object *value,
-                          const char *text, ...)
+void csp_add_fault_at (csp_json_position_t *place, struct json_object *value,
+                       const char *text, ...)
     __attribute__ ((format (printf, 3, 4)));
 
 /* Sets all fields of a struct to their defaults.  */
@@ -112,13 +113,13 @@
 
 /* Sets the defaults, then reads an object over them; unknown keys are
    faults.  */
-void csp_read_fields (csp_place_t *place, const csp_field_t *fields,
+void csp_read_fields (csp_json_position_t *place, const csp_field_t *fields,
                       struct json_object *object, void *out);
 
 /* Sets one field, no list or struct, from a command line's text.  Returns
    false with a fault where the text is not allowed.  */
 bool csp_set_field_text (const csp_field_t *field, const char *text, void *out,
-                         csp_place_t *place);
+                         csp_json_position_t *place);
 
 /* Describes the values that a field allows, such as "a whole number from 0 to
    65535".  */
--- a/source/fields/fields-read.c
+++ b/source/fields/fields-read.c
@@ -11,11 +11,12 @@
   MAX_SHOWN_VALUE_BYTES = 80
 };
 
-static void read_members (csp_place_t *place, const csp_field_t *fields,
+static void read_members (csp_json_position_t *place,
+                          const csp_field_t *fields,
                           struct json_object *object, void *out);
 
 size_t
-csp_enter_place (csp_place_t *place, const char *name, size_t index)
+csp_push_path (csp_json_position_t *place, const char *name, size_t index)
 {
   size_t length = strlen (place->path);
   size_t free_bytes = sizeof place->path - length;
@@ -29,14 +30,14 @@
 }
 
 void
-csp_leave_place (csp_place_t *place, size_t length)
+csp_pop_path (csp_json_position_t *place, size_t length)
 {
   place->path[length] = '\0';
 }
 
 void
-csp_add_place_fault (csp_place_t *place, struct json_object *value,
-                     const char *text, ...)
+csp_add_fault_at (csp_json_position_t *place, struct json_object *value,
+                  const char *text, ...)
 {
   char message[CSP_FIELD_ALLOWED_BYTES * 2];
   va_list args;
@@ -49,7 +50,7 @@
 }
 
 static void
-add_value_fault (csp_place_t *place, const csp_field_t *field,
+add_value_fault (csp_json_position_t *place, const csp_field_t *field,
                  struct json_object *value)
 {
   char allowed[CSP_FIELD_ALLOWED_BYTES];
@@ -57,10 +58,10 @@
       = json_object_to_json_string_ext (value, JSON_C_TO_STRING_PLAIN);
 
   csp_describe_field (field, allowed);
-  csp_add_place_fault (
-      place, value, "%.*s%s is not allowed; allowed is %s",
-      MAX_SHOWN_VALUE_BYTES, value_json,
-      strlen (value_json) > MAX_SHOWN_VALUE_BYTES ? "..." : "", allowed);
+  csp_add_fault_at (place, value, "%.*s%s is not allowed; allowed is %s",
+                    MAX_SHOWN_VALUE_BYTES, value_json,
+                    strlen (value_json) > MAX_SHOWN_VALUE_BYTES ? "..." : "",
+                    allowed);
 }
 
 static bool
@@ -109,7 +110,7 @@
 }
 
 static bool
-read_strings (csp_place_t *place, const csp_field_t *field,
+read_strings (csp_json_position_t *place, const csp_field_t *field,
               struct json_object *value, void *out)
 {
   bool is_list = json_object_is_type (value, json_type_array);
@@ -127,13 +128,13 @@
     {
       struct json_object *item = json_object_array_get_idx (value, i);
 
-      length = csp_enter_place (place, NULL, i);
+      length = csp_push_path (place, NULL, i);
       if (!read_unique_string (field, item, strings, i))
         {
           add_value_fault (place, field, item);
           strings[i] = "";
         }
-      csp_leave_place (place, length);
+      csp_pop_path (place, length);
     }
   *(const char ***)((char *)out + field->offset) = strings;
   *(size_t *)((char *)out + field->count_offset) = count;
@@ -141,20 +142,20 @@
 }
 
 static void
-read_struct (csp_place_t *place, const csp_field_t *field,
+read_struct (csp_json_position_t *place, const csp_field_t *field,
              struct json_object *value, void *out)
 {
   csp_set_default_fields (field->fields, out);
   if (!json_object_is_type (value, json_type_object))
     {
-      csp_add_place_fault (place, value, "must be an object");
+      csp_add_fault_at (place, value, "must be an object");
       return;
     }
   read_members (place, field->fields, value, out);
 }
 
 static bool
-read_list (csp_place_t *place, const csp_field_t *field,
+read_list (csp_json_position_t *place, const csp_field_t *field,
            struct json_object *value, void *out)
 {
   size_t count;
@@ -170,10 +171,10 @@
   structs = csp_allocate (place->arena, count * field->size_bytes);
   for (i = 0; i < count; i++)
     {
-      length = csp_enter_place (place, NULL, i);
+      length = csp_push_path (place, NULL, i);
       read_struct (place, field, json_object_array_get_idx (value, i),
                    structs + i * field->size_bytes);
-      csp_leave_place (place, length);
+      csp_pop_path (place, length);
     }
   *(void **)((char *)out + field->offset) = structs;
   *(size_t *)((char *)out + field->count_offset) = count;
@@ -181,7 +182,7 @@
 }
 
 static bool
-read_map (csp_place_t *place, const csp_field_t *field,
+read_map (csp_json_position_t *place, const csp_field_t *field,
           struct json_object *value, void *out)
 {
   size_t count;
@@ -197,12 +198,12 @@
   structs = csp_allocate (place->arena, count * field->size_bytes);
   json_object_object_foreach (value, name, item)
   {
-    length = csp_enter_place (place, name, 0);
+    length = csp_push_path (place, name, 0);
     if (!csp_text_has_form (field->form, name))
-      csp_add_place_fault (place, item, "is no allowed name");
+      csp_add_fault_at (place, item, "is no allowed name");
     read_struct (place, field, item, structs + i * field->size_bytes);
     *(const char **)(structs + i * field->size_bytes) = name;
-    csp_leave_place (place, length);
+    csp_pop_path (place, length);
     i++;
   }
   *(void **)((char *)out + field->offset) = structs;
@@ -211,7 +212,7 @@
 }
 
 static bool
-read_nested (csp_place_t *place, const csp_field_t *field,
+read_nested (csp_json_position_t *place, const csp_field_t *field,
              struct json_object *value, void *out)
 {
   if (!json_object_is_type (value, json_type_object))
@@ -221,7 +222,7 @@
 }
 
 static void
-read_field (csp_place_t *place, const csp_field_t *field,
+read_field (csp_json_position_t *place, const csp_field_t *field,
             struct json_object *value, void *out)
 {
   bool allowed = false;
@@ -273,7 +274,7 @@
 }
 
 static void
-add_unknown_key_fault (csp_place_t *place, const csp_field_t *fields,
+add_unknown_key_fault (csp_json_position_t *place, const csp_field_t *fields,
                        struct json_object *value)
 {
   char keys[CSP_FIELD_ALLOWED_BYTES * 2] = "";
@@ -288,7 +289,7 @@
 }
 
 static void
-read_members (csp_place_t *place, const csp_field_t *fields,
+read_members (csp_json_position_t *place, const csp_field_t *fields,
               struct json_object *object, void *out)
 {
   const csp_field_t *field;
@@ -296,32 +297,32 @@
 
   json_object_object_foreach (object, name, value)
   {
-    length = csp_enter_place (place, name, 0);
+    length = csp_push_path (place, name, 0);
     field = find_field (fields, name);
     if (field == NULL)
       add_unknown_key_fault (place, fields, value);
     else
       read_field (place, field, value, out);
-    csp_leave_place (place, length);
+    csp_pop_path (place, length);
   }
   for (field = fields; field->name != NULL; field++)
     if (field->required
         && !json_object_object_get_ex (object, field->name, NULL))
       {
-        length = csp_enter_place (place, field->name, 0);
-        csp_add_place_fault (place, object, "is missing and must be given");
-        csp_leave_place (place, length);
+        length = csp_push_path (place, field->name, 0);
+        csp_add_fault_at (place, object, "is missing and must be given");
+        csp_pop_path (place, length);
       }
 }
 
 void
-csp_read_fields (csp_place_t *place, const csp_field_t *fields,
+csp_read_fields (csp_json_position_t *place, const csp_field_t *fields,
                  struct json_object *object, void *out)
 {
   csp_set_default_fields (fields, out);
   if (!json_object_is_type (object, json_type_object))
     {
-      csp_add_place_fault (place, object, "must be an object");
+      csp_add_fault_at (place, object, "must be an object");
       return;
     }
   read_members (place, fields, object, out);
--- a/source/fields/fields-value.c
+++ b/source/fields/fields-value.c
@@ -286,15 +286,15 @@
 
 bool
 csp_set_field_text (const csp_field_t *field, const char *text, void *out,
-                    csp_place_t *place)
+                    csp_json_position_t *place)
 {
   char allowed[CSP_FIELD_ALLOWED_BYTES];
 
   if (store_text_as_type (field, text, out))
     return true;
   csp_describe_field (field, allowed);
-  csp_add_place_fault (place, NULL, "\"%s\" is not allowed; allowed is %s",
-                       text, allowed);
+  csp_add_fault_at (place, NULL, "\"%s\" is not allowed; allowed is %s", text,
+                    allowed);
   return false;
 }
 
@@ -310,12 +310,12 @@
     {
       if (field->type == CSP_FIELD_OBJECT)
         csp_set_default_fields (field->fields, (char *)out + field->offset);
-      if (field->standard == NULL)
+      if (field->default_setting == NULL)
         continue;
       unbounded = *field;
       unbounded.min = -HUGE_VAL;
       unbounded.max = HUGE_VAL;
-      if (!store_text_as_type (&unbounded, field->standard, out))
+      if (!store_text_as_type (&unbounded, field->default_setting, out))
         abort ();
     }
 }
--- a/source/fleet/fleet-choose.c
+++ b/source/fleet/fleet-choose.c
@@ -173,7 +173,7 @@
              int64_t now_ms)
 {
   double ahead
-      = (double)(target->own.reading_tokens + target->others.reading_tokens)
+      = (double)(target->own.prefill_tokens + target->others.prefill_tokens)
         / busy_prefill_tokens_per_ms;
   double delay_of_runs = (double)need->prompt_tokens
                          / idle_prefill_tokens_per_ms
@@ -218,13 +218,13 @@
 exceeds_prompt_limit (const csp_fleet_target_t *target,
                       const csp_fleet_need_t *need, int64_t now_ms)
 {
-  uint64_t reading = target->own.reading_tokens + target->others.reading_tokens
-                     + target->reserved.reading_tokens;
+  uint64_t reading = target->own.prefill_tokens + target->others.prefill_tokens
+                     + target->reserved.prefill_tokens;
   uint64_t max_tokens = now_ms < target->warm_at_ms
-                            ? need->reading_tokens_max / 2
-                            : need->reading_tokens_max;
+                            ? need->prefill_tokens_max / 2
+                            : need->prefill_tokens_max;
 
-  return need->reading_tokens_max > 0 && reading > 0
+  return need->prefill_tokens_max > 0 && reading > 0
          && reading + need->prompt_tokens > max_tokens;
 }
 
@@ -235,7 +235,7 @@
 {
   size_t i;
 
-  if (need->own && csp_is_backed_off (target, now_ms))
+  if (need->sent_by_this_host && csp_is_backed_off (target, now_ms))
     return true;
   for (i = 0; i < need->backoff_count; i++)
     if (need->backoffs[i] == target->hash)
@@ -258,14 +258,14 @@
       && memory_share (target, need) > need->memory_share_max)
     return false;
   return csp_takes_new_work (target)
-         && csp_may_give_place (target, need->duty, now_ms)
-         && target != need->not_this && target != need->nor_this
+         && csp_may_assign_request (target, need->duty, now_ms)
+         && target != need->excluded && target != need->also_excluded
          && strcmp (target->row.service, need->service) == 0;
 }
 
 double
-csp_find_pool_share (const csp_fleet_t *fleet, const char *service,
-                     uint32_t memory_tokens, uint64_t tokens)
+csp_find_pool_memory_share (const csp_fleet_t *fleet, const char *service,
+                            uint32_t memory_tokens, uint64_t tokens)
 {
   uint64_t memory = 0;
   size_t i;
--- a/source/fleet/fleet-limits.c
+++ b/source/fleet/fleet-limits.c
@@ -48,7 +48,7 @@
 }
 
 bool
-csp_set_cold_bound (csp_fleet_t *fleet, const char *service, uint32_t cold_ms,
+csp_set_cold_limit (csp_fleet_t *fleet, const char *service, uint32_t cold_ms,
                     uint32_t bound_per_s)
 {
   csp_cold_limit_t *limit = find_cold_limit (fleet, service);
@@ -71,26 +71,26 @@
 }
 
 bool
-csp_is_paced (const csp_fleet_target_t *target, int64_t now_ms)
+csp_is_cold_limited (const csp_fleet_target_t *target, int64_t now_ms)
 {
   return target->warmup.bound_per_s > 0 && now_ms < target->warm_at_ms;
 }
 
 bool
-csp_may_give_place (csp_fleet_target_t *target, const csp_warmup_duty_t *duty,
-                    int64_t now_ms)
+csp_may_assign_request (csp_fleet_target_t *target,
+                        const csp_decider_role_t *duty, int64_t now_ms)
 {
-  return !csp_is_paced (target, now_ms)
+  return !csp_is_cold_limited (target, now_ms)
          || (duty != NULL
-             && csp_has_warmup_place (&target->warmup, duty, now_ms));
+             && csp_has_warmup_grant (&target->warmup, duty, now_ms));
 }
 
 void
-csp_note_place_given (csp_fleet_target_t *target,
-                      const csp_warmup_duty_t *duty, int64_t now_ms)
+csp_note_request_assigned (csp_fleet_target_t *target,
+                           const csp_decider_role_t *duty, int64_t now_ms)
 {
-  if (csp_is_paced (target, now_ms))
-    csp_take_warmup_place (&target->warmup, duty, now_ms);
+  if (csp_is_cold_limited (target, now_ms))
+    csp_take_warmup_grant (&target->warmup, duty, now_ms);
 }
 
 csp_cordon_result_t
--- a/source/fleet/fleet.c
+++ b/source/fleet/fleet.c
@@ -28,7 +28,7 @@
 static target_entry_t *
 entry_of_target (csp_fleet_target_t *target)
 {
-  return CSP_INDEXED (target, target_entry_t, target);
+  return CSP_INDEX_ENTRY (target, target_entry_t, target);
 }
 
 static void
@@ -100,12 +100,13 @@
 }
 
 csp_fleet_target_t *
-csp_find_hashed_target (const csp_fleet_t *fleet, uint64_t hash)
+csp_find_target_by_hash (const csp_fleet_t *fleet, uint64_t hash)
 {
   csp_index_node_t *node = csp_find_in_index (&fleet->by_start, hash);
 
-  return node == NULL ? NULL
-                      : &CSP_INDEXED (node, target_entry_t, by_start)->target;
+  return node == NULL
+             ? NULL
+             : &CSP_INDEX_ENTRY (node, target_entry_t, by_start)->target;
 }
 
 /* Returns the newest start: an older one may still have requests under
@@ -120,10 +121,11 @@
        node = csp_find_next_in_index (node))
     {
       csp_fleet_target_t *target
-          = &CSP_INDEXED (node, target_entry_t, by_id)->target;
+          = &CSP_INDEX_ENTRY (node, target_entry_t, by_id)->target;
 
       if (strcmp (target->row.id, id) == 0
-          && (newest == NULL || target->row.born_ms > newest->row.born_ms))
+          && (newest == NULL
+              || target->row.start_unix_ms > newest->row.start_unix_ms))
         newest = target;
     }
   return newest;
@@ -150,9 +152,9 @@
   if (entry == NULL)
     return NULL;
   csp_copy_text (entry->target.row.id, sizeof entry->target.row.id, id);
-  entry->target.row.born_ms = born_ms;
+  entry->target.row.start_unix_ms = born_ms;
   entry->target.hash = hash_of_start (id, born_ms);
-  csp_open_warmup (&entry->target.warmup, 0);
+  csp_init_warmup (&entry->target.warmup, 0);
   csp_add_to_index (&fleet->by_start, &entry->by_start, entry->target.hash);
   csp_add_to_index (&fleet->by_id, &entry->by_id, hash_of_id (id));
   fleet->targets[fleet->count++] = &entry->target;
@@ -182,9 +184,9 @@
 {
   target_entry_t *entry = entry_of_target (target);
 
-  target->row.born_ms = born_ms;
+  target->row.start_unix_ms = born_ms;
   target->hash = hash_of_start (target->row.id, born_ms);
-  memset (&target->told, 0, sizeof target->told);
+  memset (&target->reported_load, 0, sizeof target->reported_load);
   csp_remove_from_index (&fleet->by_start, &entry->by_start);
   csp_add_to_index (&fleet->by_start, &entry->by_start, target->hash);
 }
@@ -200,28 +202,30 @@
 {
   csp_fleet_target_t *target = csp_find_fleet_target (fleet, row->id);
 
-  if (target != NULL && row->born_ms > target->row.born_ms)
+  if (target != NULL && row->start_unix_ms > target->row.start_unix_ms)
     {
-      if (target->row.born_ms != 0)
+      if (target->row.start_unix_ms != 0)
         {
           set_state (fleet, target, CSP_FLEET_GONE);
           target = NULL;
         }
       else
-        set_start (fleet, target, row->born_ms);
+        set_start (fleet, target, row->start_unix_ms);
     }
-  return target != NULL ? target : add_target (fleet, row->id, row->born_ms);
+  return target != NULL ? target
+                        : add_target (fleet, row->id, row->start_unix_ms);
 }
 
 static bool
 is_earlier_start (const csp_fleet_row_t *row, const csp_fleet_target_t *target)
 {
-  return row->born_ms != 0 && row->born_ms < target->row.born_ms;
+  return row->start_unix_ms != 0
+         && row->start_unix_ms < target->row.start_unix_ms;
 }
 
 bool
-csp_list_target (csp_fleet_t *fleet, const csp_fleet_row_t *row,
-                 int64_t now_ms)
+csp_update_target (csp_fleet_t *fleet, const csp_fleet_row_t *row,
+                   int64_t now_ms)
 {
   csp_fleet_target_t *target = find_or_add_start (fleet, row);
   int64_t born_ms;
@@ -230,9 +234,9 @@
     return false;
   if (is_earlier_start (row, target))
     return true;
-  born_ms = target->row.born_ms;
+  born_ms = target->row.start_unix_ms;
   target->row = *row;
-  target->row.born_ms = born_ms;
+  target->row.start_unix_ms = born_ms;
   target->data_centre
       = (uint32_t)csp_hash_pair ("data_centre", row->data_centre);
   target->cordoned
@@ -248,19 +252,19 @@
 }
 
 void
-csp_note_target_born (csp_fleet_t *fleet, const csp_fleet_target_t *target,
-                      int64_t born_ms, int64_t now_ms)
+csp_note_target_start (csp_fleet_t *fleet, const csp_fleet_target_t *target,
+                       int64_t born_ms, int64_t now_ms)
 {
   csp_fleet_row_t row = target->row;
-  bool started_again = row.born_ms != 0;
+  bool started_again = row.start_unix_ms != 0;
 
-  if (born_ms <= row.born_ms)
+  if (born_ms <= row.start_unix_ms)
     return;
-  row.born_ms = born_ms;
+  row.start_unix_ms = born_ms;
   row.leaving = false;
   /* If memory allocation fails here, the platform's list adds the new start
      later.  */
-  if (csp_list_target (fleet, &row, now_ms) && started_again)
+  if (csp_update_target (fleet, &row, now_ms) && started_again)
     csp_assume_cold (fleet, csp_find_fleet_target (fleet, row.id), now_ms);
 }
 
@@ -285,7 +289,7 @@
 }
 
 void
-csp_unlist_target (csp_fleet_t *fleet, const char *id, int64_t now_ms)
+csp_remove_target (csp_fleet_t *fleet, const char *id, int64_t now_ms)
 {
   csp_fleet_target_t *target = csp_find_fleet_target (fleet, id);
 
@@ -299,7 +303,7 @@
   target->leaves = true;
   if (target->state != CSP_FLEET_READY && target->state != CSP_FLEET_LAPSED)
     return;
-  target->told_by_itself = true;
+  target->self_announced = true;
   set_state (fleet, target, CSP_FLEET_LEAVING);
 }
 
@@ -335,7 +339,7 @@
 }
 
 void
-csp_clear_other_loads (csp_fleet_t *fleet)
+csp_clear_peer_loads (csp_fleet_t *fleet)
 {
   size_t i;
 
@@ -350,9 +354,9 @@
 }
 
 void
-csp_uncount_other_load (csp_fleet_t *fleet, const csp_peer_load_t *load)
+csp_subtract_peer_load (csp_fleet_t *fleet, const csp_peer_load_t *load)
 {
-  csp_fleet_target_t *target = csp_find_hashed_target (fleet, load->target);
+  csp_fleet_target_t *target = csp_find_target_by_hash (fleet, load->target);
   csp_fleet_load_t *others;
 
   if (target == NULL)
@@ -361,14 +365,14 @@
   others->requests -= load->requests;
   others->tokens -= load->tokens;
   others->backup_tokens -= load->backup_tokens;
-  others->reading_tokens -= load->reading_tokens;
+  others->prefill_tokens -= load->prefill_tokens;
   others->movable_tokens -= load->movable_tokens;
 }
 
 void
-csp_count_other_load (csp_fleet_t *fleet, const csp_peer_load_t *load)
+csp_add_peer_load (csp_fleet_t *fleet, const csp_peer_load_t *load)
 {
-  csp_fleet_target_t *target = csp_find_hashed_target (fleet, load->target);
+  csp_fleet_target_t *target = csp_find_target_by_hash (fleet, load->target);
   csp_fleet_load_t *others;
 
   if (target == NULL)
@@ -377,7 +381,7 @@
   others->requests += load->requests;
   others->tokens += load->tokens;
   others->backup_tokens += load->backup_tokens;
-  others->reading_tokens += load->reading_tokens;
+  others->prefill_tokens += load->prefill_tokens;
   others->movable_tokens += load->movable_tokens;
 }
 
--- a/source/follow/follow.c
+++ b/source/follow/follow.c
@@ -67,7 +67,8 @@
   const char *type = csp_find_http_field (head, "Content-Type");
 
   follower->status = head->status;
-  follower->packed = type != NULL && strcmp (type, csp_packed_type) == 0;
+  follower->packed
+      = type != NULL && strcmp (type, csp_compressed_content_type) == 0;
 }
 
 static void
@@ -85,9 +86,9 @@
 unpack_answer (csp_follower_t *follower)
 {
   csp_buffer_t text = { 0 };
-  bool good
-      = csp_unpack_bytes (follower->answer.data, follower->answer.size_bytes,
-                          ANSWER_MAX_BYTES, &text);
+  bool good = csp_decompress_bytes (follower->answer.data,
+                                    follower->answer.size_bytes,
+                                    ANSWER_MAX_BYTES, &text);
 
   csp_clear_buffer (&follower->answer);
   follower->answer = text;
@@ -119,7 +120,7 @@
                      : CSP_WATCH_REFUSED);
       return;
     }
-  if (csp_link_usable_ms (follower->link) == 0)
+  if (csp_link_reusable_ms (follower->link) == 0)
     {
       csp_close_link (follower->link);
       follower->link = NULL;
@@ -237,7 +238,7 @@
 csp_set_follower_pace (csp_follower_t *follower, uint32_t max_backoff_ms,
                        uint32_t gap_ms)
 {
-  follower->watch.policy.pause_last_ms = max_backoff_ms;
+  follower->watch.policy.max_backoff_ms = max_backoff_ms;
   follower->watch.policy.gap_ms = gap_ms;
 }
 
--- a/source/gateway/gateway-answer.c
+++ b/source/gateway/gateway-answer.c
@@ -95,14 +95,14 @@
   exchange->stated_bytes = (int64_t)head->length_bytes;
   csp_clear_buffer (&exchange->head);
   csp_print_buffer (&exchange->head, "HTTP/1.1 %u %s\r\n", head->status,
-                    csp_http_status_words (head->status));
+                    csp_http_reason_phrase (head->status));
   for (i = 0; i < head->field_count; i++)
-    if (!csp_is_hop_field (head, head->fields[i].name))
+    if (!csp_is_hop_by_hop_field (head, head->fields[i].name))
       csp_print_buffer (&exchange->head, "%s: %s\r\n", head->fields[i].name,
                         head->fields[i].value);
 }
 
-static csp_retry_t
+static csp_retry_decision_t
 decide_retry (csp_exchange_t *exchange)
 {
   csp_gateway_t *gateway = exchange->gateway;
@@ -118,7 +118,7 @@
         && exchange->attempts >= exchange->route->attempts_max;
 
   if (attempts_exhausted)
-    return CSP_RETRY_ATTEMPTS;
+    return CSP_RETRY_ATTEMPTS_USED_UP;
   return csp_decide_retry (
       csp_find_retry_budget (gateway, exchange->service->name), &facts);
 }
@@ -128,7 +128,7 @@
                    const char *detail, bool may_wait)
 {
   csp_gateway_t *gateway = exchange->gateway;
-  csp_retry_t decision = decide_retry (exchange);
+  csp_retry_decision_t decision = decide_retry (exchange);
 
   CSP_LOG (gateway->log, CSP_EVENT_FORWARD_RETRIED, exchange->request_id,
            csp_text ("target", exchange->target == NULL
@@ -139,18 +139,18 @@
            csp_number ("attempts", exchange->attempts),
            csp_number ("left_ms",
                        exchange->deadline_ms - csp_gateway_now_ms (gateway)));
-  if (decision == CSP_RETRY_BUDGET && may_wait)
+  if (decision == CSP_RETRY_BUDGET_USED_UP && may_wait)
     {
       csp_await_lease (exchange, reason, detail);
       return;
     }
-  if (decision != CSP_RETRY_YES)
+  if (decision != CSP_RETRY_ALLOWED)
     {
       csp_fail_exchange (exchange, reason, detail);
       return;
     }
   gateway->counts.retries++;
-  csp_count (exchange->labels, CSP_COUNT_RETRIES, 1);
+  csp_add_count (exchange->labels, CSP_COUNT_RETRIES, 1);
   csp_send_attempt (exchange);
 }
 
@@ -200,7 +200,7 @@
                       const csp_http_head_t *head)
 {
   const char *const *names = exchange->gateway->dialect->names;
-  const char *id = csp_find_http_field (head, names[CSP_NAME_REQUEST_ID]);
+  const char *id = csp_find_http_field (head, names[CSP_HEADER_REQUEST_ID]);
 
   if (id != NULL)
     return strcmp (id, exchange->request_id) == 0;
@@ -212,7 +212,7 @@
 {
   const char *const *names = exchange->gateway->dialect->names;
 
-  return csp_find_http_field (head, names[CSP_NAME_SIGNATURE]) != NULL
+  return csp_find_http_field (head, names[CSP_HEADER_SIGNATURE]) != NULL
          && csp_find_http_field (head, "Content-Encoding") == NULL;
 }
 
@@ -236,7 +236,7 @@
 {
   csp_exchange_t *exchange = state;
   const char *const *names = exchange->gateway->dialect->names;
-  bool not_run = csp_find_http_field (head, names[CSP_NAME_NOT_RUN]) != NULL
+  bool not_run = csp_find_http_field (head, names[CSP_HEADER_NOT_RUN]) != NULL
                  || head->status == STATUS_MISDIRECTED;
 
   csp_note_target_answered (exchange->gateway, exchange->target);
@@ -420,7 +420,7 @@
   char fingerprint[CSP_FINGERPRINT_TEXT_BYTES];
 
   if ((why != CSP_LINK_CLOSED && why != CSP_LINK_RESET)
-      || !csp_link_sent (exchange->link))
+      || !csp_link_has_sent (exchange->link))
     return;
   csp_print_fingerprint (csp_exchange_fingerprint (exchange), fingerprint);
   CSP_LOG (
--- a/source/gateway/gateway-attempt.c
+++ b/source/gateway/gateway-attempt.c
@@ -30,7 +30,7 @@
 void
 csp_note_prompt_read (csp_exchange_t *exchange, csp_fleet_target_t *target)
 {
-  target->own.reading_tokens -= exchange->reading_tokens;
+  target->own.prefill_tokens -= exchange->reading_tokens;
   exchange->reading_tokens = 0;
 }
 
@@ -59,10 +59,11 @@
 is_forwarded_field (const csp_exchange_t *exchange,
                     const csp_http_head_t *head, const char *name)
 {
-  static const csp_name_t own_fields[]
-      = { CSP_NAME_TIME_LEFT, CSP_NAME_KEY,     CSP_NAME_ORGANISATION,
-          CSP_NAME_TARGET_ID, CSP_NAME_URGENCY, CSP_NAME_BACKUP,
-          CSP_NAME_GO_ON_FROM };
+  static const csp_header_t own_fields[]
+      = { CSP_HEADER_REMAINING_TIME, CSP_HEADER_KEY,
+          CSP_HEADER_ORGANISATION,   CSP_HEADER_TARGET_ID,
+          CSP_HEADER_URGENCY,        CSP_HEADER_BACKUP,
+          CSP_HEADER_CONTINUE_FROM };
   const csp_dialect_t *dialect = exchange->gateway->dialect;
   const char *const *blocked;
   size_t i;
@@ -74,9 +75,9 @@
     if (strcasecmp (*blocked, name) == 0)
       return false;
   if (exchange->events > 0
-      && strcasecmp (dialect->names[CSP_NAME_LAST_EVENT], name) == 0)
+      && strcasecmp (dialect->names[CSP_HEADER_LAST_EVENT], name) == 0)
     return false;
-  return !csp_is_hop_field (head, name);
+  return !csp_is_hop_by_hop_field (head, name);
 }
 
 static void
@@ -89,21 +90,22 @@
   char address[CSP_ADDRESS_TEXT_BYTES];
 
   csp_print_buffer (
-      out, "%s: %lld\r\n%s: %s\r\n%s: %u\r\n", names[CSP_NAME_TIME_LEFT],
-      (long long)(left_ms > 0 ? left_ms : 0), names[CSP_NAME_TARGET_ID],
-      target->row.id, names[CSP_NAME_URGENCY],
+      out, "%s: %lld\r\n%s: %s\r\n%s: %u\r\n",
+      names[CSP_HEADER_REMAINING_TIME], (long long)(left_ms > 0 ? left_ms : 0),
+      names[CSP_HEADER_TARGET_ID], target->row.id, names[CSP_HEADER_URGENCY],
       exchange->urgency < URGENCY_MAX ? exchange->urgency : URGENCY_MAX);
   if (exchange->organisation != NULL)
-    csp_print_buffer (out, "%s: %s\r\n", names[CSP_NAME_ORGANISATION],
+    csp_print_buffer (out, "%s: %s\r\n", names[CSP_HEADER_ORGANISATION],
                       exchange->organisation);
   if (exchange->backup != NULL)
     {
       csp_print_target_address (exchange->backup, address);
-      csp_print_buffer (out, "%s: %s\r\n", names[CSP_NAME_BACKUP], address);
+      csp_print_buffer (out, "%s: %s\r\n", names[CSP_HEADER_BACKUP], address);
     }
   if (copy != NULL)
-    csp_print_buffer (out, "%s: %s\r\n%s: %s\r\n", names[CSP_NAME_GO_ON_FROM],
-                      copy, names[CSP_NAME_LAST_EVENT], exchange->last_event);
+    csp_print_buffer (out, "%s: %s\r\n%s: %s\r\n",
+                      names[CSP_HEADER_CONTINUE_FROM], copy,
+                      names[CSP_HEADER_LAST_EVENT], exchange->last_event);
 }
 
 static void
@@ -186,7 +188,7 @@
   target->own.tokens += exchange->tokens;
   if (copy == NULL)
     exchange->reading_tokens = exchange->prompt_tokens;
-  target->own.reading_tokens += exchange->reading_tokens;
+  target->own.prefill_tokens += exchange->reading_tokens;
   target->is_engine = exchange->service->is_engine;
   if (target->is_engine)
     csp_schedule_load_report (exchange->gateway);
@@ -212,10 +214,10 @@
 static const csp_route_service_t *
 draw_service (csp_exchange_t *exchange)
 {
-  const char *name
-      = csp_draw_service (exchange->route, &exchange->gateway->random);
+  const char *name = csp_pick_weighted_service (exchange->route,
+                                                &exchange->gateway->random);
 
-  return name == NULL ? NULL : csp_get_route_service (exchange->routes, name);
+  return name == NULL ? NULL : csp_find_route_service (exchange->routes, name);
 }
 
 void
@@ -243,8 +245,8 @@
           .memory_tokens = exchange->service->memory_tokens,
           .tokens = exchange->tokens,
           .repeatable = exchange->route->kind == CSP_ROUTE_IDEMPOTENT,
-          .not_this = exchange->failed_target,
-          .own = true };
+          .excluded = exchange->failed_target,
+          .sent_by_this_host = true };
   csp_fleet_target_t *target = csp_choose_fleet_target (
       gateway->fleet, &need, &gateway->random, csp_gateway_now_ms (gateway));
 
--- a/source/gateway/gateway-backup.c
+++ b/source/gateway/gateway-backup.c
@@ -50,12 +50,12 @@
                             .memory_tokens = exchange->service->memory_tokens,
                             .tokens = exchange->tokens,
                             .is_copy = true,
-                            .not_this = target,
-                            .own = true };
+                            .excluded = target,
+                            .sent_by_this_host = true };
 
   if (csp_gateway_now_ms (gateway) < exchange->move.refused_until_ms)
-    need.nor_this = csp_find_hashed_target (gateway->fleet,
-                                            exchange->move.refusing_target);
+    need.also_excluded = csp_find_target_by_hash (
+        gateway->fleet, exchange->move.refusing_target);
   return csp_choose_fleet_target (gateway->fleet, &need, &gateway->random,
                                   csp_gateway_now_ms (gateway));
 }
@@ -68,14 +68,14 @@
       = csp_reported_pool_share (exchange->gateway, exchange->service->name);
   const csp_route_service_t *service = exchange->service;
   double share
-      = csp_find_pool_share (exchange->gateway->fleet, service->name,
-                             service->memory_tokens, exchange->tokens);
+      = csp_find_pool_memory_share (exchange->gateway->fleet, service->name,
+                                    service->memory_tokens, exchange->tokens);
 
   /* This host knows mostly its own load, so the larger share is used.  */
   if (share < reported_share)
     share = reported_share;
-  return share <= (service->moves_runs ? pool_share_max_beside_moves
-                                       : pool_share_max);
+  return share <= (service->supports_kv_moves ? pool_share_max_beside_moves
+                                              : pool_share_max);
 }
 
 void
@@ -85,7 +85,8 @@
 
   csp_drop_backup (exchange);
   if (exchange->route->kind != CSP_ROUTE_STREAM
-      || !exchange->service->takes_backups || !is_backup_worthwhile (exchange))
+      || !exchange->service->supports_kv_backups
+      || !is_backup_worthwhile (exchange))
     return;
   backup = csp_choose_other_target (exchange, target, backup_share_max);
   if (backup == NULL)
@@ -102,7 +103,7 @@
   int64_t now_ms = csp_gateway_now_ms (exchange->gateway);
 
   return exchange->backup != NULL && csp_takes_new_work (exchange->backup)
-         && !csp_is_paced (exchange->backup, now_ms)
+         && !csp_is_cold_limited (exchange->backup, now_ms)
          && !csp_is_backed_off (exchange->backup, now_ms)
          && exchange->run_started_ms != 0;
 }
--- a/source/gateway/gateway-caller-answer.c
+++ b/source/gateway/gateway-caller-answer.c
@@ -142,7 +142,7 @@
       csp_linger_caller (caller);
       return;
     }
-  csp_next_http_message (caller->reader, csp_reader_limits (caller->gateway),
+  csp_reset_http_reader (caller->reader, csp_reader_limits (caller->gateway),
                          false);
   caller->request_whole = false;
   caller->in_body = false;
@@ -180,7 +180,7 @@
   csp_print_buffer (&answer,
                     "HTTP/1.1 %u %s\r\nContent-Type: application/json\r\n"
                     "Content-Length: %d\r\n",
-                    status, csp_http_status_words (status), body_bytes);
+                    status, csp_http_reason_phrase (status), body_bytes);
   if (retry_after_ms > 0)
     csp_print_buffer (&answer, "Retry-After: %.3f\r\n",
                       (double)retry_after_ms / MS_PER_S);
@@ -204,7 +204,7 @@
       csp_caller_t *next = caller->next;
 
       if (!caller->lingering && caller->exchange == NULL
-          && !csp_http_began (caller->reader))
+          && !csp_http_message_begun (caller->reader))
         csp_linger_caller (caller);
       caller = next;
     }
--- a/source/gateway/gateway-caller.c
+++ b/source/gateway/gateway-caller.c
@@ -75,7 +75,7 @@
       csp_close_caller (caller);
       return;
     case CSP_HTTP_MALFORMED:
-    case CSP_HTTP_FINE:
+    case CSP_HTTP_NO_FAULT:
       break;
     }
   refuse (caller, STATUS_BAD_REQUEST, "the request is malformed");
@@ -111,7 +111,8 @@
 
       if (caller->exchange != NULL && caller->request_whole)
         break;
-      if (caller->pending.size_bytes > 0 && !csp_http_began (caller->reader))
+      if (caller->pending.size_bytes > 0
+          && !csp_http_message_begun (caller->reader))
         caller->began_ms = caller->last_read_ms;
       step = csp_read_http (caller->reader, caller->pending.data,
                             caller->pending.size_bytes, &used, &piece,
@@ -130,7 +131,7 @@
         refuse_fault (caller);
       if (!caller->closed)
         csp_consume_buffer (&caller->pending, used);
-      if (step == CSP_HTTP_MORE)
+      if (step == CSP_HTTP_NEED_MORE)
         break;
     }
   caller->parsing = false;
@@ -180,7 +181,8 @@
     return;
   caller->reading = read;
   if (read)
-    uv_read_start ((uv_stream_t *)&caller->tcp, csp_share_read_room, on_read);
+    uv_read_start ((uv_stream_t *)&caller->tcp, csp_share_read_buffer,
+                   on_read);
   else
     uv_read_stop ((uv_stream_t *)&caller->tcp);
 }
@@ -195,7 +197,7 @@
 
   if (caller->request_whole || caller->paused)
     return;
-  if (!csp_http_began (caller->reader))
+  if (!csp_http_message_begun (caller->reader))
     {
       if (idle_ms >= limits.idle_timeout_ms)
         {
@@ -203,7 +205,7 @@
           return;
         }
     }
-  else if (!csp_http_head_whole (caller->reader))
+  else if (!csp_http_head_complete (caller->reader))
     {
       if (now_ms - caller->began_ms >= limits.head_timeout_ms)
         {
@@ -238,7 +240,8 @@
       uv_timer_stop (&caller->timer);
       return;
     }
-  if (csp_http_began (caller->reader) && !csp_http_head_whole (caller->reader))
+  if (csp_http_message_begun (caller->reader)
+      && !csp_http_head_complete (caller->reader))
     due_ms = caller->began_ms + limits.head_timeout_ms;
   uv_timer_start (&caller->timer, on_timer,
                   due_ms > now_ms ? (uint64_t)(due_ms - now_ms) : 1, 0);
--- a/source/gateway/gateway-cordon.c
+++ b/source/gateway/gateway-cordon.c
@@ -85,7 +85,7 @@
       = csp_cordon_targets (gateway->fleet, data_centre, cordoned, now_ms);
   size_t targets;
 
-  if (result == CSP_CORDON_AS_BEFORE)
+  if (result == CSP_CORDON_UNCHANGED)
     return;
   targets = drop_copies_in_data_centre (gateway, data_centre);
   CSP_LOG (gateway->log,
@@ -96,8 +96,8 @@
                                      ? -1
                                      : now_ms - gateway->platform_read_ms),
            csp_text ("fault", result == CSP_CORDON_NO_MEMORY ? "out of memory"
-                              : result == CSP_CORDON_NO_NAME ? "no name"
-                                                             : NULL));
+                              : result == CSP_CORDON_INVALID_NAME ? "no name"
+                                                                  : NULL));
   if (cordoned)
     refuse_waiting_requests (gateway);
   csp_place_waiting_asks (gateway);
--- a/source/gateway/gateway-dispatch.c
+++ b/source/gateway/gateway-dispatch.c
@@ -106,7 +106,7 @@
   hello.asks[0].urgency = ask.urgency;
   hello.asks[0].moves_from = ask.moves_from;
   hello.asks[0].refused_at = ask.refused_at;
-  hello.asks[0].left_ms = ask.left_ms;
+  hello.asks[0].expected_remaining_ms = ask.left_ms;
   hello.asks[0].backoff_count = ask.backoff_count;
   memcpy (hello.asks[0].backoffs, ask.backoffs, sizeof ask.backoffs);
   csp_send_hello (gateway, &hello, &exchange->asked_host, 1);
@@ -266,7 +266,7 @@
 use_place (csp_exchange_t *exchange, uint64_t target_hash)
 {
   csp_fleet_target_t *target
-      = csp_find_hashed_target (exchange->gateway->fleet, target_hash);
+      = csp_find_target_by_hash (exchange->gateway->fleet, target_hash);
   /* The decider may reach targets that this host can't.  It may also not know
      yet that operators have cordoned the target, or that the target has asked
      this host to back off.  */
@@ -376,7 +376,7 @@
 
   for (i = 0;
        gateway->routes != NULL
-       && (service = csp_list_route_service (gateway->routes, i)) != NULL;
+       && (service = csp_get_route_service_at (gateway->routes, i)) != NULL;
        i++)
     if ((uint32_t)csp_hash_pair ("service", service->name) == hash)
       return service;
@@ -411,7 +411,7 @@
                         .urgency = row->urgency,
                         .moves_from = row->moves_from,
                         .refused_at = row->refused_at,
-                        .left_ms = row->left_ms,
+                        .left_ms = row->expected_remaining_ms,
                         .backoff_count = row->backoff_count };
 
       memcpy (ask.backoffs, row->backoffs, sizeof ask.backoffs);
--- a/source/gateway/gateway-exchange.c
+++ b/source/gateway/gateway-exchange.c
@@ -104,8 +104,8 @@
   csp_caller_t *caller = exchange->caller;
 
   exchange->gateway->counts.answered++;
-  csp_count_end (exchange->gateway->request_metrics, exchange->labels,
-                 CSP_REASON_NONE, CSP_VERDICT_RAN);
+  csp_count_request_end (exchange->gateway->request_metrics, exchange->labels,
+                         CSP_REASON_NONE, CSP_VERDICT_RAN);
   if (exchange->events > 0)
     csp_observe_time (exchange->labels, CSP_TIME_STALLED,
                       exchange->stalled_us);
@@ -146,8 +146,8 @@
     }
   else
     gateway->counts.failed++;
-  csp_count_end (gateway->request_metrics, exchange->labels, reason,
-                 exchange->verdict);
+  csp_count_request_end (gateway->request_metrics, exchange->labels, reason,
+                         exchange->verdict);
   if (begun)
     gateway->counts.streams_lost++;
   log_end (exchange, begun ? CSP_EVENT_STREAM_LOST : CSP_EVENT_FORWARD_REFUSED,
@@ -166,7 +166,7 @@
   if (exchange->ended)
     return;
   exchange->gateway->counts.abandoned++;
-  csp_count (exchange->labels, CSP_COUNT_CANCELS, 1);
+  csp_add_count (exchange->labels, CSP_COUNT_CANCELS, 1);
   log_end (exchange, CSP_EVENT_FORWARD_ABANDONED, NULL);
   exchange->caller = NULL;
   close_exchange (exchange);
@@ -182,7 +182,7 @@
 csp_exchange_may_have_run (const csp_exchange_t *exchange)
 {
   return exchange->may_have_run
-         || (exchange->link != NULL && csp_link_sent (exchange->link));
+         || (exchange->link != NULL && csp_link_has_sent (exchange->link));
 }
 
 static void
@@ -203,7 +203,7 @@
 {
   csp_gateway_t *gateway = exchange->gateway;
   const char *text = csp_find_http_field (
-      head, gateway->dialect->names[CSP_NAME_TIME_LEFT]);
+      head, gateway->dialect->names[CSP_HEADER_REMAINING_TIME]);
   int64_t now_ms = csp_gateway_now_ms (gateway);
   uint64_t left_ms = exchange->route->timeout_ms;
 
@@ -231,9 +231,9 @@
 {
   const csp_dialect_t *dialect = exchange->gateway->dialect;
   const char *tokens
-      = csp_find_http_field (head, dialect->names[CSP_NAME_TOKENS]);
+      = csp_find_http_field (head, dialect->names[CSP_HEADER_TOKENS]);
   const char *hint
-      = csp_find_http_field (head, dialect->names[CSP_NAME_OUTPUT_HINT]);
+      = csp_find_http_field (head, dialect->names[CSP_HEADER_OUTPUT_HINT]);
   char *rest = NULL;
   uint64_t prompt = 0;
   uint64_t output_max = 0;
@@ -261,7 +261,7 @@
   const csp_gateway_t *gateway = exchange->gateway;
   const char *host = csp_find_http_field (head, "Host");
   const char *key
-      = csp_find_http_field (head, gateway->dialect->names[CSP_NAME_KEY]);
+      = csp_find_http_field (head, gateway->dialect->names[CSP_HEADER_KEY]);
   const csp_route_organisation_t *organisation = NULL;
 
   exchange->route = csp_match_route (exchange->routes,
@@ -269,12 +269,12 @@
   if (exchange->route == NULL)
     return STATUS_NOT_FOUND;
   exchange->urgency = exchange->route->urgency;
-  if (!csp_routes_have_keys (exchange->routes))
+  if (!csp_routes_require_keys (exchange->routes))
     return 0;
   if (key != NULL)
-    organisation = csp_find_key (exchange->routes, key);
+    organisation = csp_find_key_owner (exchange->routes, key);
   if (organisation == NULL)
-    return exchange->route->open_to_all ? 0 : STATUS_UNAUTHORIZED;
+    return exchange->route->allows_anonymous ? 0 : STATUS_UNAUTHORIZED;
   exchange->organisation = organisation->name;
   if (organisation->urgency >= 0)
     exchange->urgency = (uint32_t)organisation->urgency;
@@ -315,7 +315,7 @@
   exchange->gateway = gateway;
   exchange->caller = caller;
   exchange->began_ms = began_ms;
-  exchange->routes = csp_hold_routes (gateway->routes);
+  exchange->routes = csp_retain_routes (gateway->routes);
   exchange->verdict = CSP_VERDICT_NOT_RUN;
   exchange->waited_ms = -1;
   uv_timer_init (&gateway->loop, &exchange->deadline);
@@ -355,7 +355,7 @@
 {
   const csp_http_head_t *head = csp_caller_request_head (caller);
   const char *id = csp_find_http_field (
-      head, gateway->dialect->names[CSP_NAME_REQUEST_ID]);
+      head, gateway->dialect->names[CSP_HEADER_REQUEST_ID]);
   csp_exchange_t *exchange = NULL;
   uint16_t status;
 
@@ -383,7 +383,7 @@
     }
   exchange->labels = csp_get_labels (
       gateway->request_metrics, exchange->organisation, exchange->route->name);
-  csp_count (exchange->labels, CSP_COUNT_REQUESTS, 1);
+  csp_add_count (exchange->labels, CSP_COUNT_REQUESTS, 1);
   estimate_tokens (exchange, head);
   if (!can_finish_before_stop (exchange))
     {
--- a/source/gateway/gateway-lease.c
+++ b/source/gateway/gateway-lease.c
@@ -47,9 +47,10 @@
 collect_lease_facts (const csp_gateway_t *gateway)
 {
   csp_lease_facts_t facts
-      = { .hosts_asking = csp_count_askers (gateway->roster),
+      = { .hosts_asking = csp_count_asking_hosts (gateway->roster),
           .hosts_known = csp_count_known_hosts (gateway->roster),
-          .data_centres_heard = csp_count_heard_data_centres (gateway->roster),
+          .data_centres_live
+          = csp_count_reachable_data_centres (gateway->roster),
           .data_centres_listed = count_listed_data_centres (gateway) };
 
   return facts;
@@ -58,13 +59,13 @@
 void
 csp_note_warmup_duty (csp_gateway_t *gateway)
 {
-  csp_warmup_duty_t duty
+  csp_decider_role_t duty
       = { .decides = csp_is_same_peer (gateway->decider, gateway->self),
           .decides_since_ms = gateway->decider_since_ms };
 
   if (duty.decides)
     duty.fleet = collect_lease_facts (gateway);
-  csp_note_dispatch_duty (gateway->dispatch, &duty);
+  csp_set_dispatch_duty (gateway->dispatch, &duty);
 }
 
 static uint32_t
@@ -75,15 +76,16 @@
   csp_lease_facts_t facts = collect_lease_facts (gateway);
   uint32_t granted;
 
-  csp_note_lease_duty (&row->leases,
-                       csp_is_same_peer (gateway->decider, gateway->self),
-                       now_ms);
+  csp_set_lease_decider (&row->leases,
+                         csp_is_same_peer (gateway->decider, gateway->self),
+                         now_ms);
   granted = csp_grant_leases (&row->leases, &facts, wanted, now_ms);
   gateway->counts.retries_lent += granted;
   CSP_LOG (gateway->log, CSP_EVENT_RETRIES_LENT, NULL,
            csp_text ("service", row->service), csp_number ("wanted", wanted),
            csp_number ("granted", granted),
-           csp_number ("leased", csp_count_leased (&row->leases, now_ms)),
+           csp_number ("leased",
+                       csp_count_outstanding_leases (&row->leases, now_ms)),
            csp_number ("hosts_asking", (int64_t)facts.hosts_asking),
            csp_number ("hosts_known", (int64_t)facts.hosts_known));
   return granted;
@@ -143,7 +145,7 @@
 {
   int64_t now_ms = csp_gateway_now_ms (gateway);
   uint32_t wanted = count_awaiting_lease (gateway, row);
-  csp_hello_t hello = { .want_count = 1 };
+  csp_hello_t hello = { .lease_request_count = 1 };
 
   if (wanted == 0
       || (row->lease_request_id != 0
@@ -156,7 +158,7 @@
       handle_lease (gateway, row, grant_leases (gateway, row, wanted));
       return;
     }
-  hello.wants[0]
+  hello.lease_requests[0]
       = (csp_hello_lease_t){ .service = hash_of_service (row->service),
                              .id = row->lease_request_id,
                              .amount = wanted };
@@ -192,7 +194,7 @@
   csp_service_budget_t *row
       = csp_find_service_budget (gateway, exchange->service->name);
 
-  if (row->leases.policy.extra == 0)
+  if (row->leases.policy.max_per_window == 0)
     {
       csp_fail_exchange (exchange, reason, detail);
       return;
@@ -229,8 +231,8 @@
   size_t i;
   size_t j;
 
-  for (i = 0; i < hello->want_count; i++)
-    answer_lease_request (gateway, from, &hello->wants[i]);
+  for (i = 0; i < hello->lease_request_count; i++)
+    answer_lease_request (gateway, from, &hello->lease_requests[i]);
   for (i = 0; i < hello->lease_count; i++)
     for (j = 0; j < gateway->budget_count; j++)
       if (gateway->budgets[j].lease_request_id == hello->leases[i].id
@@ -245,7 +247,7 @@
   size_t i;
 
   for (i = 0; i < gateway->budget_count; i++)
-    csp_note_lease_duty (&gateway->budgets[i].leases, decides,
-                         csp_gateway_now_ms (gateway));
+    csp_set_lease_decider (&gateway->budgets[i].leases, decides,
+                           csp_gateway_now_ms (gateway));
   csp_note_warmup_duty (gateway);
 }
--- a/source/gateway/gateway-links.c
+++ b/source/gateway/gateway-links.c
@@ -65,7 +65,7 @@
                   csp_link_t *link)
 {
   idle_links_t *idle = target->links;
-  uint32_t usable_ms = csp_link_usable_ms (link);
+  uint32_t usable_ms = csp_link_reusable_ms (link);
 
   if (idle == NULL && usable_ms > IDLE_MARGIN_MS)
     idle = target->links = calloc (1, sizeof *idle);
@@ -80,7 +80,7 @@
   idle->links[idle->count].usable_until_ms
       = csp_gateway_now_ms (gateway) + usable_ms - IDLE_MARGIN_MS;
   idle->count++;
-  csp_park_link (link, forget_link, target);
+  csp_watch_idle_link (link, forget_link, target);
 }
 
 void
--- a/source/gateway/gateway-move.c
+++ b/source/gateway/gateway-move.c
@@ -114,7 +114,8 @@
   csp_fleet_target_t *to = exchange->backup;
 
   csp_print_target_address (to, address);
-  dialect->write_copy (address, exchange->request_id, copy, sizeof copy);
+  dialect->format_copy_source (address, exchange->request_id, copy,
+                               sizeof copy);
   return resume_at (exchange, to, copy);
 }
 
@@ -143,7 +144,7 @@
 {
   exchange->gateway->counts.moves++;
   exchange->moves++;
-  csp_count (exchange->labels, CSP_COUNT_RESUMES, 1);
+  csp_add_count (exchange->labels, CSP_COUNT_RESUMES, 1);
   csp_log_move (exchange, "arrived", exchange->target);
   exchange->move.state = CSP_MOVE_NONE;
   exchange->move.tries = 0;
@@ -230,7 +231,7 @@
   char copy[CSP_COPY_TEXT_BYTES];
 
   csp_print_target_address (exchange->target, address);
-  dialect->write_copy (address, answer->handle, copy, sizeof copy);
+  dialect->format_copy_source (address, answer->handle, copy, sizeof copy);
   if (csp_is_quarantined (exchange))
     csp_fail_exchange (exchange, CSP_REASON_STREAM_CUT,
                        "targets ended under this request");
@@ -386,9 +387,9 @@
                            "no connection to go on");
       return;
     }
-  if (to == NULL && exchange->service->moves_runs)
+  if (to == NULL && exchange->service->supports_kv_moves)
     to = choose_locally (exchange);
-  if (to == NULL || !exchange->service->moves_runs)
+  if (to == NULL || !exchange->service->supports_kv_moves)
     {
       csp_release_move (exchange);
       return;
--- a/source/gateway/gateway-page.c
+++ b/source/gateway/gateway-page.c
@@ -47,7 +47,7 @@
     { "retries_lent_total", "counter", counts->retries_lent },
     { "peers", "gauge", csp_count_live_peers (gateway->roster) },
     { "decides", "gauge", csp_is_same_peer (gateway->decider, gateway->self) },
-    { "asked_by", "gauge", csp_count_askers (gateway->roster) },
+    { "asked_by", "gauge", csp_count_asking_hosts (gateway->roster) },
     { "routes_version", "gauge",
       gateway->routes == NULL ? 0 : csp_routes_version (gateway->routes) },
   };
@@ -95,7 +95,8 @@
 }
 
 static void
-on_asked (void *state, csp_page_t *page, const csp_http_head_t *head)
+on_asked (void *state, csp_page_connection_t *page,
+          const csp_http_head_t *head)
 {
   static const char metrics_path[] = "/metrics";
   static const char *const bodies[]
@@ -106,16 +107,16 @@
 
   if (strcmp (head->target, metrics_path) != 0)
     {
-      csp_answer_page (page, ready ? STATUS_OK : STATUS_UNAVAILABLE,
-                       "application/json", bodies[ready],
-                       strlen (bodies[ready]));
+      csp_answer_page_request (page, ready ? STATUS_OK : STATUS_UNAVAILABLE,
+                               "application/json", bodies[ready],
+                               strlen (bodies[ready]));
       return;
     }
   print_metrics (gateway, &text);
   print_cordons (gateway, &text);
   append_times (gateway, &text);
-  csp_answer_page (page, STATUS_OK, "text/plain; version=0.0.4", text.data,
-                   text.size_bytes);
+  csp_answer_page_request (page, STATUS_OK, "text/plain; version=0.0.4",
+                           text.data, text.size_bytes);
   csp_clear_buffer (&text);
 }
 
@@ -123,15 +124,16 @@
 csp_open_gateway_pages (csp_gateway_t *gateway, char *message,
                         size_t message_bytes)
 {
-  static const csp_page_events_t events = { .asked = on_asked };
+  static const csp_page_events_t events = { .on_request = on_asked };
   const csp_gateway_settings_t *settings = &gateway->settings;
   int fault = 0;
 
   gateway->readiness_page = csp_open_page_server (
-      &gateway->loop, &settings->ready, &events, gateway, &fault);
-  if (gateway->readiness_page != NULL && settings->metrics.sin_port != 0)
+      &gateway->loop, &settings->readiness_address, &events, gateway, &fault);
+  if (gateway->readiness_page != NULL
+      && settings->metrics_address.sin_port != 0)
     gateway->metrics_page = csp_open_page_server (
-        &gateway->loop, &settings->metrics, &events, gateway, &fault);
+        &gateway->loop, &settings->metrics_address, &events, gateway, &fault);
   if (fault == 0)
     return true;
   snprintf (message, message_bytes,
--- a/source/gateway/gateway-peers.c
+++ b/source/gateway/gateway-peers.c
@@ -18,7 +18,7 @@
 count_load (void *state, csp_peer_address_t peer, const csp_peer_load_t *load)
 {
   (void)peer;
-  csp_count_other_load (state, load);
+  csp_add_peer_load (state, load);
 }
 
 static void
@@ -26,15 +26,15 @@
               const csp_peer_load_t *load)
 {
   (void)peer;
-  csp_uncount_other_load (state, load);
+  csp_subtract_peer_load (state, load);
 }
 
 /* Recount the loads that all other hosts have reported.  */
 static void
 recount_peer_loads (csp_gateway_t *gateway)
 {
-  csp_clear_other_loads (gateway->fleet);
-  csp_each_peer_load (gateway->roster, count_load, gateway->fleet);
+  csp_clear_peer_loads (gateway->fleet);
+  csp_visit_peer_loads (gateway->roster, count_load, gateway->fleet);
 }
 
 /* A new target whose already reported loads are being counted.  */
@@ -52,7 +52,7 @@
 
   (void)peer;
   if (load->target == new_target->target)
-    csp_count_other_load (new_target->fleet, load);
+    csp_add_peer_load (new_target->fleet, load);
 }
 
 void
@@ -65,7 +65,8 @@
   if (target == NULL)
     return;
   new_target.target = target->hash;
-  csp_each_peer_load (gateway->roster, count_load_of_new_target, &new_target);
+  csp_visit_peer_loads (gateway->roster, count_load_of_new_target,
+                        &new_target);
 }
 
 /* A host's new loads replace its previous ones.  Recounting all hosts for each
@@ -77,10 +78,11 @@
 {
   bool taken;
 
-  csp_each_load_of_peer (gateway->roster, peer, uncount_load, gateway->fleet);
-  taken = csp_hear_peer (gateway->roster, peer, hello,
-                         csp_gateway_now_ms (gateway));
-  csp_each_load_of_peer (gateway->roster, peer, count_load, gateway->fleet);
+  csp_visit_loads_of_peer (gateway->roster, peer, uncount_load,
+                           gateway->fleet);
+  taken = csp_receive_hello (gateway->roster, peer, hello,
+                             csp_gateway_now_ms (gateway));
+  csp_visit_loads_of_peer (gateway->roster, peer, count_load, gateway->fleet);
   return taken;
 }
 
@@ -92,12 +94,12 @@
   csp_buffer_t bytes = { 0 };
   size_t i;
 
-  csp_describe_self (gateway->roster, hello, csp_gateway_now_ms (gateway));
+  csp_fill_own_hello (gateway->roster, hello, csp_gateway_now_ms (gateway));
   hello->sequence = ++gateway->hello_sequence;
   if (csp_encode_hello (hello, &bytes))
     for (i = 0; i < peer_count; i++)
       {
-        struct sockaddr_in to = csp_socket_of_peer (peers[i]);
+        struct sockaddr_in to = csp_sockaddr_from_peer (peers[i]);
         uv_buf_t buffer = uv_buf_init (bytes.data, (unsigned)bytes.size_bytes);
 
         uv_udp_try_send (&gateway->peer_socket, &buffer, 1,
@@ -109,11 +111,11 @@
 static void
 send_periodic_hello (csp_gateway_t *gateway, csp_peer_address_t peer)
 {
-  csp_hello_t hello = { .wants_answer = true };
+  csp_hello_t hello = { .reply_requested = true };
 
-  hello.known_count = csp_name_known_hosts (gateway->roster, peer, hello.known,
-                                            CSP_HELLO_KNOWN_MAX,
-                                            csp_gateway_now_ms (gateway));
+  hello.known_count = csp_choose_known_hosts (
+      gateway->roster, peer, hello.known_hosts, CSP_HELLO_KNOWN_MAX,
+      csp_gateway_now_ms (gateway));
   csp_add_suspects_to_hello (gateway, &hello);
   csp_send_hello (gateway, &hello, &peer, 1);
 }
@@ -121,7 +123,7 @@
 static void
 answer_hello (csp_gateway_t *gateway, csp_peer_address_t peer)
 {
-  csp_hello_t hello = { .wants_answer = false };
+  csp_hello_t hello = { .reply_requested = false };
 
   csp_add_suspects_to_hello (gateway, &hello);
   csp_send_hello (gateway, &hello, &peer, 1);
@@ -139,13 +141,14 @@
   if (csp_expire_peers (gateway->roster, now_ms))
     recount_peer_loads (gateway);
   pthread_mutex_lock (&gateway->live_lock);
-  gateway->live_peer_count = csp_draw_peers (
+  gateway->live_peer_count = csp_sample_live_peers (
       gateway->roster, gateway->live_peers, CSP_LIVE_PEERS_MAX);
   csp_rank_readers (gateway->roster, &gateway->readers);
   pthread_mutex_unlock (&gateway->live_lock);
   csp_note_greeting_period (gateway->reach,
-                            csp_greeting_period_ms (gateway->roster));
-  count = csp_list_due_peers (gateway->roster, now_ms, peers, CSP_ROSTER_MAX);
+                            csp_remote_hello_period_ms (gateway->roster));
+  count = csp_choose_hello_targets (gateway->roster, now_ms, peers,
+                                    CSP_ROSTER_MAX);
   for (i = 0; i < count; i++)
     send_periodic_hello (gateway, peers[i]);
   csp_choose_deciders (gateway);
@@ -162,14 +165,14 @@
   if (size_bytes <= 0 || from == NULL || (flags & UV_UDP_PARTIAL) != 0
       || !csp_decode_hello (buffer->base, (size_t)size_bytes, &hello))
     return;
-  peer = csp_peer_of_socket ((const struct sockaddr_in *)from);
-  csp_note_host_heard (gateway->reach, hello.data_centre,
-                       csp_gateway_now_ms (gateway));
+  peer = csp_peer_from_sockaddr ((const struct sockaddr_in *)from);
+  csp_note_host_message_from (gateway->reach, hello.data_centre,
+                              csp_gateway_now_ms (gateway));
   if (record_peer_hello (gateway, peer, &hello)
-      && (hello.whole || hello.load_count > 0)
+      && (hello.is_full_report || hello.load_count > 0)
       && csp_count_waiting_asks (gateway->dispatch) > 0)
     csp_place_waiting_asks (gateway);
-  if (hello.wants_answer)
+  if (hello.reply_requested)
     answer_hello (gateway, peer);
   csp_handle_leaving_notices (gateway, &hello);
   csp_handle_suspects (gateway, peer, &hello);
@@ -207,7 +210,7 @@
   size_t i;
 
   pthread_mutex_init (&gateway->live_lock, NULL);
-  gateway->self = csp_peer_of_socket (&settings->peers);
+  gateway->self = csp_peer_from_sockaddr (&settings->datagram_address);
   gateway->data_centre
       = (uint32_t)csp_hash_pair ("data_centre", settings->data_centre);
   gateway->boot = ((uint64_t)csp_wall_ms (&gateway->clock) << BOOT_RANDOM_BITS)
@@ -223,25 +226,26 @@
   if (gateway->roster == NULL || gateway->reach == NULL
       || gateway->peer_scratch == NULL)
     return false;
-  csp_set_roster_self (gateway->roster, settings->capacity,
-                       csp_gateway_now_ms (gateway));
+  csp_set_roster_local_info (gateway->roster, settings->capacity,
+                             csp_gateway_now_ms (gateway));
   csp_rank_readers (gateway->roster, &gateway->readers);
   csp_open_load_reports (gateway);
   uv_timer_init (&gateway->loop, &gateway->hello_timer);
   gateway->hello_timer.data = gateway;
   uv_udp_init (&gateway->loop, &gateway->peer_socket);
   gateway->peer_socket.data = gateway;
-  if (settings->peers.sin_port == 0)
+  if (settings->datagram_address.sin_port == 0)
     return true;
   if (uv_udp_bind (&gateway->peer_socket,
-                   (const struct sockaddr *)&settings->peers, 0)
+                   (const struct sockaddr *)&settings->datagram_address, 0)
           != 0
-      || uv_udp_recv_start (&gateway->peer_socket, csp_share_read_room,
+      || uv_udp_recv_start (&gateway->peer_socket, csp_share_read_buffer,
                             on_datagram)
              != 0)
     return false;
   for (i = 0; i < settings->seed_count; i++)
-    csp_learn_peer (gateway->roster, csp_peer_of_socket (&settings->seeds[i]));
+    csp_add_peer_address (gateway->roster,
+                          csp_peer_from_sockaddr (&settings->seeds[i]));
   uv_timer_start (&gateway->hello_timer, on_hello_timer, 0, HELLO_TICK_MS);
   return true;
 }
--- a/source/gateway/gateway-quarantine.c
+++ b/source/gateway/gateway-quarantine.c
@@ -130,7 +130,7 @@
     {
       csp_hello_t hello = { .suspect_count = 0 };
 
-      hello.suspect_count = csp_list_fresh_suspects (
+      hello.suspect_count = csp_take_suspects_to_broadcast (
           gateway->quarantine, hello.suspects, CSP_HELLO_SUSPECTS_MAX,
           csp_gateway_now_ms (gateway));
       if (hello.suspect_count == 0)
@@ -144,7 +144,7 @@
 void
 csp_add_suspects_to_hello (csp_gateway_t *gateway, csp_hello_t *hello)
 {
-  hello->suspect_count = csp_name_suspects (
+  hello->suspect_count = csp_list_suspects_for_greeting (
       gateway->quarantine, hello->suspects, PERIODIC_SUSPECTS_MAX,
       csp_gateway_now_ms (gateway));
 }
@@ -160,8 +160,8 @@
   /* A leaving target ends for its own reasons.  */
   if (target->state == CSP_FLEET_LEAVING || target->state == CSP_FLEET_GONE)
     return;
-  change = csp_strike_request (gateway->quarantine, fingerprint, target->hash,
-                               csp_gateway_now_ms (gateway));
+  change = csp_add_request_strike (gateway->quarantine, fingerprint,
+                                   target->hash, csp_gateway_now_ms (gateway));
   if (change == CSP_SUSPECT_QUARANTINED)
     begin_quarantine (gateway, fingerprint, "self", exchange);
   if (change == CSP_SUSPECT_QUARANTINED)
@@ -204,20 +204,20 @@
 
   if (hello->suspect_count == 0 && hello->cleared_count == 0)
     return;
-  csp_print_peer (from, host);
+  csp_format_peer (from, host);
   for (i = 0; i < hello->cleared_count; i++)
     clear_request (gateway, hello->cleared[i], host);
   for (i = 0; i < hello->suspect_count; i++)
     switch (csp_merge_suspect (gateway->quarantine, &hello->suspects[i],
                                csp_gateway_now_ms (gateway)))
       {
-      case CSP_SUSPECT_AS_BEFORE:
-      case CSP_SUSPECT_STRUCK:
+      case CSP_SUSPECT_UNCHANGED:
+      case CSP_SUSPECT_STRIKE_ADDED:
         break;
       case CSP_SUSPECT_QUARANTINED:
         begin_quarantine (gateway, hello->suspects[i].request, host, NULL);
         break;
-      case CSP_SUSPECT_SOUND:
+      case CSP_SUSPECT_RECENTLY_SERVED:
         answer.cleared[answer.cleared_count++] = hello->suspects[i].request;
         break;
       }
--- a/source/gateway/gateway-reach.c
+++ b/source/gateway/gateway-reach.c
@@ -31,7 +31,7 @@
 update_target_reachability (csp_gateway_t *gateway, csp_fleet_target_t *target,
                             int64_t now_ms, engine_count_t *engines)
 {
-  bool cut = !csp_is_reached (gateway->reach, target->data_centre, now_ms);
+  bool cut = !csp_is_reachable (gateway->reach, target->data_centre, now_ms);
 
   if (csp_take_reach_change (gateway->reach, target->data_centre, now_ms))
     CSP_LOG (gateway->log,
@@ -45,7 +45,7 @@
     engines->reached++;
   else
     engines->cut_off++;
-  if (csp_take_reach_question (gateway->reach, target->data_centre, now_ms))
+  if (csp_take_reach_probe (gateway->reach, target->data_centre, now_ms))
     csp_query_target (gateway, target, now_ms);
 }
 
@@ -104,8 +104,8 @@
 csp_note_target_answered (csp_gateway_t *gateway,
                           const csp_fleet_target_t *target)
 {
-  csp_note_answer_from (gateway->reach, target->data_centre,
-                        csp_gateway_now_ms (gateway));
+  csp_note_target_answer_from (gateway->reach, target->data_centre,
+                               csp_gateway_now_ms (gateway));
 }
 
 void
--- a/source/gateway/gateway-report.c
+++ b/source/gateway/gateway-report.c
@@ -85,7 +85,7 @@
   const csp_route_service_t *service = NULL;
 
   if (gateway->routes != NULL)
-    service = csp_get_route_service (gateway->routes, target->row.service);
+    service = csp_find_route_service (gateway->routes, target->row.service);
   return service != NULL && service->is_engine;
 }
 
@@ -102,7 +102,7 @@
     {
       csp_leaving_notice_t *notice = &gateway->leaving_notices[i];
 
-      hello.left[hello.left_count++] = notice->target;
+      hello.leaving_targets[hello.left_count++] = notice->target;
       if (--notice->sends_left > 0)
         gateway->leaving_notices[remaining++] = *notice;
     }
@@ -136,8 +136,8 @@
 
   for (i = 0; i < hello->left_count; i++)
     {
-      csp_fleet_target_t *target
-          = csp_find_hashed_target (gateway->fleet, hello->left[i]);
+      csp_fleet_target_t *target = csp_find_target_by_hash (
+          gateway->fleet, hello->leaving_targets[i]);
 
       if (target != NULL)
         csp_note_target_leaves (gateway->fleet, target);
@@ -198,10 +198,10 @@
   target->unreachable = 0;
   if (!readable && !report.leaving)
     return;
-  csp_note_target_born (gateway->fleet, target, report.born_ms,
-                        csp_gateway_now_ms (gateway));
+  csp_note_target_start (gateway->fleet, target, report.born_ms,
+                         csp_gateway_now_ms (gateway));
   if (!report.leaving
-      || (report.born_ms != 0 && report.born_ms != target->row.born_ms))
+      || (report.born_ms != 0 && report.born_ms != target->row.start_unix_ms))
     return;
   csp_announce_leaving (gateway, target);
 }
--- a/source/gateway/gateway-stream.c
+++ b/source/gateway/gateway-stream.c
@@ -129,7 +129,7 @@
       int64_t gap_us = gap_ms * US_PER_MS;
 
       csp_observe_time (exchange->labels, CSP_TIME_BETWEEN_TOKENS, gap_us);
-      exchange->stalled_us += csp_stall_of_gap_us (gap_us);
+      exchange->stalled_us += csp_compute_stall_us (gap_us);
       if (gap_ms > exchange->worst_gap_ms)
         exchange->worst_gap_ms = gap_ms;
     }
--- a/source/gateway/gateway-target-state.c
+++ b/source/gateway/gateway-target-state.c
@@ -17,7 +17,8 @@
 csp_head_announces_leaving (const csp_gateway_t *gateway,
                             const csp_http_head_t *head)
 {
-  return csp_find_http_field (head, gateway->dialect->names[CSP_NAME_LEAVING])
+  return csp_find_http_field (head,
+                              gateway->dialect->names[CSP_HEADER_LEAVING])
          != NULL;
 }
 
@@ -46,7 +47,7 @@
   int64_t now_ms = csp_gateway_now_ms (gateway);
   uint32_t wait_ms;
 
-  if (!csp_read_http_seconds (retry_after, &wait_ms))
+  if (!csp_parse_http_seconds (retry_after, &wait_ms))
     {
       CSP_LOG (gateway->log, CSP_EVENT_BACKOFF_BAD, NULL,
                csp_text ("target", target->row.id),
--- a/source/gateway/gateway-tell.c
+++ b/source/gateway/gateway-tell.c
@@ -31,7 +31,7 @@
           .requests = target->own.requests,
           .tokens = (uint32_t)target->own.tokens,
           .backup_tokens = (uint32_t)target->own.backup_tokens,
-          .reading_tokens = (uint32_t)target->own.reading_tokens,
+          .prefill_tokens = (uint32_t)target->own.prefill_tokens,
           .movable_tokens = (uint32_t)target->own.movable_tokens };
 
   return load;
@@ -42,7 +42,7 @@
 {
   return a->requests == b->requests && a->tokens == b->tokens
          && a->backup_tokens == b->backup_tokens
-         && a->reading_tokens == b->reading_tokens
+         && a->prefill_tokens == b->prefill_tokens
          && a->movable_tokens == b->movable_tokens;
 }
 
@@ -54,10 +54,10 @@
              bool whole)
 {
   if (!target->is_engine && load->backup_tokens == 0
-      && target->told.backup_tokens == 0)
+      && target->reported_load.backup_tokens == 0)
     return false;
   return whole ? load->requests > 0 || load->backup_tokens > 0
-               : !is_same_load (load, &target->told);
+               : !is_same_load (load, &target->reported_load);
 }
 
 /* Send this host's loads, in as many datagrams as needed: all
@@ -68,7 +68,7 @@
 {
   size_t count = csp_fleet_size (gateway->fleet);
   csp_hello_t hello
-      = { .whole = whole,
+      = { .is_full_report = whole,
           .decider = whole ? csp_pack_peer (gateway->decider) : 0 };
   bool sent = false;
   size_t i;
@@ -81,7 +81,7 @@
       if (!must_report (target, &load, whole))
         continue;
       if (!whole)
-        target->told = load;
+        target->reported_load = load;
       hello.loads[hello.load_count++] = load;
       if (hello.load_count < CSP_HELLO_LOADS_MAX)
         continue;
@@ -146,7 +146,7 @@
       char address[CSP_PEER_TEXT_BYTES];
 
       gateway->decider_since_ms = now_ms;
-      csp_print_peer (decider, address);
+      csp_format_peer (decider, address);
       CSP_LOG (gateway->log, CSP_EVENT_DECIDER_CHOSEN, NULL,
                csp_text ("host", address),
                csp_number ("is_this_host",
--- a/source/gateway/gateway-turn.c
+++ b/source/gateway/gateway-turn.c
@@ -39,7 +39,7 @@
 {
   return csp_expected_remaining_ms (exchange) < ENDS_SOON_MS
          && csp_gateway_now_ms (exchange->gateway)
-                < exchange->target->left_at_ms + ENDS_SOON_MS;
+                < exchange->target->leave_seen_at_ms + ENDS_SOON_MS;
 }
 
 bool
@@ -63,7 +63,7 @@
 has_own_turn (const csp_exchange_t *exchange, int64_t now_ms)
 {
   return exchange->move.decided_locally && !exchange->target->moving
-         && now_ms >= exchange->target->turn_at_ms;
+         && now_ms >= exchange->target->may_move_at_ms;
 }
 
 /* Ask the decider for the stream's move.  Returns whether this host may start
@@ -135,7 +135,7 @@
   move_turn_t *turn = state;
 
   if (load->target != turn->target->hash || load->movable_tokens == 0
-      || csp_order_peer (peer, load->target) >= turn->own_rank)
+      || csp_hash_peer_rank (peer, load->target) >= turn->own_rank)
     return;
   turn->tokens_before += load->movable_tokens;
   turn->hosts_before++;
@@ -146,14 +146,14 @@
 {
   move_turn_t turn
       = { .target = target,
-          .own_rank = csp_order_peer (gateway->self, target->hash) };
+          .own_rank = csp_hash_peer_rank (gateway->self, target->hash) };
   const csp_route_service_t *service = NULL;
 
   if (gateway->routes != NULL)
-    service = csp_get_route_service (gateway->routes, target->row.service);
+    service = csp_find_route_service (gateway->routes, target->row.service);
   if (service == NULL || gateway->roster == NULL)
     return 0;
-  csp_each_peer_load (gateway->roster, count_earlier_host, &turn);
+  csp_visit_peer_loads (gateway->roster, count_earlier_host, &turn);
   return (int64_t)((double)turn.tokens_before * service->copy_ms_per_token)
          + turn.hosts_before * TURN_MARGIN_MS;
 }
@@ -199,8 +199,8 @@
 {
   csp_exchange_t *exchange;
 
-  target->left_at_ms = csp_gateway_now_ms (gateway);
-  target->turn_at_ms
+  target->leave_seen_at_ms = csp_gateway_now_ms (gateway);
+  target->may_move_at_ms
       = csp_gateway_now_ms (gateway) + own_turn_ms (gateway, target);
   csp_drop_copies_at (gateway, target);
   exchange = gateway->exchanges;
--- a/source/gateway/gateway.c
+++ b/source/gateway/gateway.c
@@ -46,7 +46,7 @@
 {
   csp_retry_policy_t policy = csp_default_retry_policy ();
   csp_lease_policy_t leases
-      = { .extra = gateway->settings.retry_extra,
+      = { .max_per_window = gateway->settings.retry_extra,
           .window_ms = gateway->settings.retry_window_ms };
   csp_service_budget_t *budget;
   size_t i;
@@ -57,15 +57,15 @@
   if (gateway->budget_count == CSP_BUDGETS_MAX)
     return &gateway->budgets[CSP_BUDGETS_MAX - 1];
   policy.retry_share = gateway->settings.retry_share;
-  policy.retry_most = gateway->settings.retry_saved_max;
+  policy.retry_max = gateway->settings.retry_saved_max;
   policy.retry_start = gateway->settings.retry_start;
   budget = &gateway->budgets[gateway->budget_count++];
   snprintf (budget->service, sizeof budget->service, "%s", service);
-  csp_open_retry_budget (&budget->budget, &policy);
-  csp_open_lease_pool (&budget->leases, &leases, csp_gateway_now_ms (gateway));
-  csp_note_lease_duty (&budget->leases,
-                       csp_is_same_peer (gateway->decider, gateway->self),
-                       gateway->decider_since_ms);
+  csp_init_retry_budget (&budget->budget, &policy);
+  csp_init_lease_pool (&budget->leases, &leases, csp_gateway_now_ms (gateway));
+  csp_set_lease_decider (&budget->leases,
+                         csp_is_same_peer (gateway->decider, gateway->self),
+                         gateway->decider_since_ms);
   return budget;
 }
 
@@ -105,7 +105,7 @@
   CSP_LOG (gateway->log, CSP_EVENT_TARGET_LEAVING, NULL,
            csp_text ("target", target->row.id),
            csp_number ("open_streams", target->own.requests),
-           csp_text ("told_by", target->told_by_itself ? "target" : "list"));
+           csp_text ("told_by", target->self_announced ? "target" : "list"));
   csp_drain_target (gateway, target);
 }
 
@@ -125,14 +125,14 @@
   const csp_route_service_t *service;
   size_t i;
 
-  for (i = 0; (service = csp_list_route_service (gateway->routes, i)) != NULL;
-       i++)
+  for (i = 0;
+       (service = csp_get_route_service_at (gateway->routes, i)) != NULL; i++)
     {
       double bound = service->cold_rate_per_s * settings->cold_overage
                      + settings->cold_tolerance;
       bool bounded = service->cold_ms > 0 && service->cold_rate_per_s > 0;
 
-      if (!csp_set_cold_bound (gateway->fleet, service->name, service->cold_ms,
+      if (!csp_set_cold_limit (gateway->fleet, service->name, service->cold_ms,
                                bounded ? (uint32_t)bound : 0))
         CSP_LOG (gateway->log, CSP_EVENT_CONFIGURATION_BAD, NULL,
                  csp_number ("revision",
@@ -186,7 +186,7 @@
 {
   uint64_t additions = csp_fleet_additions (gateway->fleet);
 
-  csp_list_target (gateway->fleet, row, now_ms);
+  csp_update_target (gateway->fleet, row, now_ms);
   if (csp_fleet_additions (gateway->fleet) != additions)
     csp_count_reported_loads (gateway, row->id);
 }
@@ -205,31 +205,35 @@
       list_target (gateway, &update->value.target, now_ms);
       break;
     case CSP_UPDATE_TARGET_REMOVED:
-      csp_unlist_target (gateway->fleet, update->value.target_id, now_ms);
+      csp_remove_target (gateway->fleet, update->value.target_id, now_ms);
       break;
     case CSP_UPDATE_CORDON:
       csp_apply_cordon (gateway, update->value.cordon.data_centre,
                         update->value.cordon.on);
       break;
-    case CSP_UPDATE_LISTED:
+    case CSP_UPDATE_TARGETS_LISTED:
       gateway->targets_listed = true;
       break;
-    case CSP_UPDATE_PLATFORM_HEARD:
+    case CSP_UPDATE_PLATFORM_READ:
       csp_note_platform_read (gateway, update->value.age_ms);
       break;
-    case CSP_UPDATE_SIGHTED:
-      csp_set_roster_sighted (gateway->roster, update->value.sighted);
+    case CSP_UPDATE_READS_PLATFORM:
+      csp_set_roster_platform_read (gateway->roster,
+                                    update->value.reads_platform);
       break;
-    case CSP_UPDATE_PLATFORM_LAPSES:
+    case CSP_UPDATE_PLATFORM_ROWS_LAPSE:
       csp_note_platform (gateway->fleet, false, now_ms);
       csp_note_platform (gateway->fleet, true, now_ms);
       break;
-    case CSP_UPDATE_PLATFORM_AWAY:
-    case CSP_UPDATE_PLATFORM_BACK:
-      gateway->platform_unreachable = update->kind == CSP_UPDATE_PLATFORM_AWAY;
-      csp_set_roster_blind (gateway->roster, gateway->platform_unreachable);
+    case CSP_UPDATE_PLATFORM_UNREACHABLE:
+    case CSP_UPDATE_PLATFORM_REACHABLE:
+      gateway->platform_unreachable
+          = update->kind == CSP_UPDATE_PLATFORM_UNREACHABLE;
+      csp_set_roster_platform_unreachable (gateway->roster,
+                                           gateway->platform_unreachable);
       csp_note_platform (gateway->fleet,
-                         update->kind == CSP_UPDATE_PLATFORM_BACK, now_ms);
+                         update->kind == CSP_UPDATE_PLATFORM_REACHABLE,
+                         now_ms);
       break;
     case CSP_UPDATE_STOP:
       begin_stop (gateway);
@@ -326,7 +330,7 @@
 open_caller_listener (csp_gateway_t *gateway, char *message,
                       size_t message_bytes)
 {
-  const struct sockaddr_in *address = &gateway->settings.front;
+  const struct sockaddr_in *address = &gateway->settings.caller_address;
   int fault;
 
   uv_tcp_init (&gateway->loop, &gateway->caller_listener);
@@ -448,7 +452,7 @@
 }
 
 uint16_t
-csp_gateway_front_port (const csp_gateway_t *gateway)
+csp_gateway_caller_port (const csp_gateway_t *gateway)
 {
   struct sockaddr_in address = { 0 };
   int size_bytes = sizeof address;
@@ -459,7 +463,7 @@
 }
 
 uint16_t
-csp_gateway_ready_port (const csp_gateway_t *gateway)
+csp_gateway_readiness_port (const csp_gateway_t *gateway)
 {
   return csp_page_server_port (gateway->readiness_page);
 }
--- a/source/handoff/handoff.c
+++ b/source/handoff/handoff.c
@@ -458,7 +458,7 @@
     case CSP_HANDOFF_FINISHED:
       handle_finished (handoff, action);
       return;
-    case CSP_HANDOFF_HUNG_UP:
+    case CSP_HANDOFF_CALLER_GONE:
       handle_caller_gone (handoff, action);
       return;
     case CSP_HANDOFF_CANCEL_CONFIRMED:
@@ -477,8 +477,8 @@
 }
 
 bool
-csp_held_by_handoff (const csp_handoff_t *handoff, size_t *peer,
-                     csp_held_slot_t *slot)
+csp_get_handoff_slot (const csp_handoff_t *handoff, size_t *peer,
+                      csp_held_slot_t *slot)
 {
   if (handoff->state == HANDOFF_RESERVING || handoff->state == HANDOFF_ENDED
       || handoff->nonce == 0)
--- a/source/handoff/peer-choice.c
+++ b/source/handoff/peer-choice.c
@@ -12,7 +12,7 @@
 }
 
 static bool
-is_eligible (const csp_peer_offer_t *candidate, uint32_t need_tokens,
+is_eligible (const csp_peer_candidate_t *candidate, uint32_t need_tokens,
              bool local)
 {
   return candidate->same_data_centre == local
@@ -23,7 +23,7 @@
 /* Samples one more eligible peer, weighted by headroom.  Returns its index, or
    count if there is none.  */
 static size_t
-sample_peer (const csp_peer_offer_t *candidates, size_t count,
+sample_peer (const csp_peer_candidate_t *candidates, size_t count,
              uint32_t need_tokens, bool local, csp_random_t *random,
              const size_t *chosen, size_t chosen_count)
 {
@@ -51,7 +51,7 @@
 }
 
 static size_t
-sample_peers (const csp_peer_offer_t *candidates, size_t count,
+sample_peers (const csp_peer_candidate_t *candidates, size_t count,
               uint32_t need_tokens, bool local, size_t limit,
               csp_random_t *random, size_t *chosen, size_t chosen_count)
 {
@@ -69,7 +69,7 @@
 }
 
 size_t
-csp_choose_peers (const csp_peer_offer_t *candidates, size_t count,
+csp_choose_peers (const csp_peer_candidate_t *candidates, size_t count,
                   uint32_t need_tokens, csp_random_t *random,
                   size_t chosen[CSP_HANDOFF_MAX_PEERS])
 {
--- a/source/handoff/slot-store.c
+++ b/source/handoff/slot-store.c
@@ -59,7 +59,7 @@
   for (; node != NULL; node = next)
     {
       next = csp_find_next_in_index (node);
-      holder = CSP_INDEXED (node, holder_t, node);
+      holder = CSP_INDEX_ENTRY (node, holder_t, node);
       if (strcmp (holder->ref.name, ref->name) != 0)
         continue;
       if (holder->ref.incarnation > ref->incarnation)
@@ -81,7 +81,7 @@
 
   for (; node != NULL; node = csp_find_next_in_index (node))
     {
-      target = CSP_INDEXED (node, target_t, node);
+      target = CSP_INDEX_ENTRY (node, target_t, node);
       if (strcmp (target->name, name) == 0)
         return target;
     }
@@ -107,7 +107,7 @@
 
   for (; node != NULL; node = csp_find_next_in_index (node))
     {
-      slot = CSP_INDEXED (node, slot_t, node);
+      slot = CSP_INDEX_ENTRY (node, slot_t, node);
       if (slot->holder == holder && slot->ask_id == ask_id)
         return slot;
     }
--- a/source/handoff/slot-table.c
+++ b/source/handoff/slot-table.c
@@ -55,7 +55,7 @@
     for (node = table->targets.buckets[i]; node != NULL; node = next)
       {
         next = node->next;
-        target = CSP_INDEXED (node, target_t, node);
+        target = CSP_INDEX_ENTRY (node, target_t, node);
         cds_list_for_each_entry_safe (slot, next_slot, &target->slots,
                                       target_link) csp_free_slot (table, slot);
         free (target);
@@ -73,7 +73,7 @@
     for (node = table->holders.buckets[i]; node != NULL; node = next)
       {
         next = node->next;
-        free (CSP_INDEXED (node, holder_t, node));
+        free (CSP_INDEX_ENTRY (node, holder_t, node));
       }
 }
 
@@ -142,8 +142,9 @@
    request, and the target would seem fuller than it is until the lease
    ends.  */
 bool
-csp_find_slot (csp_slot_table_t *table, const csp_reserve_ask_t *ask,
-               int64_t now_ms, csp_reserve_answer_t *answer)
+csp_repeat_reserve_answer (csp_slot_table_t *table,
+                           const csp_reserve_ask_t *ask, int64_t now_ms,
+                           csp_reserve_answer_t *answer)
 {
   holder_t *holder;
   slot_t *slot;
@@ -169,7 +170,7 @@
   target_t *entry;
   slot_t *slot;
 
-  if (csp_find_slot (table, ask, now_ms, answer))
+  if (csp_repeat_reserve_answer (table, ask, now_ms, answer))
     return;
   holder = csp_get_slot_holder (table, &ask->sender, now_ms);
   entry = csp_get_slot_target (table, target, true);
@@ -285,8 +286,8 @@
    once, its capacity could be granted while the engine still decodes, and the
    engine would preempt.  */
 void
-csp_take_holdings (csp_slot_table_t *table, const csp_holdings_t *holdings,
-                   int64_t now_ms)
+csp_apply_holdings (csp_slot_table_t *table, const csp_holdings_t *holdings,
+                    int64_t now_ms)
 {
   holder_t *holder;
   slot_t *slot;
@@ -317,14 +318,14 @@
   csp_expire_slots (table, now_ms);
   for (; node != NULL; node = csp_find_next_in_index (node))
     {
-      holder = CSP_INDEXED (node, holder_t, node);
+      holder = CSP_INDEX_ENTRY (node, holder_t, node);
       if (strcmp (holder->ref.name, host) == 0)
         csp_orphan_slots (table, holder, now_ms);
     }
 }
 
 void
-csp_forget_holder (csp_slot_table_t *table, const char *host)
+csp_remove_holder (csp_slot_table_t *table, const char *host)
 {
   csp_index_node_t *node
       = csp_find_in_index (&table->holders, csp_mix_name (host));
@@ -334,7 +335,7 @@
   for (; node != NULL; node = next)
     {
       next = csp_find_next_in_index (node);
-      holder = CSP_INDEXED (node, holder_t, node);
+      holder = CSP_INDEX_ENTRY (node, holder_t, node);
       if (strcmp (holder->ref.name, host) != 0)
         continue;
       if (!cds_list_empty (&holder->slots))
@@ -347,7 +348,8 @@
 /* A new owner doesn't know the slots that peers hold from the old owner.  If
    it granted slots at once, the engine's memory would be granted twice.  */
 void
-csp_gain_target (csp_slot_table_t *table, const char *target, int64_t now_ms)
+csp_add_owned_target (csp_slot_table_t *table, const char *target,
+                      int64_t now_ms)
 {
   target_t *entry = csp_get_slot_target (table, target, true);
 
@@ -356,7 +358,7 @@
 }
 
 void
-csp_open_target (csp_slot_table_t *table, const char *target)
+csp_end_target_settling (csp_slot_table_t *table, const char *target)
 {
   target_t *entry = csp_get_slot_target (table, target, false);
 
@@ -365,7 +367,7 @@
 }
 
 void
-csp_lose_target (csp_slot_table_t *table, const char *target)
+csp_remove_owned_target (csp_slot_table_t *table, const char *target)
 {
   target_t *entry = csp_get_slot_target (table, target, false);
   slot_t *slot;
@@ -380,8 +382,8 @@
 }
 
 void
-csp_count_target (csp_slot_table_t *table, const char *target, int64_t now_ms,
-                  csp_target_usage_t *usage)
+csp_get_target_usage (csp_slot_table_t *table, const char *target,
+                      int64_t now_ms, csp_target_usage_t *usage)
 {
   target_t *entry = csp_get_slot_target (table, target, false);
 
--- a/source/http/http-chunk.c
+++ b/source/http/http-chunk.c
@@ -165,7 +165,7 @@
         }
     }
   *used = at;
-  return CSP_HTTP_MORE;
+  return CSP_HTTP_NEED_MORE;
 }
 
 bool
--- a/source/http/http-field.c
+++ b/source/http/http-field.c
@@ -22,7 +22,7 @@
 };
 
 bool
-csp_read_http_seconds (const char *value, uint32_t *time_ms)
+csp_parse_http_seconds (const char *value, uint32_t *time_ms)
 {
   uint64_t total_ms = 0;
   uint32_t digit_ms = MS_PER_S / DECIMAL;
@@ -68,7 +68,7 @@
 }
 
 bool
-csp_is_hop_field (const csp_http_head_t *head, const char *name)
+csp_is_hop_by_hop_field (const csp_http_head_t *head, const char *name)
 {
   size_t i;
 
@@ -83,7 +83,7 @@
 }
 
 const char *
-csp_http_status_words (uint16_t status)
+csp_http_reason_phrase (uint16_t status)
 {
   switch (status)
     {
--- a/source/http/http-head.c
+++ b/source/http/http-head.c
@@ -209,7 +209,7 @@
 static bool
 response_has_no_body (const csp_http_head_t *head)
 {
-  return head->kind == CSP_HTTP_ANSWER
+  return head->kind == CSP_HTTP_RESPONSE
          && (head->status < STATUS_INFORMATIONAL_END
              || head->status == STATUS_NO_CONTENT
              || head->status == STATUS_NOT_MODIFIED);
@@ -236,7 +236,7 @@
     head->framing = CSP_BODY_CHUNKED;
   else if (lengths > 0)
     head->framing = head->length_bytes > 0 ? CSP_BODY_LENGTH : CSP_BODY_NONE;
-  else if (head->kind == CSP_HTTP_ANSWER)
+  else if (head->kind == CSP_HTTP_RESPONSE)
     head->framing = CSP_BODY_UNTIL_CLOSE;
   return true;
 }
@@ -283,6 +283,6 @@
   if (head->kind == CSP_HTTP_REQUEST
       && (!terminate_request_line (head, &spans) || !check_host (head)))
     return CSP_HTTP_MALFORMED;
-  return choose_framing (head, response_to_head) ? CSP_HTTP_FINE
+  return choose_framing (head, response_to_head) ? CSP_HTTP_NO_FAULT
                                                  : CSP_HTTP_MALFORMED;
 }
--- a/source/http/http-imp.h
+++ b/source/http/http-imp.h
@@ -5,7 +5,7 @@
 
 /* Parse the head in head->bytes, which ends with its empty line.  Its strings
    are terminated in place, in head->bytes.  response_to_head: see
-   csp_next_http_message.  */
+   csp_reset_http_reader.  */
 csp_http_fault_t csp_parse_http_head (csp_http_head_t *head,
                                       bool response_to_head);
 
--- a/source/http/http-reader.c
+++ b/source/http/http-reader.c
@@ -41,7 +41,7 @@
   if (reader == NULL)
     return NULL;
   reader->head.kind = kind;
-  csp_next_http_message (reader, limits, false);
+  csp_reset_http_reader (reader, limits, false);
   return reader;
 }
 
@@ -55,7 +55,7 @@
 }
 
 void
-csp_next_http_message (csp_http_reader_t *reader, csp_http_limits_t limits,
+csp_reset_http_reader (csp_http_reader_t *reader, csp_http_limits_t limits,
                        bool response_to_head)
 {
   csp_http_head_t *head = &reader->head;
@@ -63,7 +63,7 @@
   reader->limits = limits;
   reader->response_to_head = response_to_head;
   reader->stage = STAGE_HEAD;
-  reader->fault = CSP_HTTP_FINE;
+  reader->fault = CSP_HTTP_NO_FAULT;
   reader->in_empty_line = false;
   reader->searched_bytes = 0;
   reader->body_bytes = 0;
@@ -91,7 +91,7 @@
   csp_http_fault_t fault
       = csp_parse_http_head (&reader->head, reader->response_to_head);
 
-  if (fault != CSP_HTTP_FINE)
+  if (fault != CSP_HTTP_NO_FAULT)
     return refuse (reader, fault);
   if (reader->head.framing == CSP_BODY_LENGTH
       && reader->head.length_bytes > reader->limits.body_max_bytes)
@@ -136,10 +136,10 @@
   const char *end;
 
   *used = size_bytes;
-  if (reader->fault != CSP_HTTP_FINE)
+  if (reader->fault != CSP_HTTP_NO_FAULT)
     return refuse (reader, reader->fault);
   if (skipped == size_bytes)
-    return CSP_HTTP_MORE;
+    return CSP_HTTP_NEED_MORE;
   if (!csp_append_buffer (bytes, data + skipped, size_bytes - skipped))
     return refuse (reader, CSP_HTTP_NO_MEMORY);
   end = memmem (bytes->data + reader->searched_bytes,
@@ -152,7 +152,7 @@
       reader->searched_bytes = bytes->size_bytes < HEAD_END_BYTES
                                    ? 0
                                    : bytes->size_bytes - HEAD_END_BYTES + 1;
-      return CSP_HTTP_MORE;
+      return CSP_HTTP_NEED_MORE;
     }
   bytes->size_bytes = (size_t)(end - bytes->data) + HEAD_END_BYTES;
   *used = skipped + bytes->size_bytes - before_bytes;
@@ -167,7 +167,7 @@
                  size_t *piece_bytes)
 {
   if (size_bytes == 0)
-    return CSP_HTTP_MORE;
+    return CSP_HTTP_NEED_MORE;
   *piece = data;
   *piece_bytes = size_bytes < reader->left_bytes ? size_bytes
                                                  : (size_t)reader->left_bytes;
@@ -226,7 +226,7 @@
 }
 
 bool
-csp_close_http (csp_http_reader_t *reader)
+csp_handle_http_eof (csp_http_reader_t *reader)
 {
   if (reader->stage == STAGE_BODY
       && reader->head.framing == CSP_BODY_UNTIL_CLOSE)
@@ -235,13 +235,13 @@
 }
 
 bool
-csp_http_began (const csp_http_reader_t *reader)
+csp_http_message_begun (const csp_http_reader_t *reader)
 {
   return reader->stage != STAGE_HEAD || reader->head.bytes.size_bytes > 0;
 }
 
 bool
-csp_http_head_whole (const csp_http_reader_t *reader)
+csp_http_head_complete (const csp_http_reader_t *reader)
 {
   return reader->stage == STAGE_BODY || reader->stage == STAGE_DONE;
 }
--- a/source/json/json-reader.c
+++ b/source/json/json-reader.c
@@ -231,8 +231,8 @@
 }
 
 struct json_object *
-csp_read_json_tree (const char *where, const char *text, size_t size_bytes,
-                    csp_faults_t *faults)
+csp_read_json_with_duplicates (const char *where, const char *text,
+                               size_t size_bytes, csp_faults_t *faults)
 {
   reader_t reader = { .where = where,
                       .text = text,
@@ -266,7 +266,7 @@
   csp_faults_t *used_faults = faults == NULL ? csp_create_faults () : faults;
   size_t count_before = csp_count_faults (used_faults);
   struct json_object *root
-      = csp_read_json_tree (where, text, size_bytes, used_faults);
+      = csp_read_json_with_duplicates (where, text, size_bytes, used_faults);
 
   if (csp_count_faults (used_faults) != count_before)
     {
--- a/source/length/length.c
+++ b/source/length/length.c
@@ -45,7 +45,7 @@
 {
   csp_length_policy_t policy = { .prior_median_tokens = 77,
                                  .prior_sigma = 1.5,
-                                 .start_weight = 4,
+                                 .prior_weight = 4,
                                  .half_life_answers = 4096,
                                  .max_keys = 64 };
 
@@ -128,7 +128,7 @@
   for (bin = 0; bin < BINS; bin++)
     {
       width = lengths->edge[bin + 1] - lengths->edge[bin];
-      weight = lengths->policy.start_weight * width;
+      weight = lengths->policy.prior_weight * width;
       key->hazard[bin]
           = (float)((key->ended[bin] + weight * lengths->prior_hazard[bin])
                     / (key->exposure[bin] + weight));
@@ -174,8 +174,8 @@
 }
 
 uint32_t
-csp_find_length_key (csp_lengths_t *lengths, const char *model,
-                     const char *class_name)
+csp_get_length_key (csp_lengths_t *lengths, const char *model,
+                    const char *class_name)
 {
   length_key_t *key;
   uint32_t i;
@@ -195,8 +195,8 @@
 }
 
 void
-csp_note_length (csp_lengths_t *lengths, uint32_t key_index, uint32_t before,
-                 uint32_t after)
+csp_record_length_growth (csp_lengths_t *lengths, uint32_t key_index,
+                          uint32_t before, uint32_t after)
 {
   length_key_t *key = &lengths->keys[key_index];
   uint32_t bin = find_bin (before);
@@ -234,8 +234,8 @@
 }
 
 void
-csp_learn_length (csp_lengths_t *lengths, uint32_t key_index, uint32_t tokens,
-                  csp_length_end_t end)
+csp_record_length_end (csp_lengths_t *lengths, uint32_t key_index,
+                       uint32_t tokens, csp_length_end_t end)
 {
   length_key_t *key = &lengths->keys[key_index];
 
@@ -261,8 +261,8 @@
 }
 
 double
-csp_survive_length (csp_lengths_t *lengths, uint32_t key_index, uint32_t made,
-                    uint32_t ahead)
+csp_length_survival (csp_lengths_t *lengths, uint32_t key_index, uint32_t made,
+                     uint32_t ahead)
 {
   const length_key_t *key = &lengths->keys[key_index];
   double from = hazard_up_to (lengths, key, made);
@@ -272,8 +272,8 @@
 }
 
 double
-csp_expect_tokens_left (csp_lengths_t *lengths, uint32_t key_index,
-                        uint32_t made)
+csp_mean_tokens_left (csp_lengths_t *lengths, uint32_t key_index,
+                      uint32_t made)
 {
   const length_key_t *key = &lengths->keys[key_index];
   uint32_t bin = find_bin (made);
--- a/source/limit/limit.c
+++ b/source/limit/limit.c
@@ -30,13 +30,13 @@
 }
 
 void
-csp_open_limit (csp_limit_t *limit, const csp_limit_policy_t *policy,
-                double tokens_per_s, uint32_t most_open, uint32_t hosts,
+csp_init_limit (csp_limit_t *limit, const csp_limit_policy_t *policy,
+                double tokens_per_s, uint32_t max_open, uint32_t hosts,
                 int64_t now_ms)
 {
   csp_limit_t fresh = { .policy = *policy,
                         .tokens_per_s = tokens_per_s,
-                        .most_open = most_open,
+                        .max_open = max_open,
                         .filled_ms = now_ms };
 
   *limit = fresh;
@@ -45,12 +45,12 @@
 }
 
 void
-csp_change_limit (csp_limit_t *limit, double tokens_per_s, uint32_t most_open)
+csp_update_limit (csp_limit_t *limit, double tokens_per_s, uint32_t max_open)
 {
   bool had_rate = limit->tokens_per_s > 0;
 
   limit->tokens_per_s = tokens_per_s;
-  limit->most_open = most_open;
+  limit->max_open = max_open;
   /* Tokens that were used while no rate was declared aren't charged.
      Otherwise every request would be refused after the first declaration of a
      rate until the bucket is refilled.  */
@@ -69,8 +69,8 @@
 }
 
 void
-csp_share_limit (csp_limit_t *limit, const csp_limit_peer_t *peers,
-                 uint32_t count)
+csp_update_limit_share (csp_limit_t *limit, const csp_limit_peer_t *peers,
+                        uint32_t count)
 {
   const csp_limit_policy_t *policy = &limit->policy;
   double total = limit->published;
@@ -112,7 +112,7 @@
 static uint32_t
 max_open_here (const csp_limit_t *limit)
 {
-  double most = limit->most_open * limit->share;
+  double most = limit->max_open * limit->share;
 
   return most < 1 ? 1 : (uint32_t)most;
 }
@@ -127,13 +127,13 @@
 }
 
 bool
-csp_open_limited (csp_limit_t *limit, uint32_t cost_tokens, int64_t now_ms,
-                  uint32_t *retry_after_ms)
+csp_admit_limited_stream (csp_limit_t *limit, uint32_t cost_tokens,
+                          int64_t now_ms, uint32_t *retry_after_ms)
 {
   *retry_after_ms = 0;
   limit->requested += cost_tokens;
   refill_bucket (limit, now_ms);
-  if (limit->most_open != 0 && limit->open >= max_open_here (limit))
+  if (limit->max_open != 0 && limit->open >= max_open_here (limit))
     {
       *retry_after_ms = RETRY_OPEN_STREAMS_MS;
       return false;
@@ -149,8 +149,8 @@
 }
 
 void
-csp_close_limited (csp_limit_t *limit, uint32_t cost_tokens,
-                   uint32_t used_tokens)
+csp_end_limited_stream (csp_limit_t *limit, uint32_t cost_tokens,
+                        uint32_t used_tokens)
 {
   limit->bucket += (double)cost_tokens - used_tokens;
   if (limit->open > 0)
--- a/source/link/link.c
+++ b/source/link/link.c
@@ -145,11 +145,11 @@
       size_bytes -= used;
       switch (step)
         {
-        case CSP_HTTP_MORE:
+        case CSP_HTTP_NEED_MORE:
           return;
         case CSP_HTTP_HEAD:
           if (csp_http_head (link->reader)->status < STATUS_FINAL)
-            csp_next_http_message (link->reader, answer_limits,
+            csp_reset_http_reader (link->reader, answer_limits,
                                    link->headless);
           else
             link->events->answered (link->events_state,
@@ -202,7 +202,7 @@
   uv_read_stop (stream);
   link->reading = false;
   orderly = size_bytes == UV_EOF && is_orderly_close (link);
-  if (link->events != NULL && orderly && csp_close_http (link->reader))
+  if (link->events != NULL && orderly && csp_handle_http_eof (link->reader))
     end_answer (link, true);
   else
     fail_link (link, orderly ? CSP_LINK_CLOSED : CSP_LINK_RESET);
@@ -264,7 +264,7 @@
 
   if (link == NULL)
     return NULL;
-  link->reader = csp_create_http_reader (CSP_HTTP_ANSWER, answer_limits);
+  link->reader = csp_create_http_reader (CSP_HTTP_RESPONSE, answer_limits);
   if (link->reader == NULL || uv_tcp_init (loop, &link->tcp) != 0)
     {
       csp_destroy_http_reader (link->reader);
@@ -299,7 +299,7 @@
   link->request_complete = false;
   link->answer_complete = false;
   link->headless = headless;
-  csp_next_http_message (link->reader, answer_limits, headless);
+  csp_reset_http_reader (link->reader, answer_limits, headless);
 }
 
 bool
@@ -327,7 +327,7 @@
 }
 
 bool
-csp_link_sent (const csp_link_t *link)
+csp_link_has_sent (const csp_link_t *link)
 {
   return link->sent;
 }
@@ -340,12 +340,12 @@
   if (pause)
     uv_read_stop ((uv_stream_t *)&link->tcp);
   else
-    uv_read_start ((uv_stream_t *)&link->tcp, csp_share_read_room, on_read);
+    uv_read_start ((uv_stream_t *)&link->tcp, csp_share_read_buffer, on_read);
   link->reading = !pause;
 }
 
 uint32_t
-csp_link_usable_ms (const csp_link_t *link)
+csp_link_reusable_ms (const csp_link_t *link)
 {
   return link->state == LINK_OPEN && link->answer_complete
                  && !link->unexpected_bytes
@@ -354,7 +354,7 @@
 }
 
 void
-csp_park_link (csp_link_t *link, csp_link_lost_t lost, void *state)
+csp_watch_idle_link (csp_link_t *link, csp_link_lost_t lost, void *state)
 {
   link->lost = lost;
   link->lost_state = state;
--- a/source/link/stream-write.c
+++ b/source/link/stream-write.c
@@ -59,8 +59,8 @@
 }
 
 void
-csp_share_read_room (uv_handle_t *handle, size_t suggested_bytes,
-                     uv_buf_t *read_buffer)
+csp_share_read_buffer (uv_handle_t *handle, size_t suggested_bytes,
+                       uv_buf_t *read_buffer)
 {
   static __thread char bytes[READ_BUFFER_BYTES];
 
--- a/source/log/log.c
+++ b/source/log/log.c
@@ -98,7 +98,7 @@
 }
 
 void
-csp_direct_log (csp_log_t *log, FILE *stream)
+csp_set_log_stream (csp_log_t *log, FILE *stream)
 {
   setvbuf (stream, NULL, _IOLBF, BUFSIZ);
   log->stream = stream;
--- a/source/losses/losses.c
+++ b/source/losses/losses.c
@@ -144,7 +144,7 @@
   csp_index_node_t *node
       = csp_find_in_index (&losses->histories, csp_hash_pair (first, second));
 
-  return node == NULL ? NULL : CSP_INDEXED (node, history_t, node);
+  return node == NULL ? NULL : CSP_INDEX_ENTRY (node, history_t, node);
 }
 
 /* Find the history or add one; NULL if memory is exhausted, and the line is
--- a/source/membership/membership-ask.c
+++ b/source/membership/membership-ask.c
@@ -168,7 +168,7 @@
   csp_peer_t *peer;
   size_t i;
 
-  csp_add_member_event (membership, CSP_MEMBER_EVENT_WOKE_LATE, "", gap_ms);
+  csp_add_member_event (membership, CSP_MEMBER_EVENT_RESUMED, "", gap_ms);
   membership->started_ms = now_ms;
   for (i = 0; i < membership->peer_count; i++)
     {
--- a/source/membership/membership-judge.c
+++ b/source/membership/membership-judge.c
@@ -315,8 +315,8 @@
     csp_add_member_event (membership, CSP_MEMBER_EVENT_SILENT, peer->view.name,
                           0);
   if (liveness == CSP_PEER_UNREACHABLE && peer->neighbour)
-    csp_add_member_event (membership, CSP_MEMBER_EVENT_CUT, peer->view.name,
-                          0);
+    csp_add_member_event (membership, CSP_MEMBER_EVENT_UNREACHABLE,
+                          peer->view.name, 0);
   peer->view.liveness = liveness;
   if (liveness != CSP_PEER_ALIVE)
     peer->has_granted_lease = false;
--- a/source/membership/membership-spread.c
+++ b/source/membership/membership-spread.c
@@ -12,7 +12,7 @@
 };
 
 static void
-fill_peer (const csp_peer_t *peer, csp_spread_peer_t *filled)
+fill_peer (const csp_peer_t *peer, csp_config_sync_peer_t *filled)
 {
   memcpy (filled->name, peer->view.name, sizeof filled->name);
   filled->same_data_centre = peer->local;
@@ -23,8 +23,9 @@
 }
 
 size_t
-csp_fill_spread_peers (const csp_membership_t *membership, int64_t now_ms,
-                       csp_spread_peer_t *peers, size_t capacity, size_t *rank)
+csp_fill_config_sync_peers (const csp_membership_t *membership, int64_t now_ms,
+                            csp_config_sync_peer_t *peers, size_t capacity,
+                            size_t *rank)
 {
   const csp_data_centre_t *home = &membership->data_centres[membership->home];
   const csp_peer_t *peer;
--- a/source/membership/membership.c
+++ b/source/membership/membership.c
@@ -86,7 +86,7 @@
 }
 
 bool
-csp_take_member_event (csp_membership_t *membership, csp_member_event_t *event)
+csp_pop_member_event (csp_membership_t *membership, csp_member_event_t *event)
 {
   if (membership->event_count == 0)
     return false;
@@ -153,7 +153,7 @@
   for (i = 0; i < list->host_count; i++)
     apply_listed_host (membership, &list->hosts[i], now_ms);
   csp_arrange_peers (membership);
-  return CSP_LIST_TAKEN;
+  return CSP_LIST_APPLIED;
 }
 
 void
@@ -189,7 +189,7 @@
 }
 
 uint64_t
-csp_view_number (const csp_membership_t *membership)
+csp_view_version (const csp_membership_t *membership)
 {
   return membership->view_version;
 }
@@ -261,13 +261,13 @@
 copy_view (const csp_peer_t *peer, int64_t now_ms, csp_host_view_t *view)
 {
   *view = peer->view;
-  view->knows_us = peer->knows_us;
+  view->knows_this_host = peer->knows_us;
   view->in_view = csp_is_in_view (peer, now_ms);
-  view->confirmed_age_ms
+  view->round_trip_age_ms
       = peer->confirmed_ms < 0 ? -1 : now_ms - peer->confirmed_ms;
   if (peer->view.self)
-    view->confirmed_age_ms = 0;
-  view->known_ms = now_ms - peer->known_since_ms;
+    view->round_trip_age_ms = 0;
+  view->known_age_ms = now_ms - peer->known_since_ms;
 }
 
 void
@@ -290,7 +290,7 @@
 }
 
 bool
-csp_host_owns (const csp_host_view_t *view)
+csp_may_host_own_targets (const csp_host_view_t *view)
 {
   return view->in_view && view->state == CSP_MEMBER_LIVE;
 }
--- a/source/metrics/metrics.c
+++ b/source/metrics/metrics.c
@@ -188,13 +188,13 @@
 }
 
 int64_t
-csp_stall_of_gap_us (int64_t gap_us)
+csp_compute_stall_us (int64_t gap_us)
 {
   return gap_us > CSP_STALL_THRESHOLD_US ? gap_us - CSP_STALL_THRESHOLD_US : 0;
 }
 
 void
-csp_count (csp_labels_t labels, csp_counter_t counter, uint64_t count)
+csp_add_count (csp_labels_t labels, csp_counter_t counter, uint64_t count)
 {
   add_to_counter (&labels.organisation->shards[labels.shard].counters[counter],
                   count);
@@ -203,8 +203,8 @@
 }
 
 void
-csp_count_end (csp_metrics_t *metrics, csp_labels_t labels,
-               csp_reason_t reason, csp_verdict_t verdict)
+csp_count_request_end (csp_metrics_t *metrics, csp_labels_t labels,
+                       csp_reason_t reason, csp_verdict_t verdict)
 {
   if (reason >= CSP_REASON_COUNT)
     reason = CSP_REASON_INTERNAL;
@@ -212,7 +212,7 @@
     verdict = CSP_VERDICT_MAY_HAVE_RUN;
   add_to_counter (&metrics->request_ends[reason][verdict], 1);
   if (verdict == CSP_VERDICT_NOT_RUN && reason != CSP_REASON_NONE)
-    csp_count (labels, CSP_COUNT_REFUSALS, 1);
+    csp_add_count (labels, CSP_COUNT_REFUSALS, 1);
 }
 
 void
--- a/source/mirror/mirror-choice.c
+++ b/source/mirror/mirror-choice.c
@@ -63,26 +63,26 @@
   /* The first host of the fleet reads the store even if its data centre
      follows another host, one that the store refuses.  If each of the two
      followed the other, nobody would read the store.  */
-  if (ranks->fleet_count > 0
-      && csp_is_same_peer (ranks->fleet[0], ranks->self))
+  if (ranks->fleet_reader_count > 0
+      && csp_is_same_peer (ranks->fleet_readers[0], ranks->self))
     return CSP_MIRROR_FLEET_READER;
-  for (i = 0; i < ranks->near_count
-              && !csp_is_same_peer (ranks->near[i], ranks->self);
+  for (i = 0; i < ranks->local_reader_count
+              && !csp_is_same_peer (ranks->local_readers[i], ranks->self);
        i++)
-    if (!csp_is_failed_upstream (failed, ranks->near[i]))
+    if (!csp_is_failed_upstream (failed, ranks->local_readers[i]))
       {
-        *upstream = ranks->near[i];
+        *upstream = ranks->local_readers[i];
         return CSP_MIRROR_FOLLOWER;
       }
-  if (i == ranks->near_count)
+  if (i == ranks->local_reader_count)
     return CSP_MIRROR_FOLLOWER;
-  for (i = 0; i < ranks->fleet_count; i++)
+  for (i = 0; i < ranks->fleet_reader_count; i++)
     {
-      if (csp_is_same_peer (ranks->fleet[i], ranks->self))
+      if (csp_is_same_peer (ranks->fleet_readers[i], ranks->self))
         return CSP_MIRROR_FLEET_READER;
-      if (!csp_is_failed_upstream (failed, ranks->fleet[i]))
+      if (!csp_is_failed_upstream (failed, ranks->fleet_readers[i]))
         {
-          *upstream = ranks->fleet[i];
+          *upstream = ranks->fleet_readers[i];
           return CSP_MIRROR_DATA_CENTRE_READER;
         }
     }
--- a/source/mirror/mirror-feed.c
+++ b/source/mirror/mirror-feed.c
@@ -132,8 +132,8 @@
       feed->confirmed = true;
       choose_source (feed);
     }
-  if (feed->settings.heard != NULL)
-    feed->settings.heard (feed->settings.hosts_state, age_ms);
+  if (feed->settings.confirmed_current != NULL)
+    feed->settings.confirmed_current (feed->settings.hosts_state, age_ms);
 }
 
 static void
@@ -147,7 +147,7 @@
       csp_mirror_path, (long long)csp_mirror_revision (feed->mirror),
       call->wait_ms,
       (unsigned long long)csp_pack_peer (
-          csp_peer_of_socket (&feed->settings.serve)),
+          csp_peer_from_sockaddr (&feed->settings.serve_address)),
       feed->role == CSP_MIRROR_DATA_CENTRE_READER);
   csp_print_buffer (request, "Host: h\r\n\r\n");
 }
@@ -260,7 +260,7 @@
 {
   char address[CSP_PEER_TEXT_BYTES];
 
-  csp_print_peer (feed->upstream, address);
+  csp_format_peer (feed->upstream, address);
   record_upstream_failure (feed, feed->upstream);
   stop_following (feed);
   if (!feed->confirmed)
@@ -286,13 +286,13 @@
         .failures_began = on_upstream_failed,
         .compacted_status = NO_COMPACTED_STATUS,
         .policy = { .wait_ms = HOST_WAIT_MS,
-                    .slack_ms = HOST_GRACE_MS,
-                    .pause_last_ms = HOST_MAX_BACKOFF_MS } };
+                    .answer_grace_ms = HOST_GRACE_MS,
+                    .max_backoff_ms = HOST_MAX_BACKOFF_MS } };
 
 static void
 follow_host (csp_mirror_feed_t *feed, csp_peer_address_t host)
 {
-  struct sockaddr_in address = csp_socket_of_peer (host);
+  struct sockaddr_in address = csp_sockaddr_from_peer (host);
 
   feed->upstream = host;
   feed->first_upstream = host;
@@ -383,8 +383,9 @@
   if (feed->store_follower == NULL)
     {
       feed->store_follower = csp_open_follower (
-          feed->loop, &feed->settings.store, feed->settings.store_source,
-          csp_mirror_revision (feed->mirror), feed->settings.store_state);
+          feed->loop, &feed->settings.store_address,
+          feed->settings.store_source, csp_mirror_revision (feed->mirror),
+          feed->settings.store_state);
       if (feed->store_follower != NULL && feed->store_unreachable)
         csp_set_follower_unreachable (feed->store_follower);
       if (feed->confirmed)
@@ -469,8 +470,9 @@
   if (reads_store == feed->reported_store_read)
     return;
   feed->reported_store_read = reads_store;
-  if (feed->settings.sighted != NULL)
-    feed->settings.sighted (feed->settings.hosts_state, reads_store);
+  if (feed->settings.store_read_changed != NULL)
+    feed->settings.store_read_changed (feed->settings.hosts_state,
+                                       reads_store);
 }
 
 static void
@@ -500,10 +502,10 @@
   feed->startup_read = true;
   csp_seed_random (&feed->random, csp_random_seed ());
   feed->random_share = csp_random_unit (&feed->random);
-  if (settings->serve.sin_port != 0)
+  if (settings->serve_address.sin_port != 0)
     {
       feed->server = csp_open_mirror_server (
-          loop, &settings->serve, settings->link_bytes_per_s, mirror);
+          loop, &settings->serve_address, settings->link_bytes_per_s, mirror);
       if (feed->server == NULL)
         {
           free (feed);
@@ -535,7 +537,7 @@
 }
 
 void
-csp_note_mirror_fed (csp_mirror_feed_t *feed, bool current)
+csp_note_store_answer (csp_mirror_feed_t *feed, bool current)
 {
   if (current)
     {
@@ -546,7 +548,7 @@
 }
 
 void
-csp_note_store_reach (csp_mirror_feed_t *feed, bool unreachable)
+csp_set_store_unreachable (csp_mirror_feed_t *feed, bool unreachable)
 {
   if (feed->store_unreachable && !unreachable)
     feed->lapsing_until_ms = loop_now_ms (feed) + LAPSING_MS;
