--- a/source/mirror/mirror-server.c
+++ b/source/mirror/mirror-server.c
@@ -29,7 +29,7 @@
 
 typedef struct
 {
-  csp_page_t *page;
+  csp_page_connection_t *page;
   bool accepts_packed; /* compressed answers */
   int64_t after;
   uint64_t until_ms;
@@ -87,8 +87,8 @@
   answer->after = after;
   csp_encode_mirror (server->mirror, after, &status, &answer->text);
   if (answer->text.size_bytes >= PACKED_MIN_BYTES
-      && !csp_pack_bytes (answer->text.data, answer->text.size_bytes,
-                          &answer->packed))
+      && !csp_compress_bytes (answer->text.data, answer->text.size_bytes,
+                              &answer->packed))
     csp_clear_buffer (&answer->packed);
 }
 
@@ -120,12 +120,12 @@
 }
 
 static void
-send_text (csp_mirror_server_t *server, csp_page_t *page,
+send_text (csp_mirror_server_t *server, csp_page_connection_t *page,
            const csp_buffer_t *text)
 {
   count_sent (server, text->size_bytes);
-  csp_answer_page (page, STATUS_OK, "application/json", text->data,
-                   text->size_bytes);
+  csp_answer_page_request (page, STATUS_OK, "application/json", text->data,
+                           text->size_bytes);
 }
 
 /* A host of an older version doesn't ask for compressed answers.  */
@@ -139,8 +139,9 @@
       return;
     }
   count_sent (server, answer->packed.size_bytes);
-  csp_answer_page (request->page, STATUS_OK, csp_packed_type,
-                   answer->packed.data, answer->packed.size_bytes);
+  csp_answer_page_request (request->page, STATUS_OK,
+                           csp_compressed_content_type, answer->packed.data,
+                           answer->packed.size_bytes);
 }
 
 static void
@@ -207,7 +208,7 @@
    to be served.  A host of an older version sends no address and is always
    served.  */
 static bool
-redirect_follower (csp_mirror_server_t *server, csp_page_t *page,
+redirect_follower (csp_mirror_server_t *server, csp_page_connection_t *page,
                    const char *target)
 {
   uint64_t host = (uint64_t)parse_query_number (target, "host=");
@@ -246,7 +247,8 @@
 }
 
 static void
-on_request (void *state, csp_page_t *page, const csp_http_head_t *head)
+on_request (void *state, csp_page_connection_t *page,
+            const csp_http_head_t *head)
 {
   csp_mirror_server_t *server = state;
   int64_t after = parse_query_number (head->target, "after=");
@@ -260,7 +262,7 @@
 
   if (strncmp (head->target, csp_mirror_path, strlen (csp_mirror_path)) != 0)
     {
-      csp_answer_page (page, STATUS_NOT_FOUND, "text/plain", "", 0);
+      csp_answer_page_request (page, STATUS_NOT_FOUND, "text/plain", "", 0);
       return;
     }
   if (redirect_follower (server, page, head->target))
@@ -277,7 +279,7 @@
 }
 
 static void
-on_requester_gone (void *state, csp_page_t *page)
+on_requester_gone (void *state, csp_page_connection_t *page)
 {
   csp_mirror_server_t *server = state;
   size_t i;
@@ -295,7 +297,7 @@
                         uint64_t link_bytes_per_s, const csp_mirror_t *mirror)
 {
   static const csp_page_events_t events
-      = { .asked = on_request, .left = on_requester_gone };
+      = { .on_request = on_request, .on_disconnect = on_requester_gone };
   csp_mirror_server_t *server = calloc (1, sizeof *server);
   int fault = 0;
 
--- a/source/mirror/mirror.c
+++ b/source/mirror/mirror.c
@@ -173,8 +173,8 @@
     }
   entry->listed = true;
   set_value (mirror, entry, copy, revision);
-  if (mirror->events->changed != NULL)
-    mirror->events->changed (mirror->state, &entry->item);
+  if (mirror->events->item_changed != NULL)
+    mirror->events->item_changed (mirror->state, &entry->item);
   drop_old_removals (mirror);
   return true;
 }
@@ -359,8 +359,8 @@
   if (good)
     {
       decode_status (object, status);
-      if (status->lapsing && mirror->events->lapsing != NULL)
-        mirror->events->lapsing (mirror->state);
+      if (status->lapsing && mirror->events->rows_may_lapse != NULL)
+        mirror->events->rows_may_lapse (mirror->state);
       *as_of = json_object_get_int64 (revision);
       /* A listing that is older than what is known removes nothing.  */
       if (decode_flag (object, "whole") && *as_of >= mirror->revision)
--- a/source/once/once-hosts.c
+++ b/source/once/once-hosts.c
@@ -86,7 +86,7 @@
   round->key = *key;
   round->claim.high = csp_random_u64 (random);
   round->claim.low = csp_random_u64 (random);
-  round->view_complete = view->complete;
+  round->view_complete = view->list_read;
   round->view_confirmed_ms = view->confirmed_ms;
   round->deadline_ms = deadline_ms;
   if (key->scope == CSP_ONCE_SCOPE_HOST)
--- a/source/once/once-key.c
+++ b/source/once/once-key.c
@@ -169,8 +169,9 @@
 }
 
 bool
-csp_read_once_key (const char *organisation, const char *text, int64_t wall_ms,
-                   csp_once_key_t *key, csp_error_t *error)
+csp_parse_any_once_key (const char *organisation, const char *text,
+                        int64_t wall_ms, csp_once_key_t *key,
+                        csp_error_t *error)
 {
   size_t size_bytes = strlen (text);
 
@@ -181,7 +182,7 @@
     return false;
   memset (key, 0, sizeof *key);
   key->scope = CSP_ONCE_SCOPE_ALL;
-  key->date_ms = wall_ms - CSP_UNDATED_AGE_MS;
+  key->date_ms = wall_ms - CSP_UNDATED_KEY_AGE_MS;
   memcpy (key->organisation, organisation, strlen (organisation));
   digest_key (organisation, text, false, key->digest);
   return true;
--- a/source/once/once-round.c
+++ b/source/once/once-round.c
@@ -19,9 +19,9 @@
     if (round->hosts[i].was_asked && !round->hosts[i].acked)
       round->list[action->host_count++] = round->hosts[i].name;
   action->hosts = round->list;
-  action->tell.key = round->key;
-  action->tell.claim = round->claim;
-  action->tell.outcome = round->outcome;
+  action->report.key = round->key;
+  action->report.claim = round->claim;
+  action->report.outcome = round->outcome;
 }
 
 static void
@@ -35,7 +35,7 @@
   fill_outcome (round, action);
   if (action->host_count == 0)
     round->state = ROUND_OVER;
-  action->kind = CSP_ONCE_TELL;
+  action->kind = CSP_ONCE_SEND_OUTCOME;
 }
 
 /* Ends the round without a run.  Only a granted claim excludes that another
@@ -66,7 +66,7 @@
 static void
 fill_ask (const csp_once_round_t *round, csp_once_action_t *action)
 {
-  action->kind = CSP_ONCE_ASK;
+  action->kind = CSP_ONCE_SEND_CLAIM;
   action->hosts = round->list;
   action->ask.key = round->key;
   action->ask.claim = round->claim;
@@ -180,7 +180,7 @@
 is_witness (const csp_once_round_t *round, const csp_claim_answer_t *answer)
 {
   if (round->key.scope == CSP_ONCE_SCOPE_HOST)
-    return csp_same_host (&answer->from, &round->key.home);
+    return csp_is_same_incarnation (&answer->from, &round->key.home);
   return answer->witness_since_ms + 2 * round->settings.clock_skew_ms
          <= round->key.date_ms;
 }
@@ -229,7 +229,7 @@
     case CSP_CLAIM_SEEN:
       handle_seen_key (round, answer->outcome, now_ms, action);
       return;
-    case CSP_CLAIM_FORGOTTEN:
+    case CSP_CLAIM_EXPIRED:
       give_up_undecided (round, 0, "the key is too old to be remembered",
                          now_ms, action);
       return;
@@ -336,7 +336,7 @@
   round->outcome_sends++;
   round->resend_ms = now_ms + round->settings.answer_timeout_ms;
   fill_outcome (round, action);
-  action->kind = CSP_ONCE_TELL;
+  action->kind = CSP_ONCE_SEND_OUTCOME;
 }
 
 static void
@@ -398,15 +398,15 @@
     case CSP_ONCE_BEFORE_SEND:
       permit_send (round, now_ms, action);
       return;
-    case CSP_ONCE_ENDED:
+    case CSP_ONCE_RUN_ENDED:
       if (round->state == ROUND_GRANTED || round->state == ROUND_SENT)
         end_round (round, event->u.outcome, now_ms, action);
       return;
-    case CSP_ONCE_HUNG_UP:
+    case CSP_ONCE_CALLER_GONE:
       if (is_asking (round) || round->state == ROUND_GRANTED)
         end_round (round, CSP_ONCE_NOT_RUN, now_ms, action);
       return;
-    case CSP_ONCE_TOLD:
+    case CSP_ONCE_OUTCOME_ACKED:
       handle_outcome_ack (round, event->host);
       return;
     }
@@ -433,7 +433,7 @@
 }
 
 bool
-csp_once_round_over (const csp_once_round_t *round)
+csp_is_once_round_over (const csp_once_round_t *round)
 {
   return round->state == ROUND_OVER;
 }
--- a/source/once/once.c
+++ b/source/once/once.c
@@ -36,7 +36,7 @@
   int64_t floor_ms;
 } organisation_t;
 
-struct csp_once_s
+struct csp_once_key_store_s
 {
   csp_once_settings_t settings;
   csp_host_ref_t self;
@@ -66,11 +66,11 @@
 /* The index is allocated at its full size.  Doubling an index of half a
    million keys blocks the control thread, and with it every decision of the
    host, for about 30 ms.  */
-csp_once_t *
-csp_create_once (const csp_once_settings_t *settings,
-                 const csp_host_ref_t *self, int64_t now_ms)
+csp_once_key_store_t *
+csp_create_once_key_store (const csp_once_settings_t *settings,
+                           const csp_host_ref_t *self, int64_t now_ms)
 {
-  csp_once_t *store = calloc (1, sizeof *store);
+  csp_once_key_store_t *store = calloc (1, sizeof *store);
 
   if (store == NULL)
     return NULL;
@@ -80,7 +80,7 @@
   if (csp_open_index (&store->records, settings->capacity) != 0
       || csp_open_index (&store->organisations, EXPECTED_ORGANISATIONS) != 0)
     {
-      csp_destroy_once (store);
+      csp_destroy_once_key_store (store);
       return NULL;
     }
   return store;
@@ -101,7 +101,7 @@
 }
 
 void
-csp_destroy_once (csp_once_t *store)
+csp_destroy_once_key_store (csp_once_key_store_t *store)
 {
   csp_index_node_t *node;
   csp_index_node_t *next;
@@ -115,7 +115,7 @@
     for (node = store->organisations.buckets[i]; node != NULL; node = next)
       {
         next = node->next;
-        free_organisation (CSP_INDEXED (node, organisation_t, node));
+        free_organisation (CSP_INDEX_ENTRY (node, organisation_t, node));
       }
   csp_close_index (&store->records);
   csp_close_index (&store->organisations);
@@ -126,13 +126,13 @@
    of some hosts while another host does not know it yet.  That host's runs are
    not recorded here, so a repeat that relied on this host would run again.  */
 void
-csp_delay_witness (csp_once_t *store, int64_t now_ms)
+csp_restart_witness_delay (csp_once_key_store_t *store, int64_t now_ms)
 {
   store->known_to_peers_ms = now_ms;
 }
 
 static organisation_t *
-get_organisation (csp_once_t *store, const char *name)
+get_organisation (csp_once_key_store_t *store, const char *name)
 {
   uint64_t hash = csp_mix_name (name);
   csp_index_node_t *node = csp_find_in_index (&store->organisations, hash);
@@ -140,7 +140,7 @@
 
   for (; node != NULL; node = csp_find_next_in_index (node))
     {
-      organisation = CSP_INDEXED (node, organisation_t, node);
+      organisation = CSP_INDEX_ENTRY (node, organisation_t, node);
       if (strcmp (organisation->name, name) == 0)
         return organisation;
     }
@@ -156,7 +156,7 @@
 /* Callers choose the keys, so the hash is salted with the host's incarnation
    against deliberate collisions.  */
 static uint64_t
-hash_digest (const csp_once_t *store, const uint8_t *digest)
+hash_digest (const csp_once_key_store_t *store, const uint8_t *digest)
 {
   uint64_t hash;
 
@@ -165,7 +165,7 @@
 }
 
 static record_t *
-find_record (const csp_once_t *store, const uint8_t *digest)
+find_record (const csp_once_key_store_t *store, const uint8_t *digest)
 {
   csp_index_node_t *node
       = csp_find_in_index (&store->records, hash_digest (store, digest));
@@ -173,7 +173,7 @@
 
   for (; node != NULL; node = csp_find_next_in_index (node))
     {
-      record = CSP_INDEXED (node, record_t, node);
+      record = CSP_INDEX_ENTRY (node, record_t, node);
       if (memcmp (record->digest, digest, sizeof record->digest) == 0)
         return record;
     }
@@ -184,7 +184,7 @@
    second time.  So removing a key raises floor_ms above the key's date, and
    keys dated before floor_ms are refused.  */
 static void
-remove_oldest (csp_once_t *store, organisation_t *organisation)
+remove_oldest (csp_once_key_store_t *store, organisation_t *organisation)
 {
   record_t *record = organisation->oldest;
 
@@ -199,7 +199,7 @@
 }
 
 static size_t
-expire_organisation (csp_once_t *store, organisation_t *organisation,
+expire_organisation (csp_once_key_store_t *store, organisation_t *organisation,
                      size_t limit, int64_t now_ms)
 {
   size_t removed = 0;
@@ -215,7 +215,7 @@
 }
 
 size_t
-csp_expire_keys (csp_once_t *store, int64_t now_ms)
+csp_expire_keys (csp_once_key_store_t *store, int64_t now_ms)
 {
   csp_index_node_t *node;
   size_t removed = 0;
@@ -224,12 +224,13 @@
   for (i = 0; i < store->organisations.bucket_count; i++)
     for (node = store->organisations.buckets[i]; node; node = node->next)
       removed += expire_organisation (
-          store, CSP_INDEXED (node, organisation_t, node), SIZE_MAX, now_ms);
+          store, CSP_INDEX_ENTRY (node, organisation_t, node), SIZE_MAX,
+          now_ms);
   return removed;
 }
 
 static record_t *
-add_record (csp_once_t *store, organisation_t *organisation,
+add_record (csp_once_key_store_t *store, organisation_t *organisation,
             const csp_once_key_t *key, csp_claim_id_t claim, int64_t now_ms)
 {
   record_t *record = calloc (1, sizeof *record);
@@ -274,13 +275,13 @@
 
 /* Whether a key that is not in the store may be recorded.  */
 static csp_claim_result_t
-check_new_key (csp_once_t *store, organisation_t *organisation,
+check_new_key (csp_once_key_store_t *store, organisation_t *organisation,
                const csp_once_key_t *key, int64_t now_ms, int64_t wall_ms)
 {
   expire_organisation (store, organisation, EXPIRED_PER_CLAIM, now_ms);
   if (key->date_ms < organisation->floor_ms
       || key->date_ms < wall_ms - store->settings.retention_ms)
-    return CSP_CLAIM_FORGOTTEN;
+    return CSP_CLAIM_EXPIRED;
   if (store->records.count >= store->settings.capacity
       || organisation->count >= store->settings.organisation_capacity)
     return CSP_CLAIM_FULL;
@@ -291,15 +292,16 @@
    can't distinguish a repeat from a first attempt.  So a key with host scope
    names the incarnation.  */
 static bool
-is_key_for_this_host (const csp_once_t *store, const csp_once_key_t *key)
+is_key_for_this_host (const csp_once_key_store_t *store,
+                      const csp_once_key_t *key)
 {
   return key->scope != CSP_ONCE_SCOPE_HOST
-         || csp_same_host (&key->home, &store->self);
+         || csp_is_same_incarnation (&key->home, &store->self);
 }
 
 static csp_claim_result_t
-claim_key (csp_once_t *store, const csp_claim_ask_t *ask, int64_t now_ms,
-           int64_t wall_ms, csp_once_outcome_t *outcome)
+claim_key (csp_once_key_store_t *store, const csp_claim_ask_t *ask,
+           int64_t now_ms, int64_t wall_ms, csp_once_outcome_t *outcome)
 {
   organisation_t *organisation;
   csp_claim_result_t result;
@@ -328,8 +330,8 @@
 }
 
 void
-csp_claim_key (csp_once_t *store, const csp_claim_ask_t *ask, int64_t now_ms,
-               int64_t wall_ms, csp_claim_answer_t *answer)
+csp_claim_key (csp_once_key_store_t *store, const csp_claim_ask_t *ask,
+               int64_t now_ms, int64_t wall_ms, csp_claim_answer_t *answer)
 {
   memset (answer, 0, sizeof *answer);
   answer->claim = ask->claim;
@@ -344,8 +346,9 @@
    The outcome is recorded then, so that the late claim doesn't leave the key
    open without an outcome.  */
 void
-csp_settle_claim (csp_once_t *store, const csp_outcome_tell_t *report,
-                  int64_t now_ms, int64_t wall_ms)
+csp_record_claim_outcome (csp_once_key_store_t *store,
+                          const csp_outcome_report_t *report, int64_t now_ms,
+                          int64_t wall_ms)
 {
   organisation_t *organisation;
   record_t *record;
@@ -369,13 +372,13 @@
 }
 
 size_t
-csp_count_keys (const csp_once_t *store)
+csp_count_keys (const csp_once_key_store_t *store)
 {
   return store->records.count;
 }
 
 size_t
-csp_measure_once_bytes (const csp_once_t *store)
+csp_measure_once_key_store_bytes (const csp_once_key_store_t *store)
 {
   return sizeof *store + store->records.count * sizeof (record_t)
          + store->organisations.count * sizeof (organisation_t)
--- a/source/order/order-choose.c
+++ b/source/order/order-choose.c
@@ -8,7 +8,7 @@
    candidate was rejected.  */
 typedef struct
 {
-  csp_order_engine_t *engine;
+  csp_order_tracker_t *engine;
   const csp_order_facts_t *facts;
   csp_order_pace_t *pace;
   int64_t now_ms;
@@ -115,8 +115,8 @@
 /* An empty wanted list means that this kind of object is not managed.  */
 static bool
 try_unload (choice_t *choice, csp_order_op_t op,
-            const csp_versioned_t *reported, size_t reported_count,
-            const csp_versioned_t *wanted, size_t wanted_count)
+            const csp_named_version_t *reported, size_t reported_count,
+            const csp_named_version_t *wanted, size_t wanted_count)
 {
   size_t i;
 
@@ -134,8 +134,8 @@
 }
 
 static bool
-try_load (choice_t *choice, csp_order_op_t op, const csp_versioned_t *wanted,
-          size_t wanted_count)
+try_load (choice_t *choice, csp_order_op_t op,
+          const csp_named_version_t *wanted, size_t wanted_count)
 {
   size_t i;
 
@@ -152,7 +152,7 @@
 static bool
 try_role (choice_t *choice)
 {
-  const csp_wanted_t *wanted = choice->facts->wanted;
+  const csp_wanted_state_t *wanted = choice->facts->wanted;
   const char *role = csp_role_name (wanted->role);
 
   if (!wanted->has_role)
@@ -164,7 +164,7 @@
 
 /* Unloads come before loads, which need the freed memory.  */
 csp_order_state_t
-csp_choose_order (csp_order_engine_t *engine, const csp_order_facts_t *facts,
+csp_choose_order (csp_order_tracker_t *engine, const csp_order_facts_t *facts,
                   csp_order_pace_t *pace, int64_t now_ms, csp_order_t *order)
 {
   choice_t choice = { .engine = engine,
@@ -173,7 +173,7 @@
                       .now_ms = now_ms,
                       .state = CSP_ORDER_SETTLED,
                       .order = order };
-  const csp_wanted_t *wanted = facts->wanted;
+  const csp_wanted_state_t *wanted = facts->wanted;
   const csp_order_report_t *report = facts->report;
 
   if (try_raise_fence (&choice)
--- a/source/order/order-decide.c
+++ b/source/order/order-decide.c
@@ -30,14 +30,14 @@
   return role_names[role];
 }
 
-csp_order_engine_t *
-csp_create_order_engine (void)
+csp_order_tracker_t *
+csp_create_order_tracker (void)
 {
-  return calloc (1, sizeof (csp_order_engine_t));
+  return calloc (1, sizeof (csp_order_tracker_t));
 }
 
 void
-csp_destroy_order_engine (csp_order_engine_t *engine)
+csp_destroy_order_tracker (csp_order_tracker_t *engine)
 {
   if (engine == NULL)
     return;
@@ -49,15 +49,15 @@
    fencing number.  If the restart went unnoticed, its missing models would
    look like another owner's unload and be loaded again only after a pause.  */
 static bool
-detect_restart (csp_order_engine_t *engine, const csp_order_report_t *report,
+detect_restart (csp_order_tracker_t *engine, const csp_order_report_t *report,
                 csp_order_action_t *action)
 {
-  bool restarted
-      = engine->has_report
-        && (report->report < engine->report || report->fence < engine->fence);
+  bool restarted = engine->has_report
+                   && (report->sequence < engine->report
+                       || report->fence < engine->fence);
 
   engine->has_report = true;
-  engine->report = report->report;
+  engine->report = report->sequence;
   engine->fence = report->fence;
   if (engine->highest_fence < report->fence)
     engine->highest_fence = report->fence;
@@ -67,12 +67,12 @@
   if (engine->answered)
     engine->pending = false;
   engine->status.restarts++;
-  action->events |= CSP_ORDER_SAW_RESTART;
+  action->events |= CSP_ORDER_EVENT_RESTART;
   return true;
 }
 
 static void
-update_grant (csp_order_engine_t *engine, bool granted, int64_t now_ms)
+update_grant (csp_order_tracker_t *engine, bool granted, int64_t now_ms)
 {
   if (granted && !engine->granted)
     engine->granted_ms = now_ms;
@@ -80,7 +80,7 @@
 }
 
 static void
-update_wanted_revision (csp_order_engine_t *engine, int64_t wanted_revision)
+update_wanted_revision (csp_order_tracker_t *engine, int64_t wanted_revision)
 {
   if (engine->wanted_revision == wanted_revision)
     return;
@@ -92,7 +92,7 @@
    failed when the engine is idle after that lag without its outcome, or is
    busy for longer than the longest order takes.  */
 static bool
-has_failed (const csp_order_engine_t *engine, const csp_order_facts_t *facts,
+has_failed (const csp_order_tracker_t *engine, const csp_order_facts_t *facts,
             int64_t now_ms)
 {
   if (!engine->answered)
@@ -103,7 +103,7 @@
 }
 
 static void
-check_pending_order (csp_order_engine_t *engine,
+check_pending_order (csp_order_tracker_t *engine,
                      const csp_order_facts_t *facts, int64_t now_ms,
                      csp_order_action_t *action)
 {
@@ -120,16 +120,16 @@
     {
       engine->pending = false;
       engine->status.done++;
-      action->events |= CSP_ORDER_SAW_DONE;
+      action->events |= CSP_ORDER_EVENT_DONE;
       action->subject = engine->order;
     }
   else if (has_failed (engine, facts, now_ms))
     {
       engine->pending = false;
       engine->status.failed++;
-      action->events |= CSP_ORDER_SAW_FAILED;
+      action->events |= CSP_ORDER_EVENT_FAILED;
       if (record != NULL && record->sends == CSP_ORDER_GIVE_UP_SENDS)
-        action->events |= CSP_ORDER_SAW_GIVEN_UP;
+        action->events |= CSP_ORDER_EVENT_GIVEN_UP;
       action->subject = engine->order;
     }
 }
@@ -139,7 +139,7 @@
    fencing number, and be refused by others.  A restarted engine forgets the
    number, so the highest that it ever reported counts.  */
 static bool
-is_held_back (csp_order_engine_t *engine, const csp_order_facts_t *facts,
+is_held_back (csp_order_tracker_t *engine, const csp_order_facts_t *facts,
               csp_order_action_t *action)
 {
   int64_t fence = engine->highest_fence;
@@ -147,7 +147,7 @@
   if (fence <= facts->revision)
     return false;
   if (fence != engine->logged_held_fence)
-    action->events |= CSP_ORDER_SAW_HELD_BACK;
+    action->events |= CSP_ORDER_EVENT_HELD_BACK;
   engine->logged_held_fence = fence;
   return true;
 }
@@ -155,7 +155,7 @@
 /* Returns the first condition that forbids every order, in the order in which
    an operator would check them; CSP_ORDER_SENT when there is none.  */
 static csp_order_state_t
-find_blocking_state (csp_order_engine_t *engine,
+find_blocking_state (csp_order_tracker_t *engine,
                      const csp_order_facts_t *facts, int64_t now_ms,
                      csp_order_action_t *action)
 {
@@ -167,7 +167,8 @@
     return CSP_ORDER_NOT_GRANTED;
   if (facts->leaving)
     return CSP_ORDER_LEAVING;
-  if (report == NULL || now_ms - report->asked_ms > CSP_ORDER_FRESH_MS)
+  if (report == NULL
+      || now_ms - report->asked_ms > CSP_ORDER_REPORT_MAX_AGE_MS)
     return CSP_ORDER_NO_REPORT;
   if (is_held_back (engine, facts, action))
     return CSP_ORDER_HELD_BACK;
@@ -182,8 +183,8 @@
 }
 
 static void
-send_order (csp_order_engine_t *engine, csp_order_pace_t *pace, int64_t now_ms,
-            csp_order_action_t *action)
+send_order (csp_order_tracker_t *engine, csp_order_pace_t *pace,
+            int64_t now_ms, csp_order_action_t *action)
 {
   const csp_order_t *order = &action->is.send;
   csp_order_record_t *record
@@ -208,7 +209,7 @@
 }
 
 static void
-set_wait (csp_order_engine_t *engine, const csp_order_facts_t *facts,
+set_wait (csp_order_tracker_t *engine, const csp_order_facts_t *facts,
           const csp_order_pace_t *pace, csp_order_action_t *action)
 {
   int64_t until_ms = 0;
@@ -223,7 +224,7 @@
 }
 
 void
-csp_decide_order (csp_order_engine_t *engine, const csp_order_facts_t *facts,
+csp_decide_order (csp_order_tracker_t *engine, const csp_order_facts_t *facts,
                   csp_order_pace_t *pace, int64_t now_ms,
                   csp_order_action_t *action)
 {
@@ -253,8 +254,8 @@
 }
 
 void
-csp_handle_order_answer (csp_order_engine_t *engine, csp_order_answer_t answer,
-                         int64_t now_ms)
+csp_handle_order_answer (csp_order_tracker_t *engine,
+                         csp_order_answer_t answer, int64_t now_ms)
 {
   csp_order_record_t *record = csp_find_order_record (engine, &engine->order);
 
@@ -283,8 +284,8 @@
 }
 
 void
-csp_describe_order (const csp_order_engine_t *engine,
-                    csp_order_status_t *status)
+csp_get_order_status (const csp_order_tracker_t *engine,
+                      csp_order_status_t *status)
 {
   *status = engine->status;
 }
--- a/source/order/order-imp.h
+++ b/source/order/order-imp.h
@@ -19,7 +19,7 @@
   int64_t unload_wanted_ms;
 } csp_order_record_t;
 
-struct csp_order_engine
+struct csp_order_tracker
 {
   bool granted;
   int64_t granted_ms;
@@ -45,19 +45,19 @@
                              const csp_order_report_t *report);
 
 /* Returns the list's element of that name; NULL if there is none.  */
-const csp_versioned_t *csp_find_versioned (const csp_versioned_t *list,
-                                           size_t count, const char *name);
+const csp_named_version_t *csp_find_versioned (const csp_named_version_t *list,
+                                               size_t count, const char *name);
 
 /* Returns the record of an order and creates it if there is none; NULL when
    out of memory.  */
-csp_order_record_t *csp_find_or_add_order_record (csp_order_engine_t *engine,
+csp_order_record_t *csp_find_or_add_order_record (csp_order_tracker_t *engine,
                                                   const csp_order_t *order,
                                                   int64_t now_ms);
-csp_order_record_t *csp_find_order_record (csp_order_engine_t *engine,
+csp_order_record_t *csp_find_order_record (csp_order_tracker_t *engine,
                                            const csp_order_t *order);
 
 /* Updates all records from a report.  */
-void csp_update_order_records (csp_order_engine_t *engine,
+void csp_update_order_records (csp_order_tracker_t *engine,
                                const csp_order_facts_t *facts, bool restarted,
                                int64_t now_ms, csp_order_action_t *action);
 
@@ -66,7 +66,7 @@
 
 /* Finds the next order to send; returns CSP_ORDER_SENT, or why there is
    none.  */
-csp_order_state_t csp_choose_order (csp_order_engine_t *engine,
+csp_order_state_t csp_choose_order (csp_order_tracker_t *engine,
                                     const csp_order_facts_t *facts,
                                     csp_order_pace_t *pace, int64_t now_ms,
                                     csp_order_t *order);
--- a/source/order/order-notes.c
+++ b/source/order/order-notes.c
@@ -3,8 +3,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-const csp_versioned_t *
-csp_find_versioned (const csp_versioned_t *list, size_t count,
+const csp_named_version_t *
+csp_find_versioned (const csp_named_version_t *list, size_t count,
                     const char *name)
 {
   size_t i;
@@ -16,9 +16,11 @@
 }
 
 static bool
-is_loaded (const csp_versioned_t *list, size_t count, const csp_order_t *order)
+is_loaded (const csp_named_version_t *list, size_t count,
+           const csp_order_t *order)
 {
-  const csp_versioned_t *found = csp_find_versioned (list, count, order->name);
+  const csp_named_version_t *found
+      = csp_find_versioned (list, count, order->name);
 
   return found != NULL
          && (found->version == NULL
@@ -50,7 +52,7 @@
 }
 
 csp_order_record_t *
-csp_find_order_record (csp_order_engine_t *engine, const csp_order_t *order)
+csp_find_order_record (csp_order_tracker_t *engine, const csp_order_t *order)
 {
   size_t i;
 
@@ -62,7 +64,7 @@
 }
 
 csp_order_record_t *
-csp_find_or_add_order_record (csp_order_engine_t *engine,
+csp_find_or_add_order_record (csp_order_tracker_t *engine,
                               const csp_order_t *order, int64_t now_ms)
 {
   csp_order_record_t *record = csp_find_order_record (engine, order);
@@ -142,7 +144,7 @@
 }
 
 void
-csp_update_order_records (csp_order_engine_t *engine,
+csp_update_order_records (csp_order_tracker_t *engine,
                           const csp_order_facts_t *facts, bool restarted,
                           int64_t now_ms, csp_order_action_t *action)
 {
@@ -160,7 +162,7 @@
         {
           record_undone (record, facts, now_ms);
           engine->status.undone++;
-          action->events |= CSP_ORDER_SAW_UNDONE;
+          action->events |= CSP_ORDER_EVENT_UNDONE;
           action->subject = record->order;
         }
     }
--- a/source/ownership/ownership-carry.c
+++ b/source/ownership/ownership-carry.c
@@ -29,15 +29,15 @@
 
 static void
 query_peer (csp_ownership_t *ownership, size_t slot, int64_t now_ms,
-            csp_carry_asks_t *queries)
+            csp_load_queries_t *queries)
 {
   csp_owner_t *owner = ownership->owners[slot];
-  csp_carry_ask_t *query;
+  csp_load_query_t *query;
   size_t i;
 
   owner->queried_count = 0;
   for (i = 0; i < ownership->target_count
-              && owner->queried_count < CSP_MAX_CARRY_TARGETS;
+              && owner->queried_count < CSP_MAX_LOAD_QUERY_TARGETS;
        i++)
     if (needs_query (ownership->targets[i], slot, now_ms))
       owner->queried[owner->queried_count++] = (uint32_t)i;
@@ -56,7 +56,7 @@
 
 void
 csp_plan_load_queries (csp_ownership_t *ownership, int64_t now_ms,
-                       csp_carry_asks_t *queries)
+                       csp_load_queries_t *queries)
 {
   csp_owner_t *owner;
   size_t slot;
@@ -74,8 +74,8 @@
 }
 
 void
-csp_answer_carry (const csp_ownership_t *ownership, const char *name,
-                  csp_carry_t *answer)
+csp_get_carried_load (const csp_ownership_t *ownership, const char *name,
+                      csp_carried_load_t *answer)
 {
   const csp_target_t *target;
   uint32_t index;
@@ -92,7 +92,7 @@
 
 static void
 record_answer (csp_ownership_t *ownership, const csp_owner_t *owner,
-               size_t slot, const csp_carry_t *reported, int64_t now_ms)
+               size_t slot, const csp_carried_load_t *reported, int64_t now_ms)
 {
   csp_peer_answer_t *answer;
   csp_target_t *target;
@@ -121,8 +121,9 @@
 }
 
 void
-csp_handle_carry (csp_ownership_t *ownership, const char *peer, uint64_t id,
-                  const csp_carry_t *answers, size_t count, int64_t now_ms)
+csp_handle_load_query_answer (csp_ownership_t *ownership, const char *peer,
+                              uint64_t id, const csp_carried_load_t *answers,
+                              size_t count, int64_t now_ms)
 {
   size_t slot;
   csp_owner_t *owner = csp_find_owner (ownership, peer, &slot);
@@ -137,8 +138,8 @@
 }
 
 void
-csp_handle_carry_lost (csp_ownership_t *ownership, const char *peer,
-                       uint64_t id, int64_t now_ms)
+csp_handle_load_query_lost (csp_ownership_t *ownership, const char *peer,
+                            uint64_t id, int64_t now_ms)
 {
   size_t slot;
   csp_owner_t *owner = csp_find_owner (ownership, peer, &slot);
--- a/source/ownership/ownership-imp.h
+++ b/source/ownership/ownership-imp.h
@@ -70,7 +70,7 @@
   int64_t query_until_ms;
   int64_t next_query_ms;
   size_t queried_count;
-  uint32_t queried[CSP_MAX_CARRY_TARGETS];
+  uint32_t queried[CSP_MAX_LOAD_QUERY_TARGETS];
 } csp_owner_t;
 
 struct csp_ownership
@@ -118,7 +118,7 @@
 
 /* ownership-carry.c: the load that peers carry.  */
 void csp_plan_load_queries (csp_ownership_t *ownership, int64_t now_ms,
-                            csp_carry_asks_t *queries);
+                            csp_load_queries_t *queries);
 /* Whether every live peer has answered that it doesn't own the target.  */
 bool csp_all_peers_yielded (const csp_ownership_t *ownership,
                             const csp_target_t *target);
--- a/source/ownership/ownership-open.c
+++ b/source/ownership/ownership-open.c
@@ -29,7 +29,7 @@
 static uint32_t
 open_share_limit (const csp_target_t *target)
 {
-  return target->foreign ? CSP_OPEN_SHARE_FOREIGN : CSP_OPEN_FULL;
+  return target->foreign ? CSP_OPEN_SHARE_FOREIGN : CSP_OPEN_SHARE_FULL;
 }
 
 static void
@@ -39,8 +39,8 @@
 
   target->open_share = open_share < limit ? open_share : limit;
   target->open_share_set_ms = now_ms;
-  target->state
-      = target->open_share == CSP_OPEN_FULL ? CSP_OWN_OPEN : CSP_OWN_OPENING;
+  target->state = target->open_share == CSP_OPEN_SHARE_FULL ? CSP_OWN_OPEN
+                                                            : CSP_OWN_OPENING;
 }
 
 static void
@@ -113,7 +113,7 @@
 void
 csp_tick_ownership (csp_ownership_t *ownership,
                     const csp_membership_t *membership, int64_t now_ms,
-                    csp_carry_asks_t *queries)
+                    csp_load_queries_t *queries)
 {
   csp_apply_membership_view (ownership, membership, now_ms);
   csp_update_open_shares (ownership, now_ms);
@@ -137,8 +137,8 @@
 }
 
 void
-csp_set_carried (csp_ownership_t *ownership, uint32_t index, int64_t tokens,
-                 uint32_t streams, int64_t now_ms)
+csp_set_carried_load (csp_ownership_t *ownership, uint32_t index,
+                      int64_t tokens, uint32_t streams, int64_t now_ms)
 {
   csp_target_t *target = csp_get_target (ownership, index);
   int64_t *sample;
@@ -205,7 +205,7 @@
 compare_report (csp_target_t *target, int64_t now_ms)
 {
   int64_t tolerance
-      = target->capacity_tokens * CSP_AGREE_THOUSANDTHS / CSP_OPEN_FULL;
+      = target->capacity_tokens * CSP_AGREE_THOUSANDTHS / CSP_OPEN_SHARE_FULL;
   int64_t min_tokens;
   int64_t max_tokens;
 
@@ -255,8 +255,8 @@
 }
 
 uint32_t
-csp_find_opening (const csp_ownership_t *ownership, uint32_t index,
-                  int64_t now_ms)
+csp_get_open_share (const csp_ownership_t *ownership, uint32_t index,
+                    int64_t now_ms)
 {
   const csp_target_t *target = csp_get_target (ownership, index);
 
@@ -266,14 +266,15 @@
 }
 
 int64_t
-csp_find_room_tokens (const csp_ownership_t *ownership, uint32_t index,
-                      int64_t now_ms)
+csp_get_free_tokens (const csp_ownership_t *ownership, uint32_t index,
+                     int64_t now_ms)
 {
   const csp_target_t *target = csp_get_target (ownership, index);
   int64_t others;
   int64_t available;
 
-  if (csp_find_opening (ownership, index, now_ms) == 0 || !target->has_report)
+  if (csp_get_open_share (ownership, index, now_ms) == 0
+      || !target->has_report)
     return 0;
   /* The larger value counts: a peer that fell silent no longer answers, but
      its streams still show in the report.  */
@@ -281,7 +282,8 @@
                            : target->others_tokens_min;
   if (others < target->peer_tokens)
     others = target->peer_tokens;
-  available = target->capacity_tokens * target->open_share / CSP_OPEN_FULL;
+  available
+      = target->capacity_tokens * target->open_share / CSP_OPEN_SHARE_FULL;
   if (available > target->capacity_tokens - others)
     available = target->capacity_tokens - others;
   return available > target->carried_tokens
@@ -290,7 +292,7 @@
 }
 
 int64_t
-csp_grant_until_ms (const csp_ownership_t *ownership)
+csp_get_grant_lease_until_ms (const csp_ownership_t *ownership)
 {
   return ownership->lease_until_ms;
 }
--- a/source/ownership/ownership-targets.c
+++ b/source/ownership/ownership-targets.c
@@ -257,8 +257,8 @@
 }
 
 void
-csp_describe_ownership (const csp_ownership_t *ownership,
-                        csp_ownership_status_t *status)
+csp_get_ownership_status (const csp_ownership_t *ownership,
+                          csp_ownership_status_t *status)
 {
   const csp_target_t *target;
   size_t i;
--- a/source/ownership/ownership-view.c
+++ b/source/ownership/ownership-view.c
@@ -117,7 +117,7 @@
       owner = get_or_add_owner (ownership, view.name);
       if (owner == NULL)
         continue;
-      owner->may_own = csp_host_owns (&view);
+      owner->may_own = csp_may_host_own_targets (&view);
       owner->alive = !view.self && view.liveness == CSP_PEER_ALIVE;
     }
   release_owners (ownership, membership, now_ms);
@@ -193,7 +193,7 @@
 csp_apply_membership_view (csp_ownership_t *ownership,
                            const csp_membership_t *membership, int64_t now_ms)
 {
-  uint64_t view_version = csp_view_number (membership);
+  uint64_t view_version = csp_view_version (membership);
   bool changed = !ownership->has_view
                  || view_version != ownership->view_version
                  || ownership->list_changed;
--- a/source/pack/pack.c
+++ b/source/pack/pack.c
@@ -3,7 +3,7 @@
 #include <stdint.h>
 #include <zlib.h>
 
-const char csp_packed_type[] = "application/zlib";
+const char csp_compressed_content_type[] = "application/zlib";
 
 enum
 {
@@ -50,7 +50,7 @@
 }
 
 bool
-csp_pack_bytes (const void *bytes, size_t size_bytes, csp_buffer_t *packed)
+csp_compress_bytes (const void *bytes, size_t size_bytes, csp_buffer_t *packed)
 {
   z_stream stream
       = { .next_in = (unsigned char *)bytes, .avail_in = (uInt)size_bytes };
@@ -66,8 +66,8 @@
 }
 
 bool
-csp_unpack_bytes (const void *packed, size_t size_bytes, size_t max_bytes,
-                  csp_buffer_t *bytes)
+csp_decompress_bytes (const void *packed, size_t size_bytes, size_t max_bytes,
+                      csp_buffer_t *bytes)
 {
   z_stream stream
       = { .next_in = (unsigned char *)packed, .avail_in = (uInt)size_bytes };
--- a/source/page/page.c
+++ b/source/page/page.c
@@ -15,14 +15,14 @@
   BACKLOG = 64
 };
 
-struct csp_page
+struct csp_page_connection
 {
   uv_tcp_t tcp;
   uv_timer_t timer;
   uint8_t open_handles;
   csp_page_server_t *server;
-  csp_page_t *next;
-  csp_page_t *previous;
+  csp_page_connection_t *next;
+  csp_page_connection_t *previous;
   csp_http_reader_t *reader;
   bool awaiting_answer;
   bool closed;
@@ -34,7 +34,7 @@
   uv_loop_t *loop;
   const csp_page_events_t *events;
   void *state;
-  csp_page_t *connections;
+  csp_page_connection_t *connections;
 };
 
 static const csp_http_limits_t request_limits
@@ -43,7 +43,7 @@
 static void
 on_handle_closed (uv_handle_t *handle)
 {
-  csp_page_t *connection = handle->data;
+  csp_page_connection_t *connection = handle->data;
 
   if (--connection->open_handles > 0)
     return;
@@ -52,7 +52,7 @@
 }
 
 static void
-close_connection (csp_page_t *connection)
+close_connection (csp_page_connection_t *connection)
 {
   const csp_page_server_t *server = connection->server;
 
@@ -67,8 +67,8 @@
     connection->next->previous = connection->previous;
   uv_close ((uv_handle_t *)&connection->tcp, on_handle_closed);
   uv_close ((uv_handle_t *)&connection->timer, on_handle_closed);
-  if (connection->awaiting_answer && server->events->left != NULL)
-    server->events->left (server->state, connection);
+  if (connection->awaiting_answer && server->events->on_disconnect != NULL)
+    server->events->on_disconnect (server->state, connection);
 }
 
 static void
@@ -78,8 +78,8 @@
 }
 
 void
-csp_answer_page (csp_page_t *connection, uint16_t status, const char *type,
-                 const void *body, size_t size_bytes)
+csp_answer_page_request (csp_page_connection_t *connection, uint16_t status,
+                         const char *type, const void *body, size_t size_bytes)
 {
   const csp_http_head_t *head = csp_http_head (connection->reader);
   bool keep_alive = head->keep_alive;
@@ -89,11 +89,11 @@
   csp_print_buffer (&answer,
                     "HTTP/1.1 %u %s\r\nContent-Type: %s\r\n"
                     "Content-Length: %zu\r\n%s\r\n",
-                    status, csp_http_status_words (status), type, size_bytes,
+                    status, csp_http_reason_phrase (status), type, size_bytes,
                     keep_alive ? "" : "Connection: close\r\n");
   if (strcmp (head->method, "HEAD") != 0)
     csp_append_buffer (&answer, body, size_bytes);
-  csp_next_http_message (connection->reader, request_limits, false);
+  csp_reset_http_reader (connection->reader, request_limits, false);
   if (!csp_write_stream ((uv_stream_t *)&connection->tcp, answer.data,
                          answer.size_bytes, NULL, NULL)
       || !keep_alive)
@@ -104,7 +104,8 @@
 /* Read requests.  Clients don't pipeline: input while a request is still
    unanswered closes the connection.  */
 static void
-read_requests (csp_page_t *connection, const char *data, size_t left_bytes)
+read_requests (csp_page_connection_t *connection, const char *data,
+               size_t left_bytes)
 {
   while (left_bytes > 0 && !connection->closed)
     {
@@ -122,7 +123,7 @@
                             &piece, &piece_bytes);
       data += used;
       left_bytes -= used;
-      if (step == CSP_HTTP_MORE)
+      if (step == CSP_HTTP_NEED_MORE)
         return;
       if (step != CSP_HTTP_HEAD
           || csp_http_head (connection->reader)->framing != CSP_BODY_NONE)
@@ -131,15 +132,16 @@
           return;
         }
       connection->awaiting_answer = true;
-      connection->server->events->asked (connection->server->state, connection,
-                                         csp_http_head (connection->reader));
+      connection->server->events->on_request (
+          connection->server->state, connection,
+          csp_http_head (connection->reader));
     }
 }
 
 static void
 on_read (uv_stream_t *stream, ssize_t size_bytes, const uv_buf_t *buffer)
 {
-  csp_page_t *connection = stream->data;
+  csp_page_connection_t *connection = stream->data;
 
   if (size_bytes < 0)
     {
@@ -156,7 +158,7 @@
 on_connection (uv_stream_t *listener, int status)
 {
   csp_page_server_t *server = listener->data;
-  csp_page_t *connection;
+  csp_page_connection_t *connection;
 
   if (status != 0)
     return;
@@ -187,7 +189,7 @@
       return;
     }
   uv_timer_start (&connection->timer, on_idle_timeout, IDLE_TIMEOUT_MS, 0);
-  uv_read_start ((uv_stream_t *)&connection->tcp, csp_share_read_room,
+  uv_read_start ((uv_stream_t *)&connection->tcp, csp_share_read_buffer,
                  on_read);
 }
 
--- a/source/peer/peer-decode.c
+++ b/source/peer/peer-decode.c
@@ -36,7 +36,7 @@
 unpack_carry_answer (const CspWire__CarryAnswer *wire,
                      csp_peer_message_t *message)
 {
-  csp_carry_t *carries = calloc (wire->n_carries + 1, sizeof *carries);
+  csp_carried_load_t *carries = calloc (wire->n_carries + 1, sizeof *carries);
   size_t i;
 
   message->array = carries;
@@ -111,7 +111,7 @@
 
 static bool
 unpack_reserve_ask (const CspWire__ReserveAsk *wire,
-                    csp_peer_reserve_t *reserve)
+                    csp_peer_reserve_ask_t *reserve)
 {
   size_t i;
 
@@ -139,7 +139,7 @@
 
 static bool
 unpack_reserve_answer (const CspWire__ReserveAnswer *wire,
-                       csp_peer_reserved_t *reserved)
+                       csp_peer_reserve_answer_t *reserved)
 {
   csp_reserve_answer_t *answer = &reserved->answer;
 
@@ -173,7 +173,7 @@
   release->release.nonce = wire->nonce;
   release->release.maybe_decoding = wire->maybe_decoding;
   release->tokens = wire->tokens;
-  release->failed = wire->failed;
+  release->link_failed = wire->failed;
   return unpack_host (wire->sender, &release->release.sender)
          && csp_copy_wire_text (release->target, sizeof release->target,
                                 wire->target);
@@ -195,7 +195,7 @@
 
 static bool
 unpack_outcome_tell (const CspWire__OutcomeTell *wire,
-                     csp_outcome_tell_t *tell)
+                     csp_outcome_report_t *tell)
 {
   if (wire->outcome > CSP_ONCE_CLOSED)
     return false;
@@ -217,7 +217,7 @@
       message->kind = CSP_PEER_CARRY_ASK;
       message->u.carry_ask.count = frame->carry_ask->n_targets;
       message->u.carry_ask.targets = frame->carry_ask->targets;
-      return message->u.carry_ask.count <= CSP_MAX_CARRY_TARGETS;
+      return message->u.carry_ask.count <= CSP_MAX_LOAD_QUERY_TARGETS;
     case CSP_WIRE__FRAME__BODY_CARRY_ANSWER:
       message->kind = CSP_PEER_CARRY_ANSWER;
       return unpack_carry_answer (frame->carry_answer, message);
--- a/source/peer/peer-encode.c
+++ b/source/peer/peer-encode.c
@@ -80,7 +80,7 @@
 {
   CspWire__CarryAnswer *wire = &encoder->body.carry_answer;
   CspWire__Carry *row;
-  const csp_carry_t *carry;
+  const csp_carried_load_t *carry;
   size_t i;
 
   csp_wire__carry_answer__init (wire);
@@ -167,7 +167,7 @@
 }
 
 static void
-pack_reserve_ask (encoder_t *encoder, const csp_peer_reserve_t *reserve)
+pack_reserve_ask (encoder_t *encoder, const csp_peer_reserve_ask_t *reserve)
 {
   CspWire__ReserveAsk *wire = &encoder->body.reserve_ask;
   uint32_t i;
@@ -192,7 +192,8 @@
 }
 
 static void
-pack_reserve_answer (encoder_t *encoder, const csp_peer_reserved_t *reserved)
+pack_reserve_answer (encoder_t *encoder,
+                     const csp_peer_reserve_answer_t *reserved)
 {
   CspWire__ReserveAnswer *wire = &encoder->body.reserve_answer;
 
@@ -248,7 +249,7 @@
   wire->nonce = release->release.nonce;
   wire->maybe_decoding = release->release.maybe_decoding;
   wire->tokens = release->tokens;
-  wire->failed = release->failed;
+  wire->failed = release->link_failed;
   wire->target = (char *)release->target;
   encoder->frame.body_case = CSP_WIRE__FRAME__BODY_RELEASE;
   encoder->frame.release = wire;
@@ -284,7 +285,7 @@
 }
 
 static void
-pack_outcome_tell (encoder_t *encoder, const csp_outcome_tell_t *tell)
+pack_outcome_tell (encoder_t *encoder, const csp_outcome_report_t *tell)
 {
   CspWire__OutcomeTell *wire = &encoder->body.outcome_tell;
 
--- a/source/peer/peers-ask.c
+++ b/source/peer/peers-ask.c
@@ -167,9 +167,10 @@
 }
 
 void
-csp_ask_peer (csp_peers_t *peers, const char *address, uint16_t port,
-              const uint8_t *data, size_t size_bytes, uint32_t timeout_ms,
-              csp_handle_peer_reply_t on_reply, void *state)
+csp_send_peer_request (csp_peers_t *peers, const char *address, uint16_t port,
+                       const uint8_t *data, size_t size_bytes,
+                       uint32_t timeout_ms, csp_handle_peer_reply_t on_reply,
+                       void *state)
 {
   char url[CSP_PEER_URL_BYTES];
   nng_msg *message = NULL;
--- a/source/peer/peers.c
+++ b/source/peer/peers.c
@@ -55,7 +55,8 @@
 }
 
 void
-csp_answer_peer (csp_peer_call_t *call, const uint8_t *data, size_t size_bytes)
+csp_reply_to_peer (csp_peer_call_t *call, const uint8_t *data,
+                   size_t size_bytes)
 {
   nng_msg *message = NULL;
 
@@ -141,7 +142,7 @@
 
   if (peers == NULL)
     goto fail;
-  peers->take = settings->take;
+  peers->take = settings->on_request;
   peers->state = settings->state;
   peers->tls = settings->tls;
   pthread_mutex_init (&peers->lock, NULL);
--- a/source/placement/placement-health.c
+++ b/source/placement/placement-health.c
@@ -184,7 +184,7 @@
 }
 
 uint32_t
-csp_health_out (const csp_health_t *health)
+csp_count_reduced_targets (const csp_health_t *health)
 {
   uint32_t in_use;
 
@@ -221,7 +221,7 @@
 }
 
 void
-csp_weigh_health (csp_health_t *health, int64_t now_ms)
+csp_update_health (csp_health_t *health, int64_t now_ms)
 {
   const csp_health_policy_t *policy = &health->policy;
   target_health_t *state;
@@ -245,7 +245,7 @@
 }
 
 double
-csp_health_open (const csp_health_t *health, uint32_t target)
+csp_health_share (const csp_health_t *health, uint32_t target)
 {
   return health->targets[target].open;
 }
--- a/source/placement/placement-target.c
+++ b/source/placement/placement-target.c
@@ -45,7 +45,7 @@
       if (cost >= lowest_cost)
         continue;
       if (csp_decide_forecast (candidates[i].ledger, stream, &forecast,
-                               candidates[i].open, now_ms)
+                               candidates[i].usable_share, now_ms)
           != CSP_ADMIT)
         continue;
       lowest_cost = cost;
@@ -63,7 +63,7 @@
   uint32_t i;
 
   for (i = 0; i < count && headroom < needed; i++)
-    headroom += candidates[i].open
+    headroom += candidates[i].usable_share
                 * csp_ledger_headroom_tokens (candidates[i].ledger,
                                               CSP_PRIORITY_MAX, now_ms);
   return headroom >= needed;
--- a/source/platform/fetcher.c
+++ b/source/platform/fetcher.c
@@ -85,7 +85,8 @@
   return is_stopping (job->fetcher) ? 1 : 0;
 }
 
-/* Returns the status of the response, CSP_POST_NOT_SENT or CSP_POST_LOST.  */
+/* Returns the status of the response, CSP_POST_NOT_SENT or
+ * CSP_POST_NO_RESPONSE.  */
 static long
 perform_request (fetch_job_t *job)
 {
@@ -116,7 +117,7 @@
   curl_slist_free_all (headers);
   if (code == CURLE_COULDNT_CONNECT)
     return CSP_POST_NOT_SENT;
-  return code == CURLE_OK ? status : CSP_POST_LOST;
+  return code == CURLE_OK ? status : CSP_POST_NO_RESPONSE;
 }
 
 static void
--- a/source/platform/list-watch.c
+++ b/source/platform/list-watch.c
@@ -12,38 +12,40 @@
 bool
 csp_list_read_is_due (const csp_list_watch_t *watch, int64_t now_ms)
 {
-  return !watch->pending && now_ms >= watch->next_ms;
+  return !watch->pending && now_ms >= watch->next_read_ms;
 }
 
 void
-csp_note_list_asked (csp_list_watch_t *watch, bool sent, int64_t now_ms)
+csp_note_list_read_sent (csp_list_watch_t *watch, bool sent, int64_t now_ms)
 {
-  watch->asked_ms = now_ms;
+  watch->read_sent_ms = now_ms;
   watch->pending = sent;
 }
 
 void
-csp_note_list_read (csp_list_watch_t *watch, bool succeeded, int64_t now_ms)
+csp_note_list_read_ended (csp_list_watch_t *watch, bool succeeded,
+                          int64_t now_ms)
 {
-  bool sent_before_resume = watch->asked_ms <= watch->woke_ms;
+  bool sent_before_resume = watch->read_sent_ms <= watch->resumed_ms;
 
   watch->pending = false;
-  watch->away = !succeeded;
+  watch->last_read_failed = !succeeded;
   if (succeeded)
     {
-      watch->next_ms = now_ms + READ_INTERVAL_MS;
-      watch->confirmed_ms = watch->asked_ms;
+      watch->next_read_ms = now_ms + READ_INTERVAL_MS;
+      watch->confirmed_ms = watch->read_sent_ms;
     }
   else
-    watch->next_ms = sent_before_resume ? now_ms : now_ms + RETRY_DELAY_MS;
+    watch->next_read_ms
+        = sent_before_resume ? now_ms : now_ms + RETRY_DELAY_MS;
 }
 
 /* A read that was pending during the pause may have failed earlier in this
    iteration of the event loop, or may fail in a later one; both cases lead to
    an immediate retry.  */
 void
-csp_note_list_woke (csp_list_watch_t *watch, int64_t now_ms)
+csp_note_list_host_resumed (csp_list_watch_t *watch, int64_t now_ms)
 {
-  watch->woke_ms = now_ms;
-  watch->next_ms = now_ms;
+  watch->resumed_ms = now_ms;
+  watch->next_read_ms = now_ms;
 }
--- a/source/preemption/preemption.c
+++ b/source/preemption/preemption.c
@@ -11,9 +11,9 @@
 }
 
 uint8_t
-csp_engine_priority (const csp_stream_t *stream)
+csp_compute_engine_priority (const csp_stream_t *stream)
 {
-  uint32_t priority = (uint32_t)stream->priority + stream->given_way;
+  uint32_t priority = (uint32_t)stream->priority + stream->preempted_count;
 
   return (uint8_t)(priority < CSP_PRIORITY_MAX ? priority : CSP_PRIORITY_MAX);
 }
@@ -51,8 +51,8 @@
 may_be_preempted (const csp_preemption_policy_t *policy,
                   const csp_stream_state_t *state)
 {
-  return state->made_tokens == 0 && state->stream.repeatable
-         && state->stream.given_way < policy->max_preemptions;
+  return state->generated_token_count == 0 && state->stream.repeatable
+         && state->stream.preempted_count < policy->max_preemptions;
 }
 
 static bool
@@ -60,8 +60,8 @@
 {
   if (one->priority != other->priority)
     return one->priority < other->priority;
-  if (one->given_way != other->given_way)
-    return one->given_way < other->given_way;
+  if (one->preempted_count != other->preempted_count)
+    return one->preempted_count < other->preempted_count;
   return one->prompt_tokens < other->prompt_tokens;
 }
 
--- a/source/quarantine/quarantine.c
+++ b/source/quarantine/quarantine.c
@@ -174,21 +174,21 @@
 }
 
 csp_suspect_change_t
-csp_strike_request (csp_quarantine_t *quarantine, uint64_t request,
-                    uint64_t target, int64_t now_ms)
+csp_add_request_strike (csp_quarantine_t *quarantine, uint64_t request,
+                        uint64_t target, int64_t now_ms)
 {
   suspect_row_t *row = find_row (quarantine, request);
 
   if (was_served_recently (quarantine, request, now_ms))
-    return CSP_SUSPECT_SOUND;
+    return CSP_SUSPECT_RECENTLY_SERVED;
   if (row == NULL)
     row = allocate_row (quarantine, request);
   if (has_target (row, target))
-    return CSP_SUSPECT_AS_BEFORE;
+    return CSP_SUSPECT_UNCHANGED;
   row->seen_here = true;
   row->broadcasts_left = CSP_SUSPECT_BROADCASTS;
   return add_strike (row, target, now_ms) ? CSP_SUSPECT_QUARANTINED
-                                          : CSP_SUSPECT_STRUCK;
+                                          : CSP_SUSPECT_STRIKE_ADDED;
 }
 
 /* Merges a report about a request that is at the last strike here: the other
@@ -200,13 +200,13 @@
   bool was_held = now_ms < held_until_ms (row);
 
   if (reported->strike_count < CSP_STRIKES_MAX)
-    return CSP_SUSPECT_AS_BEFORE;
-  if (reported->trials > row->failed_trials)
-    row->failed_trials = reported->trials;
+    return CSP_SUSPECT_UNCHANGED;
+  if (reported->failed_trials > row->failed_trials)
+    row->failed_trials = reported->failed_trials;
   if (at_ms > row->struck_at_ms + AGE_TOLERANCE_MS)
     row->struck_at_ms = at_ms;
   return !was_held && now_ms < held_until_ms (row) ? CSP_SUSPECT_QUARANTINED
-                                                   : CSP_SUSPECT_AS_BEFORE;
+                                                   : CSP_SUSPECT_UNCHANGED;
 }
 
 csp_suspect_change_t
@@ -214,29 +214,29 @@
                    int64_t now_ms)
 {
   suspect_row_t *row = find_row (quarantine, reported->request);
-  csp_suspect_change_t change = CSP_SUSPECT_AS_BEFORE;
+  csp_suspect_change_t change = CSP_SUSPECT_UNCHANGED;
   int64_t at_ms = now_ms - reported->age_ms;
   size_t i;
 
   if (reported->request == 0 || reported->strike_count == 0
       || reported->age_ms > STRIKE_AGE_MAX_MS)
-    return CSP_SUSPECT_AS_BEFORE;
+    return CSP_SUSPECT_UNCHANGED;
   if (was_served_recently (quarantine, reported->request, now_ms))
-    return CSP_SUSPECT_SOUND;
+    return CSP_SUSPECT_RECENTLY_SERVED;
   if (row != NULL && row->strike_count == CSP_STRIKES_MAX)
     return merge_held (row, reported, at_ms, now_ms);
   if (row == NULL)
     row = allocate_row (quarantine, reported->request);
-  if (reported->trials > row->failed_trials)
-    row->failed_trials = reported->trials;
+  if (reported->failed_trials > row->failed_trials)
+    row->failed_trials = reported->failed_trials;
   for (i = 0;
        i < reported->strike_count && row->strike_count < CSP_STRIKES_MAX; i++)
     if (!has_target (row, reported->targets[i]))
       change = add_strike (row, reported->targets[i], at_ms)
                    ? CSP_SUSPECT_QUARANTINED
-                   : CSP_SUSPECT_STRUCK;
+                   : CSP_SUSPECT_STRIKE_ADDED;
   if (change == CSP_SUSPECT_QUARANTINED && now_ms >= held_until_ms (row))
-    change = CSP_SUSPECT_STRUCK;
+    change = CSP_SUSPECT_STRIKE_ADDED;
   return change;
 }
 
@@ -272,15 +272,16 @@
   csp_suspect_t suspect = { .request = row->request,
                             .strike_count = row->strike_count,
                             .age_ms = age_ms > 0 ? (uint32_t)age_ms : 0,
-                            .trials = row->failed_trials };
+                            .failed_trials = row->failed_trials };
 
   memcpy (suspect.targets, row->targets, sizeof suspect.targets);
   return suspect;
 }
 
 size_t
-csp_list_fresh_suspects (csp_quarantine_t *quarantine, csp_suspect_t *suspects,
-                         size_t capacity, int64_t now_ms)
+csp_take_suspects_to_broadcast (csp_quarantine_t *quarantine,
+                                csp_suspect_t *suspects, size_t capacity,
+                                int64_t now_ms)
 {
   size_t listed = 0;
   size_t i;
@@ -311,8 +312,9 @@
 }
 
 size_t
-csp_name_suspects (csp_quarantine_t *quarantine, csp_suspect_t *suspects,
-                   size_t capacity, int64_t now_ms)
+csp_list_suspects_for_greeting (csp_quarantine_t *quarantine,
+                                csp_suspect_t *suspects, size_t capacity,
+                                int64_t now_ms)
 {
   size_t listed = 0;
   greeting_class_t kind;
--- a/source/queue/queue-imp.h
+++ b/source/queue/queue-imp.h
@@ -12,7 +12,7 @@
 
 typedef struct
 {
-  csp_waiting_t waiting;
+  csp_waiting_request_t waiting;
   uint64_t sequence;
   uint32_t next;
   uint32_t previous;
@@ -80,13 +80,13 @@
    decides between two with the same due time and is UINT64_MAX for a new
    request.  */
 uint64_t csp_queue_cost_ahead (const csp_queue_t *queue,
-                               const csp_waiting_t *waiting,
+                               const csp_waiting_request_t *waiting,
                                uint64_t sequence);
 
 /* The time by which a request is sorted: its deadline less priority_step_ms
    for each step of its priority.  */
 int64_t csp_compute_due_ms (const csp_queue_t *queue,
-                            const csp_waiting_t *waiting);
+                            const csp_waiting_request_t *waiting);
 
 /* Removes an entry from its list and frees it.  */
 void csp_remove_waiting_entry (csp_queue_t *queue, uint32_t index);
--- a/source/queue/queue-pump.c
+++ b/source/queue/queue-pump.c
@@ -49,9 +49,10 @@
 }
 
 uint64_t
-csp_queue_kept_tokens (const csp_queue_t *queue)
+csp_queue_lending_reserve_tokens (const csp_queue_t *queue)
 {
-  return (uint64_t)((double)queue->capacity_tokens * queue->policy.lend_keep);
+  return (uint64_t)((double)queue->capacity_tokens
+                    * queue->policy.lending_reserve);
 }
 
 void
@@ -151,7 +152,8 @@
 }
 
 bool
-csp_next_waiting (csp_queue_t *queue, csp_waiting_t *waiting, bool *borrowing)
+csp_next_waiting (csp_queue_t *queue, csp_waiting_request_t *waiting,
+                  bool *borrowing)
 {
   const organisation_t *organisation;
   uint32_t next_organisation;
@@ -182,7 +184,7 @@
 static void
 charge_entry (csp_queue_t *queue, uint32_t index)
 {
-  const csp_waiting_t *waiting = &queue->entries[index].waiting;
+  const csp_waiting_request_t *waiting = &queue->entries[index].waiting;
   organisation_t *organisation = &queue->organisations[waiting->organisation];
 
   organisation->deficit -= waiting->cost_tokens;
@@ -240,7 +242,7 @@
 void
 csp_skip_waiting (csp_queue_t *queue)
 {
-  const csp_waiting_t *waiting;
+  const csp_waiting_request_t *waiting;
   organisation_t *organisation;
 
   if (queue->offered == NO_ENTRY)
@@ -288,7 +290,7 @@
 }
 
 uint64_t
-csp_queue_flight_tokens (const csp_queue_t *queue, uint32_t organisation)
+csp_queue_in_flight_tokens (const csp_queue_t *queue, uint32_t organisation)
 {
   if (organisation >= queue->organisation_count)
     return 0;
--- a/source/queue/queue-rate.c
+++ b/source/queue/queue-rate.c
@@ -59,15 +59,16 @@
 }
 
 int64_t
-csp_compute_due_ms (const csp_queue_t *queue, const csp_waiting_t *waiting)
+csp_compute_due_ms (const csp_queue_t *queue,
+                    const csp_waiting_request_t *waiting)
 {
   return waiting->start_by_ms
          - (int64_t)waiting->priority * queue->policy.priority_step_ms;
 }
 
 uint64_t
-csp_queue_cost_ahead (const csp_queue_t *queue, const csp_waiting_t *waiting,
-                      uint64_t sequence)
+csp_queue_cost_ahead (const csp_queue_t *queue,
+                      const csp_waiting_request_t *waiting, uint64_t sequence)
 {
   int64_t due_ms = csp_compute_due_ms (queue, waiting);
   const organisation_t *owner;
@@ -122,7 +123,8 @@
 }
 
 uint32_t
-csp_predict_wait_ms (const csp_queue_t *queue, const csp_waiting_t *waiting)
+csp_predict_wait_ms (const csp_queue_t *queue,
+                     const csp_waiting_request_t *waiting)
 {
   uint64_t cost = csp_queue_cost_ahead (queue, waiting, UINT64_MAX)
                   + waiting->cost_tokens;
@@ -134,7 +136,7 @@
 static double
 entry_wait_ms (const csp_queue_t *queue, const entry_t *entry)
 {
-  const csp_waiting_t *waiting = &entry->waiting;
+  const csp_waiting_request_t *waiting = &entry->waiting;
   uint64_t cost = csp_queue_cost_ahead (queue, waiting, entry->sequence)
                   + waiting->cost_tokens;
 
@@ -162,8 +164,8 @@
 }
 
 bool
-csp_expire_waiting (csp_queue_t *queue, int64_t now_ms, csp_waiting_t *waiting,
-                    csp_error_t *error)
+csp_expire_waiting (csp_queue_t *queue, int64_t now_ms,
+                    csp_waiting_request_t *waiting, csp_error_t *error)
 {
   const entry_t *entry;
   uint32_t index;
--- a/source/queue/queue-waiting.c
+++ b/source/queue/queue-waiting.c
@@ -8,10 +8,10 @@
 {
   csp_queue_policy_t policy = { .quantum_tokens = 2048,
                                 .max_waiting = 4096,
-                                .max_waiting_each = 1024,
+                                .max_waiting_per_organisation = 1024,
                                 .max_wait_ms = 30000,
                                 .priority_step_ms = 1000,
-                                .lend_keep = 0.07,
+                                .lending_reserve = 0.07,
                                 .rate_half_life_ms = 10000,
                                 .blocking_after_ms = 2000,
                                 .max_skips_per_pump = 16,
@@ -73,7 +73,7 @@
 }
 
 void
-csp_set_shared_memory (csp_queue_t *queue, uint64_t memory_tokens)
+csp_set_pool_memory (csp_queue_t *queue, uint64_t memory_tokens)
 {
   queue->pool_tokens = memory_tokens;
 }
@@ -121,8 +121,8 @@
 }
 
 void
-csp_set_flight_elsewhere (csp_queue_t *queue, uint32_t organisation,
-                          uint64_t tokens)
+csp_set_in_flight_elsewhere (csp_queue_t *queue, uint32_t organisation,
+                             uint64_t tokens)
 {
   if (organisation < queue->organisation_count)
     queue->organisations[organisation].in_flight_elsewhere = tokens;
@@ -171,7 +171,8 @@
 }
 
 static void
-link_waiting (csp_queue_t *queue, const csp_waiting_t *waiting, int64_t now_ms)
+link_waiting (csp_queue_t *queue, const csp_waiting_request_t *waiting,
+              int64_t now_ms)
 {
   uint32_t index = queue->first_free;
   entry_t *entry = &queue->entries[index];
@@ -244,7 +245,7 @@
 }
 
 static bool
-refuse_if_late (csp_queue_t *queue, const csp_waiting_t *waiting,
+refuse_if_late (csp_queue_t *queue, const csp_waiting_request_t *waiting,
                 int64_t now_ms, csp_error_t *error)
 {
   const organisation_t *owner = &queue->organisations[waiting->organisation];
@@ -266,14 +267,14 @@
 }
 
 static bool
-refuse_if_full (csp_queue_t *queue, const csp_waiting_t *waiting,
+refuse_if_full (csp_queue_t *queue, const csp_waiting_request_t *waiting,
                 csp_error_t *error)
 {
   const organisation_t *owner = &queue->organisations[waiting->organisation];
   double wait_ms;
 
   if (queue->waiting < queue->policy.max_waiting
-      && owner->waiting < queue->policy.max_waiting_each)
+      && owner->waiting < queue->policy.max_waiting_per_organisation)
     return false;
   wait_ms = csp_predict_cost_wait_ms (queue, waiting->organisation,
                                       waiting->cost_tokens);
@@ -284,10 +285,10 @@
 }
 
 bool
-csp_push_waiting (csp_queue_t *queue, const csp_waiting_t *waiting,
+csp_push_waiting (csp_queue_t *queue, const csp_waiting_request_t *waiting,
                   int64_t now_ms, csp_error_t *error)
 {
-  csp_waiting_t bounded = *waiting;
+  csp_waiting_request_t bounded = *waiting;
 
   if (!grow_organisations (queue, waiting->organisation))
     {
@@ -346,7 +347,7 @@
 }
 
 uint32_t
-csp_queue_length_of (const csp_queue_t *queue, uint32_t organisation)
+csp_organisation_queue_length (const csp_queue_t *queue, uint32_t organisation)
 {
   if (organisation >= queue->organisation_count)
     return 0;
--- a/source/reach/reach.c
+++ b/source/reach/reach.c
@@ -80,7 +80,8 @@
 }
 
 void
-csp_note_answer_from (csp_reach_t *reach, uint32_t data_centre, int64_t now_ms)
+csp_note_target_answer_from (csp_reach_t *reach, uint32_t data_centre,
+                             int64_t now_ms)
 {
   data_centre_state_t *state = get_state (reach, data_centre);
 
@@ -94,7 +95,8 @@
 /* This doesn't clear a failure: in a one-way partition messages from hosts
    there still arrive while requests to them are lost.  */
 void
-csp_note_host_heard (csp_reach_t *reach, uint32_t data_centre, int64_t now_ms)
+csp_note_host_message_from (csp_reach_t *reach, uint32_t data_centre,
+                            int64_t now_ms)
 {
   data_centre_state_t *state = get_state (reach, data_centre);
 
@@ -134,7 +136,8 @@
 }
 
 bool
-csp_is_reached (const csp_reach_t *reach, uint32_t data_centre, int64_t now_ms)
+csp_is_reachable (const csp_reach_t *reach, uint32_t data_centre,
+                  int64_t now_ms)
 {
   const data_centre_state_t *state = find_state (reach, data_centre);
 
@@ -147,7 +150,7 @@
                        int64_t now_ms)
 {
   data_centre_state_t *state = get_state (reach, data_centre);
-  bool unreachable = !csp_is_reached (reach, data_centre, now_ms);
+  bool unreachable = !csp_is_reachable (reach, data_centre, now_ms);
 
   if (state == NULL || state->reported_unreachable == unreachable)
     return false;
@@ -156,12 +159,11 @@
 }
 
 bool
-csp_take_reach_question (csp_reach_t *reach, uint32_t data_centre,
-                         int64_t now_ms)
+csp_take_reach_probe (csp_reach_t *reach, uint32_t data_centre, int64_t now_ms)
 {
   data_centre_state_t *state = get_state (reach, data_centre);
 
-  if (state == NULL || csp_is_reached (reach, data_centre, now_ms)
+  if (state == NULL || csp_is_reachable (reach, data_centre, now_ms)
       || now_ms < state->next_probe_ms)
     return false;
   state->next_probe_ms = now_ms + PROBE_PERIOD_MS;
--- a/source/retry/retry-lease.c
+++ b/source/retry/retry-lease.c
@@ -52,7 +52,7 @@
 }
 
 void
-csp_open_lease_pool (csp_lease_pool_t *pool, const csp_lease_policy_t *policy,
+csp_init_lease_pool (csp_lease_pool_t *pool, const csp_lease_policy_t *policy,
                      int64_t now_ms)
 {
   *pool = (csp_lease_pool_t){ .policy = *policy };
@@ -60,7 +60,7 @@
 }
 
 void
-csp_note_lease_duty (csp_lease_pool_t *pool, bool decides, int64_t now_ms)
+csp_set_lease_decider (csp_lease_pool_t *pool, bool decides, int64_t now_ms)
 {
   if (decides && !pool->decides)
     pool->decides_since_ms = now_ms;
@@ -68,7 +68,7 @@
 }
 
 uint32_t
-csp_count_leased (const csp_lease_pool_t *pool, int64_t now_ms)
+csp_count_outstanding_leases (const csp_lease_pool_t *pool, int64_t now_ms)
 {
   int64_t newest = step_at (pool, now_ms);
   uint32_t leased = 0;
@@ -84,14 +84,14 @@
 static uint32_t
 lease_limit (const csp_lease_pool_t *pool, const csp_lease_facts_t *facts)
 {
-  uint64_t limit = pool->policy.extra / LEASED_DIVISOR;
+  uint64_t limit = pool->policy.max_per_window / LEASED_DIVISOR;
 
   if (facts->hosts_known == 0 || facts->data_centres_listed == 0)
     return 0;
   if (facts->hosts_asking < facts->hosts_known)
     limit = limit * facts->hosts_asking / facts->hosts_known;
-  if (facts->data_centres_heard < facts->data_centres_listed)
-    limit = limit * facts->data_centres_heard / facts->data_centres_listed;
+  if (facts->data_centres_live < facts->data_centres_listed)
+    limit = limit * facts->data_centres_live / facts->data_centres_listed;
   return (uint32_t)limit;
 }
 
@@ -106,7 +106,7 @@
       || now_ms - pool->decides_since_ms < grant_counts_ms (pool))
     return 0;
   advance_steps (pool, now_ms);
-  leased = csp_count_leased (pool, now_ms);
+  leased = csp_count_outstanding_leases (pool, now_ms);
   return leased < limit ? limit - leased : 0;
 }
 
--- a/source/retry/retry.c
+++ b/source/retry/retry.c
@@ -10,7 +10,7 @@
 csp_default_retry_policy (void)
 {
   csp_retry_policy_t policy = { .retry_share = 0.1,
-                                .retry_most = 20,
+                                .retry_max = 20,
                                 .retry_start = 10,
                                 .hedge_share = 0.02,
                                 .hedge_max = 4,
@@ -20,7 +20,7 @@
 }
 
 void
-csp_open_retry_budget (csp_retry_budget_t *budget,
+csp_init_retry_budget (csp_retry_budget_t *budget,
                        const csp_retry_policy_t *policy)
 {
   csp_retry_budget_t fresh
@@ -36,7 +36,7 @@
 
   budget->first_attempts++;
   budget->retries
-      = fmin (budget->retries + policy->retry_share, policy->retry_most);
+      = fmin (budget->retries + policy->retry_share, policy->retry_max);
   budget->hedges
       = fmin (budget->hedges + policy->hedge_share, policy->hedge_max);
 }
@@ -65,14 +65,14 @@
   return true;
 }
 
-static csp_retry_t
-deny (csp_retry_budget_t *budget, csp_retry_t why)
+static csp_retry_decision_t
+deny (csp_retry_budget_t *budget, csp_retry_decision_t why)
 {
   budget->denied++;
   return why;
 }
 
-csp_retry_t
+csp_retry_decision_t
 csp_decide_retry (csp_retry_budget_t *budget, const csp_retry_facts_t *facts)
 {
   if (facts->tokens_sent)
@@ -80,16 +80,16 @@
   if (!facts->idempotent && facts->verdict != CSP_VERDICT_NOT_RUN)
     return deny (budget, CSP_RETRY_MAY_HAVE_RUN);
   if (facts->attempts >= budget->policy.attempts_max)
-    return deny (budget, CSP_RETRY_ATTEMPTS);
-  if (facts->left_ms <= facts->needs_ms)
+    return deny (budget, CSP_RETRY_ATTEMPTS_USED_UP);
+  if (facts->left_ms <= facts->usual_first_token_ms)
     return deny (budget, CSP_RETRY_DEADLINE);
   if (!spend_retry (budget, facts->now_ms))
-    return deny (budget, CSP_RETRY_BUDGET);
+    return deny (budget, CSP_RETRY_BUDGET_USED_UP);
   budget->retried++;
-  return CSP_RETRY_YES;
+  return CSP_RETRY_ALLOWED;
 }
 
-csp_retry_t
+csp_retry_decision_t
 csp_decide_hedge (csp_retry_budget_t *budget, const csp_retry_facts_t *facts)
 {
   if (facts->tokens_sent)
@@ -97,14 +97,14 @@
   if (!facts->idempotent)
     return CSP_RETRY_MAY_HAVE_RUN;
   if (facts->attempts >= 2)
-    return CSP_RETRY_ATTEMPTS;
-  if (facts->left_ms <= facts->needs_ms)
+    return CSP_RETRY_ATTEMPTS_USED_UP;
+  if (facts->left_ms <= facts->usual_first_token_ms)
     return CSP_RETRY_DEADLINE;
   if (facts->waiting != 0 || facts->load > hedge_load)
     return CSP_RETRY_BUSY;
   if (budget->hedges < 1)
-    return deny (budget, CSP_RETRY_BUDGET);
+    return deny (budget, CSP_RETRY_BUDGET_USED_UP);
   budget->hedges -= 1;
   budget->hedged++;
-  return CSP_RETRY_YES;
+  return CSP_RETRY_ALLOWED;
 }
--- a/source/roster/hello-codec.c
+++ b/source/roster/hello-codec.c
@@ -47,7 +47,7 @@
       row->requests = hello->loads[i].requests;
       row->tokens = hello->loads[i].tokens;
       row->backup_tokens = hello->loads[i].backup_tokens;
-      row->reading_tokens = hello->loads[i].reading_tokens;
+      row->reading_tokens = hello->loads[i].prefill_tokens;
       row->movable_tokens = hello->loads[i].movable_tokens;
       rows->load_rows[i] = row;
     }
@@ -60,7 +60,7 @@
 
   for (i = 0; i < hello->known_count; i++)
     {
-      const csp_known_host_t *host = &hello->known[i];
+      const csp_known_host_t *host = &hello->known_hosts[i];
       CspHello__Address *row = &rows->known[i];
 
       csp_hello__address__init (row);
@@ -71,8 +71,8 @@
       row->age_ms = host->age_ms;
       row->up_ms = host->up_ms;
       row->leaving = host->leaving;
-      row->blind = host->blind;
-      row->sighted = host->sighted;
+      row->blind = host->platform_unreachable;
+      row->sighted = host->platform_read;
       rows->known_rows[i] = row;
     }
 }
@@ -96,7 +96,7 @@
       row->urgency = hello->asks[i].urgency;
       row->moves_from = hello->asks[i].moves_from;
       row->refused_at = hello->asks[i].refused_at;
-      row->left_ms = hello->asks[i].left_ms;
+      row->left_ms = hello->asks[i].expected_remaining_ms;
       memcpy (rows->backoffs[i], hello->asks[i].backoffs,
               sizeof rows->backoffs[i]);
       row->n_backoffs = hello->asks[i].backoff_count;
@@ -123,7 +123,7 @@
       rows->answer_rows[i] = row;
     }
   memcpy (rows->cancels, hello->cancels, sizeof rows->cancels);
-  memcpy (rows->left, hello->left, sizeof rows->left);
+  memcpy (rows->left, hello->leaving_targets, sizeof rows->left);
 }
 
 static void
@@ -158,7 +158,7 @@
       row->n_targets = rows->suspect_copies[i].strike_count;
       row->targets = rows->suspect_copies[i].targets;
       row->age_ms = rows->suspect_copies[i].age_ms;
-      row->trials = rows->suspect_copies[i].trials;
+      row->trials = rows->suspect_copies[i].failed_trials;
       rows->suspect_rows[i] = row;
     }
 }
@@ -175,19 +175,20 @@
   fill_asks (hello, &rows);
   fill_answers (hello, &rows);
   fill_suspects (hello, &rows);
-  fill_leases (hello->wants, hello->want_count, rows.wants, rows.want_rows);
+  fill_leases (hello->lease_requests, hello->lease_request_count, rows.wants,
+               rows.want_rows);
   fill_leases (hello->leases, hello->lease_count, rows.leases,
                rows.lease_rows);
   message.boot = hello->boot;
   message.sequence = hello->sequence;
-  message.whole = hello->whole;
+  message.whole = hello->is_full_report;
   message.leaving = hello->leaving;
-  message.blind = hello->blind;
-  message.sighted = hello->sighted;
+  message.blind = hello->platform_unreachable;
+  message.sighted = hello->platform_read;
   message.data_centre = hello->data_centre;
   message.capacity = hello->capacity;
   message.up_ms = hello->up_ms;
-  message.wants_answer = hello->wants_answer;
+  message.wants_answer = hello->reply_requested;
   message.n_loads = hello->load_count;
   message.loads = rows.load_rows;
   message.n_known = hello->known_count;
@@ -199,7 +200,7 @@
   message.n_cancels = hello->cancel_count;
   message.cancels = rows.cancels;
   message.decider = hello->decider;
-  message.n_wants = hello->want_count;
+  message.n_wants = hello->lease_request_count;
   message.wants = rows.want_rows;
   message.n_leases = hello->lease_count;
   message.leases = rows.lease_rows;
@@ -238,7 +239,7 @@
       || message->n_left > CSP_HELLO_LEFT_MAX)
     return false;
   for (i = 0; i < message->n_left; i++)
-    hello->left[i] = message->left[i];
+    hello->leaving_targets[i] = message->left[i];
   hello->left_count = message->n_left;
   for (i = 0; i < message->n_asks; i++)
     {
@@ -251,7 +252,7 @@
       hello->asks[i].urgency = (uint8_t)message->asks[i]->urgency;
       hello->asks[i].moves_from = message->asks[i]->moves_from;
       hello->asks[i].refused_at = message->asks[i]->refused_at;
-      hello->asks[i].left_ms = message->asks[i]->left_ms;
+      hello->asks[i].expected_remaining_ms = message->asks[i]->left_ms;
       if (message->asks[i]->n_backoffs > CSP_ASK_BACKOFFS_MAX)
         return false;
       hello->asks[i].backoff_count = copy_hashes (message->asks[i]->backoffs,
@@ -311,7 +312,7 @@
       suspect->strike_count
           = copy_hashes (row->targets, row->n_targets, suspect->targets);
       suspect->age_ms = row->age_ms;
-      suspect->trials = row->trials;
+      suspect->failed_trials = row->trials;
     }
   for (i = 0; i < message->n_cleared; i++)
     hello->cleared[i] = message->cleared[i];
@@ -338,7 +339,7 @@
       hello->loads[i].requests = message->loads[i]->requests;
       hello->loads[i].tokens = message->loads[i]->tokens;
       hello->loads[i].backup_tokens = message->loads[i]->backup_tokens;
-      hello->loads[i].reading_tokens = message->loads[i]->reading_tokens;
+      hello->loads[i].prefill_tokens = message->loads[i]->reading_tokens;
       hello->loads[i].movable_tokens = message->loads[i]->movable_tokens;
     }
   for (i = 0; valid && i < message->n_known; i++)
@@ -346,15 +347,15 @@
       const CspHello__Address *row = message->known[i];
 
       valid = row->port <= PORT_MAX;
-      hello->known[i]
+      hello->known_hosts[i]
           = (csp_known_host_t){ .address = { row->ip, (uint16_t)row->port },
                                 .data_centre = row->data_centre,
                                 .capacity = row->capacity,
                                 .age_ms = row->age_ms,
                                 .up_ms = row->up_ms,
                                 .leaving = row->leaving,
-                                .blind = row->blind,
-                                .sighted = row->sighted };
+                                .platform_unreachable = row->blind,
+                                .platform_read = row->sighted };
     }
   valid = valid && decode_asks (message, hello)
           && decode_suspects (message, hello);
@@ -362,17 +363,17 @@
     {
       hello->boot = message->boot;
       hello->sequence = message->sequence;
-      hello->whole = message->whole;
+      hello->is_full_report = message->whole;
       hello->leaving = message->leaving;
-      hello->blind = message->blind;
-      hello->sighted = message->sighted;
+      hello->platform_unreachable = message->blind;
+      hello->platform_read = message->sighted;
       hello->data_centre = message->data_centre;
       hello->capacity = message->capacity;
       hello->up_ms = message->up_ms;
-      hello->wants_answer = message->wants_answer;
+      hello->reply_requested = message->wants_answer;
       hello->decider = message->decider;
-      hello->want_count
-          = decode_leases (message->wants, message->n_wants, hello->wants);
+      hello->lease_request_count = decode_leases (
+          message->wants, message->n_wants, hello->lease_requests);
       hello->lease_count
           = decode_leases (message->leases, message->n_leases, hello->leases);
       hello->load_count = message->n_loads;
--- a/source/roster/peer-address.c
+++ b/source/roster/peer-address.c
@@ -15,7 +15,7 @@
 }
 
 csp_peer_address_t
-csp_peer_of_socket (const struct sockaddr_in *address)
+csp_peer_from_sockaddr (const struct sockaddr_in *address)
 {
   csp_peer_address_t peer = { .ip = ntohl (address->sin_addr.s_addr),
                               .port = ntohs (address->sin_port) };
@@ -24,7 +24,7 @@
 }
 
 struct sockaddr_in
-csp_socket_of_peer (csp_peer_address_t peer)
+csp_sockaddr_from_peer (csp_peer_address_t peer)
 {
   struct sockaddr_in address = { .sin_family = AF_INET };
 
@@ -36,7 +36,7 @@
 /* Neighbouring addresses are often in one rack; a multiplicative hash spreads
    the order over the racks.  */
 uint64_t
-csp_order_peer (csp_peer_address_t peer, uint64_t salt)
+csp_hash_peer_rank (csp_peer_address_t peer, uint64_t salt)
 {
   return (csp_pack_peer (peer) ^ salt) * 0x9e3779b97f4a7c15U;
 }
@@ -48,9 +48,9 @@
 }
 
 void
-csp_print_peer (csp_peer_address_t peer, char text[CSP_PEER_TEXT_BYTES])
+csp_format_peer (csp_peer_address_t peer, char text[CSP_PEER_TEXT_BYTES])
 {
-  struct sockaddr_in address = csp_socket_of_peer (peer);
+  struct sockaddr_in address = csp_sockaddr_from_peer (peer);
   char ip[INET_ADDRSTRLEN] = "";
 
   inet_ntop (AF_INET, &address.sin_addr, ip, sizeof ip);
--- a/source/roster/roster-greet.c
+++ b/source/roster/roster-greet.c
@@ -69,7 +69,7 @@
 }
 
 size_t
-csp_count_heard_data_centres (const csp_roster_t *roster)
+csp_count_reachable_data_centres (const csp_roster_t *roster)
 {
   uint32_t data_centres[DATA_CENTRES_MAX];
 
@@ -77,7 +77,7 @@
 }
 
 uint32_t
-csp_greeting_period_ms (const csp_roster_t *roster)
+csp_remote_hello_period_ms (const csp_roster_t *roster)
 {
   uint32_t data_centres[DATA_CENTRES_MAX];
   uint32_t period_ms
@@ -151,7 +151,8 @@
     return count;
   roster->next_remote_hello_ms
       = now_ms
-        + hello_interval_ms (roster, now_ms, csp_greeting_period_ms (roster));
+        + hello_interval_ms (roster, now_ms,
+                             csp_remote_hello_period_ms (roster));
   for (i = 0; i < data_centre_count; i++)
     count = add_hello_target (choose_peer_of (roster, data_centres[i]), now_ms,
                               addresses, count, max_count);
@@ -173,8 +174,8 @@
 }
 
 size_t
-csp_list_due_peers (csp_roster_t *roster, int64_t now_ms,
-                    csp_peer_address_t *addresses, size_t max_count)
+csp_choose_hello_targets (csp_roster_t *roster, int64_t now_ms,
+                          csp_peer_address_t *addresses, size_t max_count)
 {
   size_t count = 0;
   size_t i;
@@ -195,8 +196,8 @@
 }
 
 size_t
-csp_draw_peers (csp_roster_t *roster, csp_peer_address_t *addresses,
-                size_t max_count)
+csp_sample_live_peers (csp_roster_t *roster, csp_peer_address_t *addresses,
+                       size_t max_count)
 {
   size_t first = csp_random_below (&roster->random, (uint32_t)roster->count);
   size_t chosen = 0;
@@ -243,8 +244,8 @@
     .age_ms = (uint32_t)(list->now_ms - peer->last_report_ms),
     .up_ms = csp_clamp_up_ms (peer->last_report_ms - peer->started_ms),
     .leaving = peer->leaving,
-    .blind = peer->platform_unreachable,
-    .sighted = peer->platform_read
+    .platform_unreachable = peer->platform_unreachable,
+    .platform_read = peer->platform_read
   };
 }
 
@@ -268,9 +269,9 @@
 }
 
 size_t
-csp_name_known_hosts (csp_roster_t *roster, csp_peer_address_t to,
-                      csp_known_host_t *hosts, size_t max_count,
-                      int64_t now_ms)
+csp_choose_known_hosts (csp_roster_t *roster, csp_peer_address_t to,
+                        csp_known_host_t *hosts, size_t max_count,
+                        int64_t now_ms)
 {
   size_t first = csp_random_below (&roster->random, (uint32_t)roster->count);
   known_hosts_t list = { .roster = roster,
--- a/source/roster/roster-rank.c
+++ b/source/roster/roster-rank.c
@@ -102,9 +102,9 @@
 static uint64_t
 order_of (const csp_rank_candidate_t *candidate, csp_duty_t duty)
 {
-  return csp_order_peer (candidate->address, duty == CSP_DUTY_DECIDE
-                                                 ? DECIDING_SALT
-                                                 : READING_SALT);
+  return csp_hash_peer_rank (candidate->address, duty == CSP_DUTY_DECIDE
+                                                     ? DECIDING_SALT
+                                                     : READING_SALT);
 }
 
 static bool
@@ -255,10 +255,10 @@
     {
       if (!csp_get_rank_candidate (roster, i, &candidate))
         continue;
-      ranks->blind_hosts += candidate.platform_unreachable;
+      ranks->refused_hosts += candidate.platform_unreachable;
       any_host_reads = any_host_reads || candidate.platform_read;
     }
-  ranks->outage = !any_host_reads && ranks->blind_hosts >= CSP_OUTAGE_HOSTS;
+  ranks->outage = !any_host_reads && ranks->refused_hosts >= CSP_OUTAGE_HOSTS;
 }
 
 /* While the store is down for all, the hosts that tried to read it are
@@ -283,13 +283,13 @@
   detect_outage (roster, ranks);
   if (ranks->outage)
     duty = CSP_DUTY_RELAY;
-  ranks->near_count = csp_rank_hosts (roster, CSP_DUTY_RELAY, true, ranked,
-                                      CSP_READERS_NEAR_MAX);
-  for (i = 0; i < ranks->near_count; i++)
-    ranks->near[i] = ranked[i].address;
-  ranks->fleet_count
-      = csp_rank_hosts (roster, duty, false, ranked, CSP_READERS_FLEET_MAX);
-  for (i = 0; i < ranks->fleet_count; i++)
-    ranks->fleet[i] = ranked[i].address;
+  ranks->local_reader_count = csp_rank_hosts (roster, CSP_DUTY_RELAY, true,
+                                              ranked, CSP_LOCAL_READERS_MAX);
+  for (i = 0; i < ranks->local_reader_count; i++)
+    ranks->local_readers[i] = ranked[i].address;
+  ranks->fleet_reader_count
+      = csp_rank_hosts (roster, duty, false, ranked, CSP_FLEET_READERS_MAX);
+  for (i = 0; i < ranks->fleet_reader_count; i++)
+    ranks->fleet_readers[i] = ranked[i].address;
   ranks->hosts = 1 + csp_count_live_peers (roster);
 }
--- a/source/roster/roster.c
+++ b/source/roster/roster.c
@@ -48,8 +48,8 @@
 }
 
 void
-csp_set_roster_self (csp_roster_t *roster, uint32_t capacity,
-                     int64_t started_ms)
+csp_set_roster_local_info (csp_roster_t *roster, uint32_t capacity,
+                           int64_t started_ms)
 {
   roster->capacity = capacity;
   roster->started_ms = started_ms;
@@ -63,13 +63,13 @@
 }
 
 void
-csp_set_roster_blind (csp_roster_t *roster, bool unreachable)
+csp_set_roster_platform_unreachable (csp_roster_t *roster, bool unreachable)
 {
   roster->platform_unreachable = unreachable;
 }
 
 void
-csp_set_roster_sighted (csp_roster_t *roster, bool reads)
+csp_set_roster_platform_read (csp_roster_t *roster, bool reads)
 {
   roster->platform_read = reads;
 }
@@ -79,17 +79,18 @@
 {
   if (up_ms < 0)
     return 0;
-  return up_ms < CSP_UP_TOLD_MAX_MS ? (uint32_t)up_ms : CSP_UP_TOLD_MAX_MS;
+  return up_ms < CSP_UP_REPORTED_MAX_MS ? (uint32_t)up_ms
+                                        : CSP_UP_REPORTED_MAX_MS;
 }
 
 void
-csp_describe_self (const csp_roster_t *roster, csp_hello_t *hello,
-                   int64_t now_ms)
+csp_fill_own_hello (const csp_roster_t *roster, csp_hello_t *hello,
+                    int64_t now_ms)
 {
   hello->boot = roster->boot;
   hello->leaving = roster->leaving;
-  hello->blind = roster->platform_unreachable;
-  hello->sighted = roster->platform_read;
+  hello->platform_unreachable = roster->platform_unreachable;
+  hello->platform_read = roster->platform_read;
   hello->data_centre = roster->data_centre;
   hello->capacity = roster->capacity;
   hello->up_ms = csp_clamp_up_ms (now_ms - roster->started_ms);
@@ -133,7 +134,7 @@
 }
 
 void
-csp_learn_peer (csp_roster_t *roster, csp_peer_address_t address)
+csp_add_peer_address (csp_roster_t *roster, csp_peer_address_t address)
 {
   if (!csp_is_same_peer (address, roster->self)
       && csp_find_roster_peer (roster, address) == NULL)
@@ -221,8 +222,8 @@
   peer->capacity = host->capacity;
   peer->started_ms = last_report_ms - (int64_t)host->up_ms;
   peer->leaving = host->leaving;
-  peer->platform_unreachable = host->blind;
-  peer->platform_read = host->sighted;
+  peer->platform_unreachable = host->platform_unreachable;
+  peer->platform_read = host->platform_read;
   update_liveness (roster, peer, now_ms);
 }
 
@@ -233,8 +234,8 @@
   peer->boot = hello->boot;
   peer->sequence = hello->sequence;
   peer->leaving = hello->leaving;
-  peer->platform_unreachable = hello->blind;
-  peer->platform_read = hello->sighted;
+  peer->platform_unreachable = hello->platform_unreachable;
+  peer->platform_read = hello->platform_read;
   peer->data_centre = hello->data_centre;
   peer->capacity = hello->capacity;
   peer->started_ms = now_ms - (int64_t)hello->up_ms;
@@ -245,8 +246,8 @@
 }
 
 bool
-csp_hear_peer (csp_roster_t *roster, csp_peer_address_t from,
-               const csp_hello_t *hello, int64_t now_ms)
+csp_receive_hello (csp_roster_t *roster, csp_peer_address_t from,
+                   const csp_hello_t *hello, int64_t now_ms)
 {
   csp_roster_peer_t *peer;
   size_t i;
@@ -262,9 +263,9 @@
   if (is_stale_boot (peer, hello->boot, now_ms)
       || (hello->boot == peer->boot && hello->sequence <= peer->sequence))
     return false;
-  if (hello->boot != peer->boot || hello->whole)
+  if (hello->boot != peer->boot || hello->is_full_report)
     peer->load_count = 0;
-  if (hello->whole || hello->load_count > 0)
+  if (hello->is_full_report || hello->load_count > 0)
     peer->loads_reported_ms = now_ms;
   if (hello->decider != 0)
     peer->uses_this_decider = hello->decider == csp_pack_peer (roster->self);
@@ -272,7 +273,7 @@
   for (i = 0; i < hello->load_count; i++)
     set_load (peer, &hello->loads[i]);
   for (i = 0; i < hello->known_count; i++)
-    apply_gossip (roster, &hello->known[i], now_ms);
+    apply_gossip (roster, &hello->known_hosts[i], now_ms);
   return true;
 }
 
@@ -322,7 +323,7 @@
 /* Hosts that are silent may have chosen another decider meanwhile and aren't
    counted.  */
 size_t
-csp_count_askers (const csp_roster_t *roster)
+csp_count_asking_hosts (const csp_roster_t *roster)
 {
   size_t askers = 1;
   size_t i;
@@ -359,8 +360,8 @@
 }
 
 void
-csp_each_peer_load (const csp_roster_t *roster, csp_load_visitor_t take,
-                    void *state)
+csp_visit_peer_loads (const csp_roster_t *roster, csp_load_visitor_t take,
+                      void *state)
 {
   size_t i;
   size_t j;
@@ -371,8 +372,8 @@
 }
 
 void
-csp_each_load_of_peer (csp_roster_t *roster, csp_peer_address_t address,
-                       csp_load_visitor_t take, void *state)
+csp_visit_loads_of_peer (csp_roster_t *roster, csp_peer_address_t address,
+                         csp_load_visitor_t take, void *state)
 {
   const csp_roster_peer_t *peer = csp_find_roster_peer (roster, address);
   size_t i;
--- a/source/route/route.c
+++ b/source/route/route.c
@@ -206,7 +206,7 @@
 }
 
 csp_routes_t *
-csp_hold_routes (csp_routes_t *routes)
+csp_retain_routes (csp_routes_t *routes)
 {
   routes->references++;
   return routes;
@@ -244,7 +244,7 @@
 }
 
 bool
-csp_routes_have_keys (const csp_routes_t *routes)
+csp_routes_require_keys (const csp_routes_t *routes)
 {
   return routes->organisations.count > 0;
 }
@@ -273,7 +273,7 @@
 }
 
 const csp_route_organisation_t *
-csp_find_key (const csp_routes_t *routes, const char *key)
+csp_find_key_owner (const csp_routes_t *routes, const char *key)
 {
   const route_key_t *keys = routes->keys.items;
   const csp_route_organisation_t *organisations = routes->organisations.items;
@@ -295,7 +295,7 @@
 }
 
 const csp_route_service_t *
-csp_get_route_service (const csp_routes_t *routes, const char *name)
+csp_find_route_service (const csp_routes_t *routes, const char *name)
 {
   const csp_route_service_t *services = routes->services.items;
   size_t i;
@@ -307,7 +307,7 @@
 }
 
 const csp_route_service_t *
-csp_list_route_service (const csp_routes_t *routes, size_t index)
+csp_get_route_service_at (const csp_routes_t *routes, size_t index)
 {
   const csp_route_service_t *services = routes->services.items;
 
@@ -315,7 +315,7 @@
 }
 
 const char *
-csp_draw_service (const csp_route_t *route, csp_random_t *random)
+csp_pick_weighted_service (const csp_route_t *route, csp_random_t *random)
 {
   uint32_t total = 0;
   uint32_t offset;
--- a/source/settings/settings-options.c
+++ b/source/settings/settings-options.c
@@ -75,7 +75,7 @@
 set_from_option (const csp_setting_t *setting, const char *text,
                  csp_settings_t *settings, csp_faults_t *faults)
 {
-  csp_place_t place = { .where = command_line, .faults = faults };
+  csp_json_position_t place = { .where = command_line, .faults = faults };
 
   snprintf (place.path, sizeof place.path, "--%s", setting->option);
   csp_set_field_text (setting->field, text,
@@ -154,7 +154,7 @@
   const char *file;
 
   *command = CSP_COMMAND_RUN;
-  csp_default_settings (settings);
+  csp_set_default_settings (settings);
   fill_options (rows, count, options);
   file = find_settings_file (argc, argv, options);
   read_options (argc, argv, options, rows, command, settings, faults);
@@ -162,7 +162,7 @@
     return csp_count_faults (faults) == fault_count_before;
   if (file != NULL)
     {
-      csp_default_settings (settings);
+      csp_set_default_settings (settings);
       csp_load_settings_file (file, settings, faults);
       read_options (argc, argv, options, rows, command, settings, NULL);
     }
@@ -201,7 +201,7 @@
       csp_describe_field (rows[i].field, allowed);
       snprintf (option, sizeof option, "%s VALUE", rows[i].option);
       print_option (stream, option, rows[i].field->help, allowed,
-                    rows[i].field->standard);
+                    rows[i].field->default_setting);
     }
 }
 
--- a/source/settings/settings.c
+++ b/source/settings/settings.c
@@ -14,7 +14,7 @@
 };
 
 void
-csp_default_settings (csp_settings_t *settings)
+csp_set_default_settings (csp_settings_t *settings)
 {
   memset (settings, 0, sizeof *settings);
   csp_set_default_fields (csp_settings_table, settings);
@@ -24,7 +24,7 @@
    checks the required keys after the command line is read, and keys that are
    missing in the file keep their present values.  */
 static void
-read_optional_rows (csp_place_t *place, struct json_object *root,
+read_optional_rows (csp_json_position_t *place, struct json_object *root,
                     csp_settings_t *settings)
 {
   csp_field_t rows[CSP_SETTINGS_MAX];
@@ -34,7 +34,7 @@
     {
       rows[i] = csp_settings_table[i];
       rows[i].required = false;
-      rows[i].standard = NULL;
+      rows[i].default_setting = NULL;
     }
   rows[i] = csp_settings_table[i];
   csp_read_fields (place, rows, root, settings);
@@ -44,11 +44,11 @@
 csp_parse_settings (const char *where, const char *text, size_t size_bytes,
                     csp_settings_t *settings, csp_faults_t *faults)
 {
-  csp_place_t place = { .where = where, .faults = faults };
+  csp_json_position_t place = { .where = where, .faults = faults };
   size_t fault_count_before = csp_count_faults (faults);
   struct json_object *root;
 
-  root = csp_read_json_tree (where, text, size_bytes, faults);
+  root = csp_read_json_with_duplicates (where, text, size_bytes, faults);
   if (root == NULL)
     return false;
   read_optional_rows (&place, root, settings);
@@ -79,7 +79,7 @@
   bool parsed;
   bool checked;
 
-  csp_default_settings (settings);
+  csp_set_default_settings (settings);
   parsed = csp_load_settings_file (path, settings, faults);
   checked = csp_check_settings (path, settings, faults);
   return parsed && checked;
--- a/source/shift/shift.c
+++ b/source/shift/shift.c
@@ -15,8 +15,8 @@
 }
 
 void
-csp_start_shift (csp_shift_t *shift, const csp_shift_policy_t *policy,
-                 int64_t now_ms)
+csp_begin_slow_start (csp_slow_start_t *shift,
+                      const csp_shift_policy_t *policy, int64_t now_ms)
 {
   shift->open = policy->start;
   shift->advanced_ms = now_ms;
@@ -24,22 +24,23 @@
 }
 
 void
-csp_open_shift (csp_shift_t *shift)
+csp_skip_slow_start (csp_slow_start_t *shift)
 {
   shift->open = 1;
   shift->opening = false;
 }
 
 void
-csp_stop_slow_start (csp_shift_t *shift)
+csp_stop_slow_start (csp_slow_start_t *shift)
 {
   shift->open = 0;
   shift->opening = false;
 }
 
 double
-csp_move_shift (csp_shift_t *shift, const csp_shift_policy_t *policy,
-                bool healthy, int64_t now_ms)
+csp_advance_slow_start (csp_slow_start_t *shift,
+                        const csp_shift_policy_t *policy, bool healthy,
+                        int64_t now_ms)
 {
   double passed_ms = (double)(now_ms - shift->advanced_ms);
 
@@ -49,7 +50,7 @@
   if (healthy && passed_ms > 0)
     shift->open *= exp2 (passed_ms / fmax (policy->doubling_ms, 1));
   if (shift->open >= 1)
-    csp_open_shift (shift);
+    csp_skip_slow_start (shift);
   return shift->open;
 }
 
--- a/source/stream/recovery.c
+++ b/source/stream/recovery.c
@@ -57,17 +57,17 @@
 }
 
 bool
-csp_link_failed (csp_link_end_t end)
+csp_is_target_failure (csp_link_end_t end)
 {
   return end == CSP_LINK_NO_CONNECT || end == CSP_LINK_FAILED
          || end == CSP_LINK_CUT || end == CSP_LINK_STALLED;
 }
 
 void
-csp_note_link_end (csp_attempt_t *attempt, csp_link_end_t end, bool byte_left,
-                   uint64_t delivered)
+csp_record_link_end (csp_attempt_t *attempt, csp_link_end_t end,
+                     bool may_have_been_sent, uint64_t delivered)
 {
-  if (byte_left && !end_table[end].certainly_not_started)
+  if (may_have_been_sent && !end_table[end].certainly_not_started)
     attempt->may_have_started = true;
   attempt->delivered += delivered;
   attempt->idle_resumes = delivered > 0 ? 0 : attempt->idle_resumes + 1;
@@ -134,7 +134,7 @@
      resume; with a resume, a stalled or dead engine would delay the caller for
      the whole resume window.  */
   if (may_retry_elsewhere (attempt, row))
-    recovery.kind = CSP_RECOVER_ELSEWHERE;
+    recovery.kind = CSP_RECOVER_RETRY_ELSEWHERE;
   else if (may_resume (policy, attempt, row))
     {
       recovery.kind = CSP_RECOVER_RESUME;
--- a/source/target/engine.c
+++ b/source/target/engine.c
@@ -25,7 +25,7 @@
 {
   const csp_link_t *link;
   csp_generation_t *generation;
-  csp_link_report_t *report;
+  csp_engine_link_report_t *report;
   CURL *call;
   csp_sse_reader_t *reader;
   csp_link_end_t end; /* CSP_LINK_END_COUNT while open */
@@ -48,9 +48,9 @@
 {
   const csp_link_t *link = transfer->link;
 
-  switch (csp_take_token (transfer->generation, token))
+  switch (csp_accept_token (transfer->generation, token))
     {
-    case CSP_TAKE_DELIVER:
+    case CSP_TOKEN_DELIVER:
       transfer->report->delivered++;
       if (link->deliver (link->state, token, json) != 0)
         return stop_transfer (transfer, CSP_LINK_CALLER_GONE);
@@ -58,12 +58,12 @@
          stalled engine.  */
       transfer->last_token_ms = csp_now_ms (link->clock);
       return 0;
-    case CSP_TAKE_DUPLICATE:
+    case CSP_TOKEN_DUPLICATE:
       return 0;
-    case CSP_TAKE_FOREIGN:
+    case CSP_TOKEN_FOREIGN:
       return stop_transfer (transfer, CSP_LINK_FOREIGN);
-    case CSP_TAKE_GAP:
-    case CSP_TAKE_AFTER_END:
+    case CSP_TOKEN_GAP:
+    case CSP_TOKEN_AFTER_END:
       break;
     }
   return stop_transfer (transfer, CSP_LINK_BROKEN);
@@ -79,7 +79,7 @@
 
   (void)size_bytes;
   if (strcmp (payload, "[DONE]") == 0)
-    return stop_transfer (transfer, csp_take_end (transfer->generation)
+    return stop_transfer (transfer, csp_accept_end_mark (transfer->generation)
                                         ? CSP_LINK_COMPLETE
                                         : CSP_LINK_CUT);
   chunk = csp_parse_chunk (payload, &token);
@@ -212,15 +212,15 @@
 static csp_link_end_t
 classify_end (transfer_t *transfer)
 {
-  csp_link_report_t *report = transfer->report;
+  csp_engine_link_report_t *report = transfer->report;
   long status = 0;
 
   curl_easy_getinfo (transfer->call, CURLINFO_RESPONSE_CODE, &status);
   report->status = (uint16_t)status;
-  report->byte_left = !csp_is_nothing_sent (transfer->call);
+  report->may_have_been_sent = !csp_is_nothing_sent (transfer->call);
   if (transfer->end != CSP_LINK_END_COUNT)
     return transfer->end;
-  if (!report->byte_left)
+  if (!report->may_have_been_sent)
     return CSP_LINK_NO_CONNECT;
   if (status != 0 && status != HTTP_OK)
     return classify_status (transfer);
@@ -266,8 +266,8 @@
 }
 
 csp_link_end_t
-csp_run_link (const csp_link_t *link, csp_generation_t *generation,
-              csp_link_report_t *report)
+csp_run_engine_link (const csp_link_t *link, csp_generation_t *generation,
+                     csp_engine_link_report_t *report)
 {
   transfer_t transfer = { .link = link,
                           .generation = generation,
--- a/source/target/service-call.c
+++ b/source/target/service-call.c
@@ -118,7 +118,7 @@
   const char *type = NULL;
   long status = 0;
 
-  answer->byte_left = !csp_is_nothing_sent (call);
+  answer->may_have_been_sent = !csp_is_nothing_sent (call);
   curl_easy_getinfo (call, CURLINFO_RESPONSE_CODE, &status);
   curl_easy_getinfo (call, CURLINFO_CONTENT_TYPE, &type);
   answer->status = (uint16_t)status;
@@ -126,7 +126,7 @@
                  type == NULL ? "application/octet-stream" : type);
   if (end != CSP_LINK_COMPLETE)
     return end;
-  if (!answer->byte_left)
+  if (!answer->may_have_been_sent)
     return CSP_LINK_NO_CONNECT;
   if (code != CURLE_OK)
     return CSP_LINK_CUT;
--- a/source/warmup/warmup.c
+++ b/source/warmup/warmup.c
@@ -9,34 +9,35 @@
 };
 
 void
-csp_open_warmup (csp_warmup_t *warmup, int64_t now_ms)
+csp_init_warmup (csp_warmup_t *warmup, int64_t now_ms)
 {
   const csp_lease_policy_t policy
       = { .window_ms = WINDOW_MS, .lease_ms = GRANT_MS };
 
   warmup->bound_per_s = 0;
-  csp_open_lease_pool (&warmup->grants, &policy, now_ms);
+  csp_init_lease_pool (&warmup->grants, &policy, now_ms);
 }
 
 void
 csp_set_warmup_bound (csp_warmup_t *warmup, uint32_t bound_per_s)
 {
   warmup->bound_per_s = bound_per_s;
-  warmup->grants.policy.extra = bound_per_s;
+  warmup->grants.policy.max_per_window = bound_per_s;
 }
 
 /* Passes this host's role to the pool.  The first call resets the role, so
    that the pool also takes over a new decides_since_ms after another host was
    the decider unnoticed.  */
 static void
-note_role (csp_warmup_t *warmup, const csp_warmup_duty_t *role)
+note_role (csp_warmup_t *warmup, const csp_decider_role_t *role)
 {
-  csp_note_lease_duty (&warmup->grants, false, role->decides_since_ms);
-  csp_note_lease_duty (&warmup->grants, role->decides, role->decides_since_ms);
+  csp_set_lease_decider (&warmup->grants, false, role->decides_since_ms);
+  csp_set_lease_decider (&warmup->grants, role->decides,
+                         role->decides_since_ms);
 }
 
 bool
-csp_has_warmup_place (csp_warmup_t *warmup, const csp_warmup_duty_t *role,
+csp_has_warmup_grant (csp_warmup_t *warmup, const csp_decider_role_t *role,
                       int64_t now_ms)
 {
   note_role (warmup, role);
@@ -44,7 +45,7 @@
 }
 
 bool
-csp_take_warmup_place (csp_warmup_t *warmup, const csp_warmup_duty_t *role,
+csp_take_warmup_grant (csp_warmup_t *warmup, const csp_decider_role_t *role,
                        int64_t now_ms)
 {
   note_role (warmup, role);
--- a/source/watch/watch.c
+++ b/source/watch/watch.c
@@ -43,8 +43,8 @@
                   ? watch->failures - 1
                   : BACKOFF_DOUBLINGS_MAX;
   max_ms = (uint32_t)INITIAL_BACKOFF_MS << doublings;
-  if (max_ms > watch->policy.pause_last_ms)
-    max_ms = watch->policy.pause_last_ms;
+  if (max_ms > watch->policy.max_backoff_ms)
+    max_ms = watch->policy.max_backoff_ms;
   return max_ms / 2 + csp_random_below (&watch->random, max_ms / 2 + 1);
 }
 
@@ -66,7 +66,7 @@
     call.wait_ms = CONFIRM_WAIT_MS;
   else if (watch->failures == 0)
     call.delay_ms = watch->policy.gap_ms;
-  call.timeout_ms = watch->policy.wait_ms + watch->policy.slack_ms;
+  call.timeout_ms = watch->policy.wait_ms + watch->policy.answer_grace_ms;
   return call;
 }
 
--- a/tests/adapter/adapter-test.c
+++ b/tests/adapter/adapter-test.c
@@ -47,15 +47,15 @@
   ck_assert_uint_eq (route->urgency, 2);
   ck_assert_uint_eq (route->longest_gap_ms, 180);
   ck_assert_str_eq (route->shares[0].service, "e");
-  ck_assert_int_eq (csp_find_key (routes, "k2")->urgency, 1);
-  service = csp_get_route_service (routes, "e");
-  ck_assert (service->is_engine && service->takes_backups
-             && service->moves_runs);
+  ck_assert_int_eq (csp_find_key_owner (routes, "k2")->urgency, 1);
+  service = csp_find_route_service (routes, "e");
+  ck_assert (service->is_engine && service->supports_kv_backups
+             && service->supports_kv_moves);
   ck_assert_uint_eq (service->memory_tokens, 34288);
   ck_assert_double_eq_tol (service->copy_ms_per_token, 0.0552, 0.0001);
   ck_assert_uint_eq (service->cold_ms, 1500);
   ck_assert_double_eq (service->cold_rate_per_s, 35);
-  service = csp_get_route_service (routes, "p");
+  service = csp_find_route_service (routes, "p");
   ck_assert (!service->is_engine && service->cold_rate_per_s <= 0);
   csp_release_routes (routes);
 }
@@ -197,9 +197,10 @@
   ck_assert_uint_eq (move.events, 32);
   ck_assert (!dialect->read_move ("", 0, &move));
   ck_assert (!dialect->read_move ("{\"error\":\"full\"}", 16, &move));
-  dialect->write_copy ("10.0.0.1:80", "h-1", copy_source, sizeof copy_source);
+  dialect->format_copy_source ("10.0.0.1:80", "h-1", copy_source,
+                               sizeof copy_source);
   ck_assert_str_eq (copy_source, "10.0.0.1:80/h-1");
-  for (i = 0; i < CSP_NAME_COUNT; i++)
+  for (i = 0; i < CSP_HEADER_COUNT; i++)
     ck_assert_ptr_nonnull (dialect->names[i]);
   csp_clear_buffer (&request);
 }
--- a/tests/adapter/fuzz-test.c
+++ b/tests/adapter/fuzz-test.c
@@ -123,7 +123,7 @@
       accepted++;
       ck_assert_str_eq (row.id, "i-1");
       ck_assert_ptr_nonnull (memchr (row.service, 0, sizeof row.service));
-      ck_assert_int_ge (row.born_ms, 0);
+      ck_assert_int_ge (row.start_unix_ms, 0);
       ck_assert_uint_ne (row.address.sin_port, 0);
     }
   ck_assert_uint_gt (accepted, 0);
@@ -176,7 +176,7 @@
 {
   *hello = (csp_hello_t){ .boot = 7,
                           .sequence = 9,
-                          .whole = true,
+                          .is_full_report = true,
                           .data_centre = 3,
                           .load_count = 2,
                           .known_count = 1,
@@ -213,7 +213,7 @@
       ck_assert_uint_le (hello.answer_count, CSP_HELLO_ASKS_MAX);
       ck_assert_uint_le (hello.cancel_count, CSP_HELLO_ASKS_MAX);
       ck_assert_uint_le (hello.left_count, CSP_HELLO_LEFT_MAX);
-      ck_assert_uint_le (hello.want_count, CSP_HELLO_LEASES_MAX);
+      ck_assert_uint_le (hello.lease_request_count, CSP_HELLO_LEASES_MAX);
       ck_assert_uint_le (hello.lease_count, CSP_HELLO_LEASES_MAX);
     }
   csp_clear_buffer (&bytes);
--- a/tests/adapter/store-test.c
+++ b/tests/adapter/store-test.c
@@ -84,7 +84,7 @@
 expect_request (int connection, const char *target)
 {
   char expected[200];
-  const char *text = target_read (connection, 0);
+  const char *text = read_target_request (connection, 0);
 
   snprintf (expected, sizeof expected, "GET %s", target);
   ck_assert_msg (strncmp (text, expected, strlen (expected)) == 0,
@@ -130,7 +130,7 @@
 static void
 wait_for_page (const char *path, const char *expected)
 {
-  while (strstr (fixture_page (&fixture, path), expected) == NULL)
+  while (strstr (fixture_get_page (&fixture, path), expected) == NULL)
     continue;
 }
 
@@ -149,7 +149,7 @@
 answer_listing (void)
 {
   char body[8192];
-  int connection = target_accept (store_socket);
+  int connection = accept_target_connection (store_socket);
 
   expect_request (connection, "/kv-range?path_prefix=&stale_ok=1 HTTP/1.1\r\n"
                               "Host: store:1\r\n");
@@ -178,10 +178,12 @@
 {
   int connection;
 
-  ck_assert_ptr_nonnull (strstr (fixture_page (&fixture, "/readyz"), " 503 "));
+  ck_assert_ptr_nonnull (
+      strstr (fixture_get_page (&fixture, "/readyz"), " 503 "));
   connection = answer_listing ();
   wait_for_page ("/metrics", "gateway_targets 1\n");
-  ck_assert_ptr_nonnull (strstr (fixture_page (&fixture, "/readyz"), " 503 "));
+  ck_assert_ptr_nonnull (
+      strstr (fixture_get_page (&fixture, "/readyz"), " 503 "));
   confirm_listing (connection);
   wait_for_page ("/readyz", " 200 ");
   wait_for_page ("/metrics", "gateway_routes_version 7\n");
@@ -194,7 +196,7 @@
 START_TEST (listing_of_two_pages_is_read)
 {
   char body[8192];
-  int connection = target_accept (store_socket);
+  int connection = accept_target_connection (store_socket);
 
   expect_request (connection, "/kv-range?path_prefix=&stale_ok=1 ");
   snprintf (body, sizeof body,
@@ -203,7 +205,8 @@
   send_response (connection, 200, body);
   expect_request (connection,
                   "/kv-range?path_prefix=&after=op/config&stale_ok=1 ");
-  ck_assert_ptr_nonnull (strstr (fixture_page (&fixture, "/readyz"), " 503 "));
+  ck_assert_ptr_nonnull (
+      strstr (fixture_get_page (&fixture, "/readyz"), " 503 "));
   snprintf (body, sizeof body,
             "{\"items\":[%s],\"has_more\":false,\"as_of\":40}",
             format_item ("servers/i-1", 39, SERVER ("ready")));
@@ -236,7 +239,7 @@
             format_item ("op/config", 44, CONFIG ("8")));
   send_response (connection, 200, body);
   wait_for_page ("/metrics", "gateway_targets 1\n");
-  ck_assert_ptr_nonnull (strstr (fixture_page (&fixture, "/metrics"),
+  ck_assert_ptr_nonnull (strstr (fixture_get_page (&fixture, "/metrics"),
                                  "gateway_routes_version 9\n"));
   close (connection);
 }
@@ -252,7 +255,7 @@
   expect_request (connection, "/kv-watch?");
   send_response (connection, 410, "{\"error\":\"compacted\"}");
   close (connection);
-  connection = target_accept (store_socket);
+  connection = accept_target_connection (store_socket);
   expect_request (connection, "/kv-range?path_prefix= ");
   snprintf (body, sizeof body,
             "{\"items\":[%s],\"has_more\":false,\"as_of\":90}",
@@ -287,7 +290,7 @@
     send_response (connection, failed_responses[_i].status,
                    failed_responses[_i].body);
   close (connection);
-  connection = target_accept (store_socket);
+  connection = accept_target_connection (store_socket);
   expect_request (connection, "/kv-watch?path_prefix=&after=40&");
   wait_for_page ("/metrics", "gateway_targets 1\n");
   close (connection);
@@ -309,7 +312,7 @@
             format_item ("servers/i-3", 44, SERVER ("ready")));
   send_response (connection, 200, body);
   wait_for_page ("/metrics", "gateway_targets 2\n");
-  ck_assert_ptr_nonnull (strstr (fixture_page (&fixture, "/metrics"),
+  ck_assert_ptr_nonnull (strstr (fixture_get_page (&fixture, "/metrics"),
                                  "gateway_routes_version 7\n"));
   close (connection);
 }
@@ -373,7 +376,7 @@
                  "{\"events\":[{\"key\":\"op/evacuate/z\",\"revision\":42,"
                  "\"deleted\":true}],\"as_of\":42}");
   expect_request (connection, "/kv-watch?path_prefix=&after=42&");
-  while (strstr (fixture_page (&fixture, "/metrics"), CORDONED) != NULL)
+  while (strstr (fixture_get_page (&fixture, "/metrics"), CORDONED) != NULL)
     continue;
   close (connection);
 }
@@ -392,13 +395,13 @@
   expect_request (connection, "/kv-watch?");
   send_response (connection, 410, "{\"error\":\"compacted\"}");
   close (connection);
-  connection = target_accept (store_socket);
+  connection = accept_target_connection (store_socket);
   expect_request (connection, "/kv-range?path_prefix= ");
   snprintf (body, sizeof body,
             "{\"items\":[%s],\"has_more\":false,\"as_of\":90}",
             format_item ("op/config", 30, CONFIG ("7")));
   send_response (connection, 200, body);
-  while (strstr (fixture_page (&fixture, "/metrics"), CORDONED) != NULL)
+  while (strstr (fixture_get_page (&fixture, "/metrics"), CORDONED) != NULL)
     continue;
   close (connection);
 }
@@ -422,7 +425,7 @@
   send_response (connection, 200, body);
   wait_for_page ("/metrics", "gateway_targets 2\n");
   ck_assert_ptr_null (
-      strstr (fixture_page (&fixture, "/metrics"), "gateway_cordoned{"));
+      strstr (fixture_get_page (&fixture, "/metrics"), "gateway_cordoned{"));
   close (connection);
 }
 END_TEST
--- a/tests/admission/admission-test.c
+++ b/tests/admission/admission-test.c
@@ -25,14 +25,14 @@
   uint32_t i;
 
   lengths = csp_create_lengths (&lengths_policy);
-  short_key = csp_find_length_key (lengths, "m", "lookup");
-  long_key = csp_find_length_key (lengths, "m", "draft");
+  short_key = csp_get_length_key (lengths, "m", "lookup");
+  long_key = csp_get_length_key (lengths, "m", "draft");
   for (i = 0; i < 2000; i++)
     {
-      csp_note_length (lengths, short_key, 0, 50);
-      csp_learn_length (lengths, short_key, 50, CSP_LENGTH_FINISHED);
-      csp_note_length (lengths, long_key, 0, 6000);
-      csp_learn_length (lengths, long_key, 6000, CSP_LENGTH_FINISHED);
+      csp_record_length_growth (lengths, short_key, 0, 50);
+      csp_record_length_end (lengths, short_key, 50, CSP_LENGTH_FINISHED);
+      csp_record_length_growth (lengths, long_key, 0, 6000);
+      csp_record_length_end (lengths, long_key, 6000, CSP_LENGTH_FINISHED);
     }
   ledger = csp_create_ledger (&policy, lengths);
 }
@@ -47,11 +47,11 @@
 static void
 send_report (uint64_t number, uint32_t used_tokens, int64_t now_ms)
 {
-  csp_load_report_t report = { .report = number,
+  csp_load_report_t report = { .sequence = number,
                                .memory_tokens = MEMORY,
                                .used_tokens = used_tokens };
 
-  csp_take_report (ledger, &report, now_ms);
+  csp_apply_load_report (ledger, &report, now_ms);
 }
 
 static csp_stream_t
@@ -209,7 +209,7 @@
 {
   csp_stream_t stream = make_stream (short_key);
   csp_load_report_t leaving
-      = { .report = 2, .memory_tokens = MEMORY, .leaving = true };
+      = { .sequence = 2, .memory_tokens = MEMORY, .leaving = true };
 
   ck_assert_uint_le (admit_all (short_key, 1000), 8);
   send_report (1, 0, 1000);
@@ -217,7 +217,7 @@
   ck_assert_int_eq (csp_decide_admission (ledger, &stream, 1000),
                     CSP_ADMIT_NEVER);
   stream.prompt_tokens = PROMPT;
-  csp_take_report (ledger, &leaving, 1000);
+  csp_apply_load_report (ledger, &leaving, 1000);
   ck_assert_int_eq (csp_decide_admission (ledger, &stream, 1000),
                     CSP_ADMIT_WAIT);
   ck_assert_uint_eq (csp_ledger_headroom_tokens (ledger, 9, 1000), 0);
--- a/tests/configuration/configuration-test.c
+++ b/tests/configuration/configuration-test.c
@@ -40,7 +40,7 @@
 static csp_configuration_t *
 create (void)
 {
-  csp_config_check_t check = { build, release, NULL };
+  csp_config_builder_t check = { build, release, NULL };
 
   return csp_create_configuration (&check);
 }
@@ -53,7 +53,7 @@
   while (delta.value_count < MAX_VALUES
          && values[delta.value_count].key != NULL)
     delta.value_count++;
-  return csp_take_configuration (configuration, source, &delta);
+  return csp_apply_configuration (configuration, source, &delta);
 }
 
 static csp_config_status_t
@@ -61,7 +61,7 @@
 {
   csp_config_status_t status;
 
-  csp_describe_configuration (configuration, &status);
+  csp_get_configuration_status (configuration, &status);
   return status;
 }
 
@@ -76,7 +76,7 @@
 
   ck_assert_int_eq (
       apply (configuration, CSP_SOURCE_SERVICE, full_delta, values),
-      CSP_CONFIG_TAKEN);
+      CSP_CONFIG_APPLIED);
   return configuration;
 }
 
@@ -95,23 +95,23 @@
     { { "a", "2", 11 } },
     11,
     CSP_SOURCE_SERVICE,
-    CSP_CONFIG_TAKEN },
+    CSP_CONFIG_APPLIED },
   { { 8, 12, 0, false, 0, NULL },
     { { "b", "3", 12 } },
     12,
     CSP_SOURCE_SERVICE,
-    CSP_CONFIG_TAKEN },
+    CSP_CONFIG_APPLIED },
   { { 10, 12, 0, false, 0, NULL },
     { { "a", NULL, 12 } },
     12,
     CSP_SOURCE_SERVICE,
-    CSP_CONFIG_TAKEN },
+    CSP_CONFIG_APPLIED },
   /* Changes to a base that this host never had.  */
   { { 11, 12, 0, false, 0, NULL },
     { { "a", "2", 12 } },
     10,
     CSP_SOURCE_SERVICE,
-    CSP_CONFIG_ASK_WHOLE },
+    CSP_CONFIG_NEEDS_FULL },
   /* A service that returns a lower revision, and a peer that is behind.  */
   { { 0, 9, 0, true, 0, NULL },
     { { "a", "1", 4 } },
@@ -149,7 +149,7 @@
     { { "a", "2", 11 } },
     10,
     CSP_SOURCE_PEER,
-    CSP_CONFIG_ASK_WHOLE },
+    CSP_CONFIG_NEEDS_FULL },
   /* A value that fails the check, and a key that occurs twice.  */
   { { 10, 11, 0, false, 0, NULL },
     { { "a", "\"bad\"", 11 } },
@@ -178,8 +178,8 @@
   status = describe (configuration);
   ck_assert_int_eq (status.revision, row->expected_revision);
   ck_assert_uint_eq (status.counts[row->result],
-                     row->result == CSP_CONFIG_TAKEN ? 2 : 1);
-  ck_assert_ptr_nonnull (csp_built_configuration (configuration));
+                     row->result == CSP_CONFIG_APPLIED ? 2 : 1);
+  ck_assert_ptr_nonnull (csp_get_built_configuration (configuration));
   csp_destroy_configuration (configuration);
 }
 END_TEST
@@ -202,15 +202,15 @@
   ck_assert_str_eq (describe (configuration).fault, "a is bad");
   /* The watch asks after the refused revision; otherwise it would end at
      once.  */
-  ck_assert_int_eq (csp_find_watch_base (configuration), 11);
+  ck_assert_int_eq (csp_get_watch_revision (configuration), 11);
   ck_assert_int_eq (
       apply (configuration, CSP_SOURCE_SERVICE, revision_12, valid_values),
-      CSP_CONFIG_ASK_WHOLE);
+      CSP_CONFIG_NEEDS_FULL);
   revision_12.base = 0;
   revision_12.full = true;
   ck_assert_int_eq (
       apply (configuration, CSP_SOURCE_SERVICE, revision_12, valid_values),
-      CSP_CONFIG_TAKEN);
+      CSP_CONFIG_APPLIED);
   ck_assert_int_eq (describe (configuration).refused_revision, 0);
   csp_destroy_configuration (configuration);
 }
@@ -234,16 +234,16 @@
   ck_assert (describe (configuration).service_stale);
   ck_assert_int_eq (
       apply (configuration, CSP_SOURCE_SERVICE, revision_12, change),
-      CSP_CONFIG_ASK_WHOLE);
+      CSP_CONFIG_NEEDS_FULL);
   revision_12.base = 0;
   revision_12.full = true;
   ck_assert_int_eq (
       apply (configuration, CSP_SOURCE_SERVICE, revision_12, now),
-      CSP_CONFIG_TAKEN);
+      CSP_CONFIG_APPLIED);
   ck_assert (!describe (configuration).needs_full_read);
   /* b changed under a revision that was already in force; a peer still at
      revision 10 must get the change.  */
-  csp_find_config_changes (configuration, 10, &changes);
+  csp_collect_config_changes (configuration, 10, &changes);
   ck_assert_uint_eq (changes.value_count, 2);
   csp_destroy_configuration (configuration);
 }
@@ -268,14 +268,14 @@
       change.revision = ++revision;
       ck_assert_int_eq (
           apply (configuration, CSP_SOURCE_SERVICE, change, value),
-          CSP_CONFIG_TAKEN);
+          CSP_CONFIG_APPLIED);
     }
-  csp_find_config_changes (configuration, 11, &changes);
+  csp_collect_config_changes (configuration, 11, &changes);
   ck_assert (changes.full);
-  csp_find_config_changes (configuration, revision - 20, &changes);
+  csp_collect_config_changes (configuration, revision - 20, &changes);
   ck_assert (!changes.full);
   ck_assert_uint_eq (changes.value_count, 10);
-  csp_find_config_changes (configuration, revision + 1, &changes);
+  csp_collect_config_changes (configuration, revision + 1, &changes);
   ck_assert_uint_eq (changes.value_count, 0);
   csp_destroy_configuration (configuration);
 }
@@ -314,11 +314,12 @@
       change_randomly (leader, &random);
       if (csp_random_below (&random, 4) != 0)
         continue;
-      csp_find_config_changes (leader, describe (follower).revision, &delta);
+      csp_collect_config_changes (leader, describe (follower).revision,
+                                  &delta);
       ck_assert (!delta.full);
       ck_assert_int_eq (
-          csp_take_configuration (follower, CSP_SOURCE_PEER, &delta),
-          CSP_CONFIG_TAKEN);
+          csp_apply_configuration (follower, CSP_SOURCE_PEER, &delta),
+          CSP_CONFIG_APPLIED);
       ck_assert_uint_eq (describe (leader).digest, describe (follower).digest);
     }
   csp_destroy_configuration (leader);
--- a/tests/configuration/spread-test.c
+++ b/tests/configuration/spread-test.c
@@ -28,7 +28,7 @@
   settings.report_lag_ms = 2000;
   fleet = fleet_create (&settings);
   fleet_start_all (fleet);
-  ck_assert (fleet_agrees_on (fleet, fleet->service.revision));
+  ck_assert (fleet_has_converged (fleet, fleet->service.revision));
   return fleet;
 }
 
@@ -37,11 +37,11 @@
 static void
 finish_fleet (fleet_t *fleet)
 {
-  int64_t ms
-      = fleet_time_to_agree (fleet, fleet->service.revision, AGREEMENT_MS);
+  int64_t ms = fleet_run_until_converged (fleet, fleet->service.revision,
+                                          AGREEMENT_MS);
 
   ck_assert_int_ge (ms, 0);
-  ck_assert_uint_eq (fleet->went_back, 0);
+  ck_assert_uint_eq (fleet->revision_regressions, 0);
   fleet_destroy (fleet);
 }
 
@@ -50,7 +50,7 @@
 {
   csp_config_status_t status;
 
-  csp_describe_configuration (fleet->nodes[node].configuration, &status);
+  csp_get_configuration_status (fleet->nodes[node].configuration, &status);
   return status;
 }
 
@@ -108,17 +108,17 @@
 START_TEST (new_host_gets_the_configuration_from_peers)
 {
   fleet_t *fleet = start_fleet (6, 2, (uint64_t)_i);
-  csp_spread_status_t status;
+  csp_config_sync_status_t status;
 
   fleet_kill (fleet, 3);
   fleet_run (fleet, 5000);
-  fleet->service_away = true;
+  fleet->platform_down = true;
   fleet_run (fleet, 20000);
   fleet_start (fleet, 3);
   add_known_peer (fleet, 3, 1);
   fleet_run (fleet, CSP_START_WAIT_MS);
   ck_assert_int_eq (fleet_revision (fleet, 3), fleet->service.revision);
-  csp_describe_spread (fleet->nodes[3].spread, &status);
+  csp_get_config_sync_status (fleet->nodes[3].config_sync, &status);
   ck_assert (status.startup_done);
   finish_fleet (fleet);
 }
@@ -130,7 +130,7 @@
 START_TEST (stale_service_rolls_no_host_back)
 {
   fleet_t *fleet = start_fleet (6, 2, (uint64_t)_i);
-  fleet_service_t old = fleet->service;
+  fleet_config_service_t old = fleet->service;
   int64_t highest;
 
   fleet_publish (fleet, 5);
@@ -141,14 +141,14 @@
   fleet_run (fleet, 1000);
   fleet_start (fleet, 0);
   fleet_run (fleet, AGREEMENT_MS);
-  ck_assert (fleet_agrees_on (fleet, highest));
+  ck_assert (fleet_has_converged (fleet, highest));
   ck_assert (describe (fleet, 0).service_stale
              || describe (fleet, 2).service_stale
              || describe (fleet, 4).service_stale);
   /* The service reuses five revisions; the sixth is higher.  */
   fleet_publish (fleet, 6);
   fleet_run (fleet, AGREEMENT_MS);
-  ck_assert (fleet_agrees_on (fleet, highest + 1));
+  ck_assert (fleet_has_converged (fleet, highest + 1));
   /* The content in force must be the service's, not a mixture.  */
   fleet_start (fleet, 0);
   finish_fleet (fleet);
@@ -161,14 +161,14 @@
 START_TEST (others_read_when_both_readers_lose_the_platform)
 {
   fleet_t *fleet = start_fleet (6, 1, (uint64_t)_i);
-  csp_spread_status_t status;
+  csp_config_sync_status_t status;
   size_t readers = 0;
   size_t i;
 
   for (i = 0; i < 6; i++)
     {
-      csp_describe_spread (fleet->nodes[i].spread, &status);
-      fleet->nodes[i].platform_cut = status.reader;
+      csp_get_config_sync_status (fleet->nodes[i].config_sync, &status);
+      fleet->nodes[i].platform_unreachable = status.reader;
       readers += status.reader;
     }
   ck_assert_uint_eq (readers, CSP_READERS_PER_DATA_CENTRE);
@@ -181,12 +181,12 @@
 START_TEST (others_read_when_both_readers_die)
 {
   fleet_t *fleet = start_fleet (6, 1, (uint64_t)_i);
-  csp_spread_status_t status;
+  csp_config_sync_status_t status;
   size_t i;
 
   for (i = 0; i < 6; i++)
     {
-      csp_describe_spread (fleet->nodes[i].spread, &status);
+      csp_get_config_sync_status (fleet->nodes[i].config_sync, &status);
       if (status.reader)
         fleet_kill (fleet, i);
     }
@@ -204,9 +204,9 @@
   int64_t before = fleet->service.revision;
   size_t i;
 
-  fleet_split (fleet, 4, true);
+  fleet_set_partition (fleet, 4, true);
   for (i = 4; i < 8; i++)
-    fleet->nodes[i].platform_cut = true;
+    fleet->nodes[i].platform_unreachable = true;
   for (i = 0; i < 10; i++)
     {
       fleet_publish (fleet, 3);
@@ -214,7 +214,7 @@
     }
   for (i = 4; i < 8; i++)
     ck_assert_int_eq (fleet_revision (fleet, i), before);
-  fleet_split (fleet, 4, false);
+  fleet_set_partition (fleet, 4, false);
   /* The platform is still unreachable for these hosts, so they must get the
      changes from the other side.  Silent hosts are asked every 5 s.  */
   fleet_run (fleet, CSP_READ_RETRY_MS);
@@ -229,13 +229,13 @@
 START_TEST (conflicting_contents_of_a_revision_are_detected_and_resolved)
 {
   fleet_t *fleet = start_fleet (6, 2, (uint64_t)_i);
-  csp_spread_status_t status;
-  fleet_service_t fork = fleet->service;
+  csp_config_sync_status_t status;
+  fleet_config_service_t fork = fleet->service;
   size_t conflicts = 0;
   size_t i;
 
   for (i = 0; i < 6; i++)
-    fleet->nodes[i].platform_cut = i % 2 == 1;
+    fleet->nodes[i].platform_unreachable = i % 2 == 1;
   for (i = 0; i < 36; i++)
     fleet->cuts[i / 6][i % 6] = i / 6 % 2 != i % 6 % 2;
   fleet_publish_value (fleet, 1, 11);
@@ -243,19 +243,19 @@
   fleet->service = fork;
   fleet_publish_value (fleet, 2, 22);
   for (i = 0; i < 6; i++)
-    fleet->nodes[i].platform_cut = i % 2 == 0;
+    fleet->nodes[i].platform_unreachable = i % 2 == 0;
   fleet_run (fleet, AGREEMENT_MS + CSP_READ_RETRY_MS);
   memset (fleet->cuts, 0, sizeof fleet->cuts);
   for (i = 0; i < 6; i++)
-    fleet->nodes[i].platform_cut = false;
+    fleet->nodes[i].platform_unreachable = false;
   fleet_run (fleet, 70000);
   for (i = 0; i < 6; i++)
     {
-      csp_describe_spread (fleet->nodes[i].spread, &status);
+      csp_get_config_sync_status (fleet->nodes[i].config_sync, &status);
       conflicts += status.peer_conflicts;
     }
   ck_assert_uint_gt (conflicts, 0);
-  ck_assert (!fleet_agrees_on (fleet, fork.revision + 1));
+  ck_assert (!fleet_has_converged (fleet, fork.revision + 1));
   fleet_publish_value (fleet, 3, 33);
   finish_fleet (fleet);
 }
@@ -295,26 +295,27 @@
 START_TEST (late_answers_are_dropped)
 {
   fleet_t *fleet = start_fleet (2, 1, 1);
-  csp_spread_t *spread = fleet->nodes[0].spread;
-  csp_spread_peer_t peer
+  csp_config_sync_t *spread = fleet->nodes[0].config_sync;
+  csp_config_sync_peer_t peer
       = { .name = "h1", .same_data_centre = true, .revision = 1000 };
   csp_config_delta_t delta = { .base = 0, .revision = 5000, .full = true };
-  csp_spread_actions_t actions;
-  csp_spread_status_t status;
+  csp_config_sync_actions_t actions;
+  csp_config_sync_status_t status;
   uint64_t first = 0;
 
   fleet->now_ms += CSP_PULL_GAP_MS;
-  csp_tick_spread (spread, &peer, 1, 1, fleet->now_ms, &actions);
-  while (actions.count > 0 && actions.items[0].kind != CSP_SPREAD_PULL_PEER)
+  csp_tick_config_sync (spread, &peer, 1, 1, fleet->now_ms, &actions);
+  while (actions.count > 0
+         && actions.items[0].kind != CSP_CONFIG_SYNC_PULL_PEER)
     actions.items[0] = actions.items[--actions.count];
   ck_assert_uint_eq (actions.count, 1);
   first = actions.items[0].id;
   fleet->now_ms += CSP_PULL_TIMEOUT_MS;
-  csp_tick_spread (spread, &peer, 1, 1, fleet->now_ms, &actions);
+  csp_tick_config_sync (spread, &peer, 1, 1, fleet->now_ms, &actions);
   ck_assert_int_eq (
       csp_handle_pull (spread, first, &delta, 0, "", fleet->now_ms),
       CSP_CONFIG_SAME);
-  csp_describe_spread (spread, &status);
+  csp_get_config_sync_status (spread, &status);
   ck_assert_uint_eq (status.dropped_answers, 1);
   ck_assert_int_eq (fleet_revision (fleet, 0), fleet->service.revision);
   fleet_destroy (fleet);
@@ -328,7 +329,7 @@
   fleet_t *fleet
       = start_fleet (_i % 2 == 0 ? 6 : 9, _i % 3 == 0 ? 3 : 1, (uint64_t)_i);
 
-  fleet_break_things (fleet, 12, true);
+  fleet_inject_faults (fleet, 12, true);
   fleet_run (fleet, CSP_READ_RETRY_MS + 1000);
   fleet_publish (fleet, 3);
   finish_fleet (fleet);
--- a/tests/cordon/cordon-test.c
+++ b/tests/cordon/cordon-test.c
@@ -33,14 +33,14 @@
   size_t count;
 } commands[] = {
   { "a", true, CSP_CORDON_CHANGED, 1 },
-  { "a", true, CSP_CORDON_AS_BEFORE, 1 },
+  { "a", true, CSP_CORDON_UNCHANGED, 1 },
   { "b", true, CSP_CORDON_CHANGED, 2 },
-  { "", true, CSP_CORDON_NO_NAME, 2 },
-  { NAME_63 "d", true, CSP_CORDON_NO_NAME, 2 },
+  { "", true, CSP_CORDON_INVALID_NAME, 2 },
+  { NAME_63 "d", true, CSP_CORDON_INVALID_NAME, 2 },
   { NAME_63, true, CSP_CORDON_CHANGED, 3 },
-  { "c", false, CSP_CORDON_AS_BEFORE, 3 },
+  { "c", false, CSP_CORDON_UNCHANGED, 3 },
   { "a", false, CSP_CORDON_CHANGED, 2 },
-  { "a", false, CSP_CORDON_AS_BEFORE, 2 },
+  { "a", false, CSP_CORDON_UNCHANGED, 2 },
   { "b", false, CSP_CORDON_CHANGED, 1 },
   { "b", true, CSP_CORDON_CHANGED, 2 },
 };
--- a/tests/declaration/declaration-rules-test.c
+++ b/tests/declaration/declaration-rules-test.c
@@ -69,11 +69,11 @@
 START_TEST (the_first_matching_rule_decides)
 {
   const decision_case_t *row = &decision_cases[_i];
-  csp_declaration_t *declaration = declare_base ();
+  csp_declaration_t *declaration = create_base_declaration ();
   csp_rule_outcome_t outcome;
 
-  csp_decide_rule (declaration, &row->facts, &outcome);
-  ck_assert_int_eq (outcome.waited,
+  csp_evaluate_rules (declaration, &row->facts, &outcome);
+  ck_assert_int_eq (outcome.requires_queue_time,
                     row->rule != NULL && strcmp (row->rule, "waited") == 0);
   if (outcome.action == CSP_ACTION_LEND)
     ck_assert_uint_eq (outcome.is.lend.terms.priority, 0);
@@ -89,12 +89,12 @@
 
 START_TEST (terms_come_from_rule_class_route_and_organisation)
 {
-  csp_declaration_t *declaration = declare_base ();
+  csp_declaration_t *declaration = create_base_declaration ();
   csp_request_facts_t facts
       = { M, .class_name = "fast", .priority = 8, .prompt_tokens = 2000 };
   csp_rule_outcome_t outcome;
 
-  csp_decide_rule (declaration, &facts, &outcome);
+  csp_evaluate_rules (declaration, &facts, &outcome);
   ck_assert_str_eq (outcome.is.send.pool, "big");
   ck_assert_uint_eq (outcome.is.send.priority, 1);
   ck_assert_uint_eq (outcome.is.send.weight, 7);
@@ -102,7 +102,7 @@
   ck_assert_uint_eq (outcome.is.send.limits.max_waiting, 4);
   ck_assert_uint_eq (outcome.is.send.limits.max_output_tokens, 500);
   facts.prompt_tokens = 0;
-  csp_decide_rule (declaration, &facts, &outcome);
+  csp_evaluate_rules (declaration, &facts, &outcome);
   ck_assert_ptr_null (outcome.rule);
   ck_assert_str_eq (outcome.is.send.pool, "small");
   ck_assert_uint_eq (outcome.is.send.priority, 8);
@@ -162,7 +162,8 @@
     { "rule/r3", row->third }, { "rule-order", "[\"r1\",\"r2\",\"r3\"]" }
   };
   csp_faults_t *faults = csp_create_faults ();
-  csp_declaration_t *declaration = declare (NULL, rules, 8, faults);
+  csp_declaration_t *declaration
+      = create_test_declaration (NULL, rules, 8, faults);
 
   csp_print_faults (faults, stdout);
   ck_assert_ptr_nonnull (declaration);
--- a/tests/declaration/declaration-test.c
+++ b/tests/declaration/declaration-test.c
@@ -155,7 +155,8 @@
   bool found = false;
   size_t i;
 
-  ck_assert_ptr_null (declare (NULL, row->overrides, 2, faults));
+  ck_assert_ptr_null (
+      create_test_declaration (NULL, row->overrides, 2, faults));
   for (i = 0; i < csp_count_faults (faults); i++)
     {
       const csp_fault_t *fault = csp_get_fault (faults, i);
@@ -174,7 +175,7 @@
 
 START_TEST (names_and_keys_are_found)
 {
-  csp_declaration_t *declaration = declare_base ();
+  csp_declaration_t *declaration = create_base_declaration ();
   const csp_route_t *route = csp_find_route (declaration, "m");
   const char *rest;
 
@@ -209,13 +210,13 @@
 
 START_TEST (wanted_state_is_the_engines_or_its_pools)
 {
-  csp_declaration_t *declaration = declare_base ();
+  csp_declaration_t *declaration = create_base_declaration ();
   const csp_pool_t *pool = csp_find_pool (declaration, "small");
 
-  ck_assert_str_eq (csp_find_wanted (pool, "e1")->models[0].version, "3");
-  ck_assert_int_eq (csp_find_wanted (pool, "e2")->role, CSP_ROLE_DECODE);
+  ck_assert_str_eq (csp_get_wanted_state (pool, "e1")->models[0].version, "3");
+  ck_assert_int_eq (csp_get_wanted_state (pool, "e2")->role, CSP_ROLE_DECODE);
   ck_assert_ptr_null (
-      csp_find_wanted (csp_find_pool (declaration, "big"), "e1"));
+      csp_get_wanted_state (csp_find_pool (declaration, "big"), "e1"));
   csp_destroy_declaration (declaration);
 }
 END_TEST
@@ -225,7 +226,7 @@
    may allow it.  */
 START_TEST (calls_are_repeatable_by_method_or_declaration)
 {
-  csp_declaration_t *declaration = declare_base ();
+  csp_declaration_t *declaration = create_base_declaration ();
   const csp_service_t *quote_service
       = csp_find_service (declaration, "quotes");
 
@@ -251,8 +252,9 @@
           { "rule-order", "[\"b\",\"crowded\",\"waited\",\"long\"]" } };
   static const pair_t bad[] = { { "organisation/b", "{}" } };
   csp_faults_t *faults = csp_create_faults ();
-  csp_declaration_t *first = declare_base ();
-  csp_declaration_t *second = declare (first, overrides, 2, faults);
+  csp_declaration_t *first = create_base_declaration ();
+  csp_declaration_t *second
+      = create_test_declaration (first, overrides, 2, faults);
 
   ck_assert_ptr_eq (csp_find_organisation (first, "a"),
                     csp_find_organisation (second, "a"));
@@ -261,7 +263,7 @@
   ck_assert_uint_eq (csp_find_organisation (first, "b")->weight, 1);
   ck_assert_uint_eq (csp_find_organisation (second, "b")->weight, 9);
   ck_assert_str_eq (csp_get_rule_name (second, 0), "b");
-  ck_assert_ptr_null (declare (second, bad, 1, faults));
+  ck_assert_ptr_null (create_test_declaration (second, bad, 1, faults));
   csp_destroy_declaration (first);
   ck_assert_str_eq (csp_find_organisation_by_key (second, KEY_A)->name, "a");
   csp_destroy_declaration (second);
@@ -288,17 +290,17 @@
 START_TEST (old_declarations_may_be_destroyed_in_any_thread)
 {
   csp_faults_t *faults = csp_create_faults ();
-  csp_declaration_t *current = declare_base ();
+  csp_declaration_t *current = create_base_declaration ();
   csp_declaration_t *next;
   pthread_t thread;
   int i;
 
   for (i = 0; i < REPLACEMENTS; i++)
     {
-      next = declare (current, NULL, 0, faults);
+      next = create_test_declaration (current, NULL, 0, faults);
       ck_assert_int_eq (
           pthread_create (&thread, NULL, destroy_in_thread, current), 0);
-      current = declare (next, NULL, 0, faults);
+      current = create_test_declaration (next, NULL, 0, faults);
       csp_destroy_declaration (next);
       pthread_join (thread, NULL);
     }
--- a/tests/dispatch/dispatch-move-test.c
+++ b/tests/dispatch/dispatch-move-test.c
@@ -41,7 +41,7 @@
   snprintf (row.id, sizeof row.id, "%s", id);
   snprintf (row.service, sizeof row.service, "s");
   snprintf (row.data_centre, sizeof row.data_centre, "%s", data_centre);
-  ck_assert (csp_list_target (fleet, &row, 0));
+  ck_assert (csp_update_target (fleet, &row, 0));
 }
 
 static void
@@ -89,7 +89,7 @@
   csp_peer_load_t load
       = { .target = hash_target (id), .requests = runs, .tokens = runs * RUN };
 
-  csp_count_other_load (fleet, &load);
+  csp_add_peer_load (fleet, &load);
 }
 
 static void
@@ -148,7 +148,7 @@
                     .moves_from = hash_target ("t"),
                     .left_ms = 1000 };
 
-  csp_unlist_target (fleet, "t", 1);
+  csp_remove_target (fleet, "t", 1);
   csp_expire_targets (fleet, 2);
   csp_expire_targets (fleet, 1500);
   row.id = 1;
@@ -235,7 +235,7 @@
   ask_to_move (2, "t", 1000, 0);
   expect_outcome (1, CSP_ASK_WAITS);
   expect_outcome (2, CSP_ASK_WAITS);
-  csp_clear_other_loads (fleet);
+  csp_clear_peer_loads (fleet);
   report_runs ("u", 2);
   report_runs ("v", 2);
   report_runs ("w", 1);
@@ -275,7 +275,7 @@
   ask_to_move (2, "t", 1000, 0);
   list_target ("u", true);
   list_target ("w", true);
-  csp_clear_other_loads (fleet);
+  csp_clear_peer_loads (fleet);
   csp_cancel_ask (dispatch, host, 1);
   csp_pump_dispatch (dispatch, 10);
   expect_outcome (2, CSP_ASK_PLACED);
@@ -294,7 +294,7 @@
   report_runs ("w", 2);
   ask_to_move (1, "t", 3000, 0);
   ask_to_move (2, "t", 1000, 0);
-  csp_clear_other_loads (fleet);
+  csp_clear_peer_loads (fleet);
   ck_assert_int_eq (csp_cordon_targets (fleet, "near", true, 5),
                     CSP_CORDON_CHANGED);
   csp_cancel_ask (dispatch, host, 1);
--- a/tests/dispatch/dispatch-test.c
+++ b/tests/dispatch/dispatch-test.c
@@ -41,7 +41,7 @@
 
   snprintf (row.id, sizeof row.id, "%s", id);
   snprintf (row.service, sizeof row.service, "s");
-  ck_assert (csp_list_target (fleet, &row, 0));
+  ck_assert (csp_update_target (fleet, &row, 0));
 }
 
 static void
@@ -87,7 +87,7 @@
   const char *const ids[] = { "t", "u" };
   size_t i;
 
-  csp_clear_other_loads (fleet);
+  csp_clear_peer_loads (fleet);
   for (i = 0; i < 2; i++)
     {
       csp_peer_load_t load
@@ -95,7 +95,7 @@
               .requests = runs,
               .tokens = runs * RUN };
 
-      csp_count_other_load (fleet, &load);
+      csp_add_peer_load (fleet, &load);
     }
 }
 
@@ -273,7 +273,7 @@
     {
       size_t i;
 
-      csp_clear_other_loads (fleet);
+      csp_clear_peer_loads (fleet);
       for (i = 0; i < PLACES; i++)
         if (ends_ms[i] > now_ms)
           {
@@ -282,7 +282,7 @@
                     .requests = 1,
                     .tokens = RUN };
 
-            csp_count_other_load (fleet, &load);
+            csp_add_peer_load (fleet, &load);
           }
       answer_count = 0;
       csp_pump_dispatch (dispatch, now_ms);
@@ -343,10 +343,10 @@
   csp_peer_load_t load = { .target = csp_find_fleet_target (fleet, "t")->hash,
                            .requests = 2,
                            .tokens = 4200,
-                           .reading_tokens = 4000 };
+                           .prefill_tokens = 4000 };
   int placed = 0;
 
-  csp_unlist_target (fleet, "u", 0);
+  csp_remove_target (fleet, "u", 0);
   for (row.id = 1; row.id <= 3; row.id++)
     {
       csp_push_ask (dispatch, &row, "s", MEMORY, 1000);
@@ -354,12 +354,12 @@
     }
   ck_assert_int_eq (placed, 2);
   /* Their hosts have reported them, and one prompt has been processed.  */
-  csp_count_other_load (fleet, &load);
+  csp_add_peer_load (fleet, &load);
   csp_pump_dispatch (dispatch, 1100);
   ck_assert_uint_eq (csp_count_waiting_asks (dispatch), 1);
-  csp_clear_other_loads (fleet);
-  load.reading_tokens = 2000;
-  csp_count_other_load (fleet, &load);
+  csp_clear_peer_loads (fleet);
+  load.prefill_tokens = 2000;
+  csp_add_peer_load (fleet, &load);
   csp_pump_dispatch (dispatch, 1300);
   ck_assert_uint_eq (csp_count_waiting_asks (dispatch), 0);
 }
@@ -375,11 +375,11 @@
     ASKS = 20,
     BOUND = 4
   };
-  const csp_warmup_duty_t duty = { .decides = true,
-                                   .fleet = { .hosts_asking = 1,
-                                              .hosts_known = 1,
-                                              .data_centres_heard = 1,
-                                              .data_centres_listed = 1 } };
+  const csp_decider_role_t duty = { .decides = true,
+                                    .fleet = { .hosts_asking = 1,
+                                               .hosts_known = 1,
+                                               .data_centres_live = 1,
+                                               .data_centres_listed = 1 } };
   csp_fleet_row_t cold
       = { .id = "v", .service = "s", .slots = 24, .warming_up_ms = 5000 };
   csp_ask_t row = { .host = other_host,
@@ -388,11 +388,11 @@
                     .start_within_ms = PATIENCE_MS };
   int placed = 0;
 
-  ck_assert (csp_set_cold_bound (fleet, "s", 5000, BOUND));
-  csp_note_dispatch_duty (dispatch, &duty);
-  csp_unlist_target (fleet, "t", 0);
-  csp_unlist_target (fleet, "u", 0);
-  ck_assert (csp_list_target (fleet, &cold, 10000));
+  ck_assert (csp_set_cold_limit (fleet, "s", 5000, BOUND));
+  csp_set_dispatch_duty (dispatch, &duty);
+  csp_remove_target (fleet, "t", 0);
+  csp_remove_target (fleet, "u", 0);
+  ck_assert (csp_update_target (fleet, &cold, 10000));
   for (row.id = 1; row.id <= ASKS; row.id++)
     {
       csp_push_ask (dispatch, &row, "s", MEMORY, 10000);
--- a/tests/fleet/fleet-backoff-test.c
+++ b/tests/fleet/fleet-backoff-test.c
@@ -35,12 +35,12 @@
 static void
 list_start (const char *id, int64_t born_ms, int64_t now_ms)
 {
-  csp_fleet_row_t row = { .slots = 8, .born_ms = born_ms };
+  csp_fleet_row_t row = { .slots = 8, .start_unix_ms = born_ms };
 
   snprintf (row.id, sizeof row.id, "%s", id);
   snprintf (row.service, sizeof row.service, "s");
   snprintf (row.data_centre, sizeof row.data_centre, "dc-%s", id);
-  ck_assert (csp_list_target (fleet, &row, now_ms));
+  ck_assert (csp_update_target (fleet, &row, now_ms));
 }
 
 static csp_fleet_target_t *
@@ -53,7 +53,7 @@
 static bool
 may_send (const char *id, int64_t now_ms)
 {
-  csp_fleet_need_t need = { .service = "s", .own = true };
+  csp_fleet_need_t need = { .service = "s", .sent_by_this_host = true };
   const csp_fleet_target_t *chosen
       = csp_choose_fleet_target (fleet, &need, &prng, now_ms);
 
@@ -158,7 +158,7 @@
       csp_cordon_targets (fleet, "dc-t", true, 0);
       break;
     case CONDITION_COLD:
-      csp_set_cold_bound (fleet, "s", BACKOFF_MS, 10);
+      csp_set_cold_limit (fleet, "s", BACKOFF_MS, 10);
       target->warm_at_ms = BACKOFF_MS;
       break;
     case CONDITION_CUT_OFF:
@@ -242,7 +242,7 @@
 {
   list_start ("t", 0, 0);
   set_condition (CONDITION_LEAVING);
-  csp_unlist_target (fleet, "t", 10);
+  csp_remove_target (fleet, "t", 10);
   list_start ("t", 0, 20);
   ck_assert (!may_send ("t", 20));
 }
@@ -253,7 +253,7 @@
 START_TEST (leaving_announced_without_a_row_persists)
 {
   list_start ("t", 0, 0);
-  csp_unlist_target (fleet, "t", 10);
+  csp_remove_target (fleet, "t", 10);
   set_condition (CONDITION_LEAVING);
   list_start ("t", 0, 20);
   ck_assert (!may_send ("t", 20));
--- a/tests/fleet/fleet-cordon-test.c
+++ b/tests/fleet/fleet-cordon-test.c
@@ -37,7 +37,7 @@
   snprintf (row.id, sizeof row.id, "%s", id);
   snprintf (row.service, sizeof row.service, "s");
   snprintf (row.data_centre, sizeof row.data_centre, "%s", data_centre);
-  ck_assert (csp_list_target (fleet, &row, 0));
+  ck_assert (csp_update_target (fleet, &row, 0));
 }
 
 /* Steps: '+x' cordons data centre x, '-x' lifts its cordon, 'x' alone lists a
@@ -105,9 +105,9 @@
   list ("t-a", "a");
   list ("t-b", "b");
   csp_find_fleet_target (fleet, "t-a")->own.tokens = 1000;
-  ck_assert_double_eq (csp_find_pool_share (fleet, "s", 1000, 0), 0.5);
+  ck_assert_double_eq (csp_find_pool_memory_share (fleet, "s", 1000, 0), 0.5);
   csp_cordon_targets (fleet, "b", true, 0);
-  ck_assert_double_eq (csp_find_pool_share (fleet, "s", 1000, 0), 1.0);
+  ck_assert_double_eq (csp_find_pool_memory_share (fleet, "s", 1000, 0), 1.0);
 }
 END_TEST
 
@@ -141,12 +141,12 @@
   const csp_fleet_target_t *chosen;
 
   ck_assert (
-      csp_set_cold_bound (fleet, "s", 1000, cold_cases[_i].bound_per_s));
+      csp_set_cold_limit (fleet, "s", 1000, cold_cases[_i].bound_per_s));
   list ("t-b", "b");
   csp_find_fleet_target (fleet, "t-b")->own.requests = 20;
   if (cold_cases[_i].cordoned_before)
     csp_cordon_targets (fleet, "a", true, 0);
-  ck_assert (csp_list_target (fleet, &row, 0));
+  ck_assert (csp_update_target (fleet, &row, 0));
   if (cold_cases[_i].cordoned_before)
     csp_cordon_targets (fleet, "a", false, 0);
   chosen = csp_choose_fleet_target (fleet, &need, &prng, 999);
@@ -164,17 +164,17 @@
 START_TEST (a_restarted_target_is_cold)
 {
   csp_fleet_row_t row
-      = { .id = "t", .service = "s", .data_centre = "a", .born_ms = 5 };
+      = { .id = "t", .service = "s", .data_centre = "a", .start_unix_ms = 5 };
   const csp_fleet_target_t *target;
 
-  ck_assert (csp_set_cold_bound (fleet, "s", 1000, 10));
-  ck_assert (csp_list_target (fleet, &row, 0));
+  ck_assert (csp_set_cold_limit (fleet, "s", 1000, 10));
+  ck_assert (csp_update_target (fleet, &row, 0));
   target = csp_find_fleet_target (fleet, "t");
-  ck_assert (!csp_is_paced (target, 1));
-  csp_note_target_born (fleet, target, 6, 100);
+  ck_assert (!csp_is_cold_limited (target, 1));
+  csp_note_target_start (fleet, target, 6, 100);
   target = csp_find_fleet_target (fleet, "t");
-  ck_assert (csp_is_paced (target, 1099));
-  ck_assert (!csp_is_paced (target, 1100));
+  ck_assert (csp_is_cold_limited (target, 1099));
+  ck_assert (!csp_is_cold_limited (target, 1100));
 }
 END_TEST
 
--- a/tests/fleet/fleet-restart-test.c
+++ b/tests/fleet/fleet-restart-test.c
@@ -161,23 +161,24 @@
 static void
 take_step (const step_t *step, int64_t now_ms)
 {
-  csp_fleet_row_t row = {
-    .id = "t", .service = "s", .data_centre = "a", .born_ms = step->born_ms
-  };
+  csp_fleet_row_t row = { .id = "t",
+                          .service = "s",
+                          .data_centre = "a",
+                          .start_unix_ms = step->born_ms };
 
   switch (step->kind)
     {
     case ROW:
     case NOTICE:
       row.leaving = step->kind == NOTICE;
-      ck_assert (csp_list_target (fleet, &row, now_ms));
+      ck_assert (csp_update_target (fleet, &row, now_ms));
       break;
     case REMOVED:
-      csp_unlist_target (fleet, "t", now_ms);
+      csp_remove_target (fleet, "t", now_ms);
       break;
     case REPORTS_START:
-      csp_note_target_born (fleet, csp_find_fleet_target (fleet, "t"),
-                            step->born_ms, now_ms);
+      csp_note_target_start (fleet, csp_find_fleet_target (fleet, "t"),
+                             step->born_ms, now_ms);
       break;
     }
 }
@@ -203,17 +204,17 @@
     take_step (&test_case->steps[i], (int64_t)i);
   last = csp_find_fleet_target (fleet, "t");
   ck_assert_msg ((first == last) == test_case->same, "%s", test_case->name);
-  ck_assert_int_eq (last->row.born_ms, test_case->born_ms);
+  ck_assert_int_eq (last->row.start_unix_ms, test_case->born_ms);
   ck_assert_int_eq (last->state, test_case->state);
   ck_assert_uint_eq (left_count, test_case->left_count);
-  ck_assert_ptr_eq (csp_find_hashed_target (fleet, last->hash), last);
+  ck_assert_ptr_eq (csp_find_target_by_hash (fleet, last->hash), last);
   if (test_case->same)
     return;
   ck_assert_int_eq (first->state, CSP_FLEET_GONE);
   ck_assert_uint_eq (last->own.requests, 0);
   ck_assert (last->failure_share == 0);
   ck_assert (first->hash != last->hash);
-  ck_assert_ptr_eq (csp_find_hashed_target (fleet, first->hash), first);
+  ck_assert_ptr_eq (csp_find_target_by_hash (fleet, first->hash), first);
 }
 END_TEST
 
@@ -230,14 +231,14 @@
   first->users = 1;
   load.target = first->hash;
   take_step (&steps[1], 1);
-  csp_count_other_load (fleet, &load);
+  csp_add_peer_load (fleet, &load);
   ck_assert_uint_eq (first->others.tokens, 500);
   ck_assert_uint_eq (csp_find_fleet_target (fleet, "t")->others.tokens, 0);
   first->users = 0;
   csp_expire_targets (fleet, 2);
   csp_expire_targets (fleet, 10002);
   ck_assert_uint_eq (csp_fleet_size (fleet), 1);
-  ck_assert_ptr_null (csp_find_hashed_target (fleet, load.target));
+  ck_assert_ptr_null (csp_find_target_by_hash (fleet, load.target));
 }
 END_TEST
 
--- a/tests/fleet/fleet-risk-test.c
+++ b/tests/fleet/fleet-risk-test.c
@@ -115,11 +115,11 @@
   snprintf (row.service, sizeof row.service, "s");
   snprintf (row.data_centre, sizeof row.data_centre, "%s",
             engine->data_centre);
-  ck_assert (csp_list_target (fleet, &row, 0));
+  ck_assert (csp_update_target (fleet, &row, 0));
   target = csp_find_fleet_target (fleet, row.id);
   target->others.requests = engine->runs;
   target->others.tokens = engine->tokens;
-  target->others.reading_tokens = engine->reading_tokens;
+  target->others.prefill_tokens = engine->reading_tokens;
   csp_note_prompt_given (target, engine->recent_prompt_tokens, 0);
 }
 
--- a/tests/fleet/fleet-targets-test.c
+++ b/tests/fleet/fleet-targets-test.c
@@ -46,7 +46,7 @@
   snprintf (row.id, sizeof row.id, "%s", id);
   snprintf (row.service, sizeof row.service, "s");
   snprintf (row.data_centre, sizeof row.data_centre, "%s", data_centre);
-  ck_assert (csp_list_target (fleet, &row, now_ms));
+  ck_assert (csp_update_target (fleet, &row, now_ms));
   return csp_find_fleet_target (fleet, id);
 }
 
@@ -153,7 +153,7 @@
           list ("t", "a", cases[_i].steps[i].step == LEAVING, now_ms);
           break;
         case REMOVED:
-          csp_unlist_target (fleet, "t", now_ms);
+          csp_remove_target (fleet, "t", now_ms);
           break;
         case AWAY:
         case BACK:
@@ -180,7 +180,7 @@
   csp_fleet_target_t *target = list ("t", "a", false, 0);
 
   target->users = 1;
-  csp_unlist_target (fleet, "t", 1);
+  csp_remove_target (fleet, "t", 1);
   csp_expire_targets (fleet, 2);
   ck_assert_uint_eq (csp_fleet_size (fleet), 1);
   csp_expire_targets (fleet, 20000);
@@ -190,7 +190,7 @@
   csp_expire_targets (fleet, 20001);
   ck_assert_uint_eq (csp_fleet_size (fleet), 0);
   list ("u", "a", false, 20002);
-  csp_unlist_target (fleet, "u", 20003);
+  csp_remove_target (fleet, "u", 20003);
   csp_expire_targets (fleet, 20004);
   csp_expire_targets (fleet, 30003);
   ck_assert_uint_eq (csp_fleet_size (fleet), 1);
@@ -209,18 +209,18 @@
   csp_peer_load_t reading = { .target = csp_hash_pair ("target", "t"),
                               .requests = 1,
                               .tokens = 3000,
-                              .reading_tokens = 3000 };
+                              .prefill_tokens = 3000 };
   csp_peer_load_t unknown_target = { .target = 1, .requests = 100 };
   int i;
 
   list ("t", "a", false, 0);
   list ("u", "a", false, 0);
-  csp_count_other_load (fleet, &reading);
-  csp_count_other_load (fleet, &unknown_target);
+  csp_add_peer_load (fleet, &reading);
+  csp_add_peer_load (fleet, &unknown_target);
   for (i = 0; i < 100; i++)
     ck_assert_str_eq (choose (need, 1), "u");
-  csp_clear_other_loads (fleet);
-  csp_find_fleet_target (fleet, "u")->own.reading_tokens = 3000;
+  csp_clear_peer_loads (fleet);
+  csp_find_fleet_target (fleet, "u")->own.prefill_tokens = 3000;
   for (i = 0; i < 100; i++)
     ck_assert_str_eq (choose (need, 1), "t");
 }
@@ -235,23 +235,23 @@
                            .requests = 3,
                            .tokens = 9000,
                            .backup_tokens = 8,
-                           .reading_tokens = 7,
+                           .prefill_tokens = 7,
                            .movable_tokens = 6 };
   const csp_fleet_load_t none = { 0 };
   uint64_t additions = csp_fleet_additions (fleet);
   csp_fleet_target_t *target;
 
-  csp_count_other_load (fleet, &load);
+  csp_add_peer_load (fleet, &load);
   target = list ("t", "a", false, 0);
   ck_assert_uint_eq (csp_fleet_additions (fleet), additions + 1);
   list ("t", "a", false, 0);
   ck_assert_uint_eq (csp_fleet_additions (fleet), additions + 1);
   ck_assert_mem_eq (&target->others, &none, sizeof none);
-  csp_count_other_load (fleet, &load);
-  csp_count_other_load (fleet, &load);
-  csp_uncount_other_load (fleet, &load);
+  csp_add_peer_load (fleet, &load);
+  csp_add_peer_load (fleet, &load);
+  csp_subtract_peer_load (fleet, &load);
   ck_assert_uint_eq (target->others.tokens, 9000);
-  csp_uncount_other_load (fleet, &load);
+  csp_subtract_peer_load (fleet, &load);
   ck_assert_mem_eq (&target->others, &none, sizeof none);
 }
 END_TEST
@@ -273,7 +273,7 @@
       snprintf (id, sizeof id, "t-%d", i);
       list (id, "a", false, 0);
       if (i % 3 == 0)
-        csp_unlist_target (fleet, id, 0);
+        csp_remove_target (fleet, id, 0);
     }
   csp_expire_targets (fleet, 1);
   ck_assert_uint_eq (csp_count_listed_targets (fleet), MANY - MANY / 3);
@@ -287,7 +287,7 @@
       target = csp_find_fleet_target (fleet, id);
       ck_assert_int_eq (target != NULL, i % 3 != 0);
       ck_assert_ptr_eq (
-          csp_find_hashed_target (fleet, csp_hash_pair ("target", id)),
+          csp_find_target_by_hash (fleet, csp_hash_pair ("target", id)),
           target);
       ck_assert (target == NULL || strcmp (target->row.id, id) == 0);
     }
@@ -319,7 +319,7 @@
   csp_fleet_target_t *busy = list ("u", "a", false, 0);
 
   full->own.backup_tokens = 27000;
-  busy->own.reading_tokens = 6000;
+  busy->own.prefill_tokens = 6000;
   busy->own.tokens = 6000;
   ck_assert_str_eq (choose (need, 1), "u");
   need.is_copy = true;
@@ -357,7 +357,7 @@
   ck_assert_int_eq (target->avoid_until_ms, 1750);
   ck_assert_str_eq (choose ((csp_fleet_need_t){ 0 }, 1500), "u");
   /* If there is no other target it is still tried.  */
-  csp_unlist_target (fleet, "u", 1500);
+  csp_remove_target (fleet, "u", 1500);
   ck_assert_str_eq (choose ((csp_fleet_need_t){ 0 }, 1500), "t");
 }
 END_TEST
--- a/tests/fleet/fleet-test.c
+++ b/tests/fleet/fleet-test.c
@@ -21,7 +21,7 @@
                            .engines = 12,
                            .load = load,
                            .duration_us = seconds * SECOND_US,
-                           .only = ALL_ORGANISATIONS,
+                           .only_organisation = ALL_ORGANISATIONS,
                            .length_factor = 1 };
 
   return plan;
@@ -48,11 +48,11 @@
   outcome_t *small;
   uint32_t i;
 
-  for (i = FIRST_SMALL; i < ORGANISATIONS; i++)
+  for (i = FIRST_SMALL_ORGANISATION; i < ORGANISATIONS; i++)
     {
       small = &results->organisations[i];
       ck_assert_uint_eq (count_unserved (small), 0);
-      ck_assert_double_le (first_quantile_s (small, 0.99), first_p99_s);
+      ck_assert_double_le (first_token_quantile_s (small, 0.99), first_p99_s);
     }
 }
 
@@ -68,13 +68,13 @@
 START_TEST (preemptions_are_rare)
 {
   arrivals_plan_t plan = plan_for (preemption_cases[_i].load, 900);
-  play_t first_come = default_play (DISPATCH_FIRST_COME);
-  play_t decisions = default_play (DISPATCH_DECISIONS);
+  play_t first_come = default_simulation_settings (DISPATCH_FIRST_COME);
+  play_t decisions = default_simulation_settings (DISPATCH_DECISIONS);
   results_t before;
   results_t now;
 
-  play_fleet (&first_come, &plan, &before);
-  play_fleet (&decisions, &plan, &now);
+  simulate_fleet (&first_come, &plan, &before);
+  simulate_fleet (&decisions, &plan, &now);
   ck_assert_double_gt (preempted_of_1000 (&before.all), 4);
   ck_assert_double_le (preempted_of_1000 (&now.all)
                            * preemption_cases[_i].min_ratio,
@@ -93,13 +93,13 @@
 START_TEST (saturation_by_the_largest)
 {
   arrivals_plan_t plan = plan_for (1.1, 600);
-  play_t decisions = default_play (DISPATCH_DECISIONS);
+  play_t decisions = default_simulation_settings (DISPATCH_DECISIONS);
   results_t at_1_1;
   results_t at_1_5;
 
-  play_fleet (&decisions, &plan, &at_1_1);
+  simulate_fleet (&decisions, &plan, &at_1_1);
   plan.load = 1.5;
-  play_fleet (&decisions, &plan, &at_1_5);
+  simulate_fleet (&decisions, &plan, &at_1_5);
   check_small (&at_1_5, 3);
   ck_assert_double_ge ((double)at_1_5.all.tokens,
                        0.97 * (double)at_1_1.all.tokens);
@@ -116,16 +116,16 @@
 START_TEST (a_burst)
 {
   arrivals_plan_t plan = plan_for (0.6, 300);
-  play_t decisions = default_play (DISPATCH_DECISIONS);
+  play_t decisions = default_simulation_settings (DISPATCH_DECISIONS);
   results_t now;
 
   plan.burst_from_us = 60 * SECOND_US;
   plan.burst_us = 20 * SECOND_US;
   plan.burst_factor = 4;
-  play_fleet (&decisions, &plan, &now);
+  simulate_fleet (&decisions, &plan, &now);
   check_small (&now, 3);
   ck_assert_double_le (preempted_of_1000 (&now.all), 2);
-  ck_assert_double_le (first_quantile_s (&now.all, 0.5), 0.3);
+  ck_assert_double_le (first_token_quantile_s (&now.all, 0.5), 0.3);
   free_results (&now);
 }
 END_TEST
@@ -135,12 +135,14 @@
 START_TEST (short_requests_among_long_ones)
 {
   arrivals_plan_t plan = plan_for (0.9, 600);
-  play_t decisions = default_play (DISPATCH_DECISIONS);
+  play_t decisions = default_simulation_settings (DISPATCH_DECISIONS);
   results_t now;
 
-  play_fleet (&decisions, &plan, &now);
-  ck_assert_double_le (first_quantile_s (&now.classes[CLASS_LOOKUP], 0.95), 1);
-  ck_assert_double_le (first_quantile_s (&now.classes[CLASS_LOOKUP], 0.99), 5);
+  simulate_fleet (&decisions, &plan, &now);
+  ck_assert_double_le (
+      first_token_quantile_s (&now.classes[CLASS_LOOKUP], 0.95), 1);
+  ck_assert_double_le (
+      first_token_quantile_s (&now.classes[CLASS_LOOKUP], 0.99), 5);
   ck_assert_uint_le (count_unserved (&now.all) * 50, now.all.requests);
   free_results (&now);
 }
@@ -152,15 +154,15 @@
 START_TEST (a_slow_target)
 {
   arrivals_plan_t plan = plan_for (0.7, 300);
-  play_t decisions = default_play (DISPATCH_DECISIONS);
+  play_t decisions = default_simulation_settings (DISPATCH_DECISIONS);
   results_t without;
   results_t with;
 
   decisions.slow_factor = 3;
-  decisions.slow_engine = 3;
-  play_fleet (&decisions, &plan, &with);
+  decisions.faulty_engine = 3;
+  simulate_fleet (&decisions, &plan, &with);
   decisions.no_health = true;
-  play_fleet (&decisions, &plan, &without);
+  simulate_fleet (&decisions, &plan, &without);
   ck_assert_double_gt (gap_quantile_ms (&without.all.gaps, 0.99), 100);
   ck_assert_double_lt (gap_quantile_ms (&with.all.gaps, 0.99), 75);
   ck_assert_uint_eq (count_unserved (&with.all), 0);
@@ -174,14 +176,14 @@
 START_TEST (a_wrong_length_estimate)
 {
   arrivals_plan_t plan = plan_for (0.4, 300);
-  play_t decisions = default_play (DISPATCH_DECISIONS);
+  play_t decisions = default_simulation_settings (DISPATCH_DECISIONS);
   results_t without;
   results_t with;
 
   plan.length_factor = 3;
-  play_fleet (&decisions, &plan, &with);
+  simulate_fleet (&decisions, &plan, &with);
   decisions.no_admission = true;
-  play_fleet (&decisions, &plan, &without);
+  simulate_fleet (&decisions, &plan, &without);
   ck_assert_double_gt (preempted_of_1000 (&without.all), 8);
   ck_assert_double_lt (preempted_of_1000 (&with.all) * 5,
                        preempted_of_1000 (&without.all));
@@ -197,7 +199,7 @@
 START_TEST (a_target_lost_at_saturation_returns)
 {
   arrivals_plan_t plan = plan_for (1.5, 200);
-  play_t with_shift = default_play (DISPATCH_DECISIONS);
+  play_t with_shift = default_simulation_settings (DISPATCH_DECISIONS);
   play_t without_shift;
   results_t with;
   results_t without;
@@ -208,19 +210,19 @@
 
   with_shift.lost_from_us = 100 * (int64_t)SECOND_US;
   with_shift.lost_until_us = 160 * (int64_t)SECOND_US;
-  with_shift.slow_engine = 3;
+  with_shift.faulty_engine = 3;
   without_shift = with_shift;
-  without_shift.no_shift = true;
+  without_shift.no_slow_start = true;
   for (plan.seed = 1; plan.seed <= 4; plan.seed++)
     {
-      play_fleet (&with_shift, &plan, &with);
-      play_fleet (&without_shift, &plan, &without);
+      simulate_fleet (&with_shift, &plan, &with);
+      simulate_fleet (&without_shift, &plan, &without);
       check_small (&with, 4);
       ck_assert_uint_le (with.all.lost, 15);
-      with_s += with.returned.prefill_s;
-      with_count += with.returned.first_count;
-      without_s += without.returned.prefill_s;
-      without_count += without.returned.first_count;
+      with_s += with.sent_after_return.sent_to_first_token_s;
+      with_count += with.sent_after_return.first_token_count;
+      without_s += without.sent_after_return.sent_to_first_token_s;
+      without_count += without.sent_after_return.first_token_count;
       free_results (&with);
       free_results (&without);
     }
@@ -236,13 +238,13 @@
 START_TEST (many_hosts_with_few_engines)
 {
   arrivals_plan_t plan = plan_for (0.9, 600);
-  play_t decisions = default_play (DISPATCH_DECISIONS);
+  play_t decisions = default_simulation_settings (DISPATCH_DECISIONS);
   results_t one_host;
   results_t hosts;
 
-  play_fleet (&decisions, &plan, &one_host);
+  simulate_fleet (&decisions, &plan, &one_host);
   decisions.hosts = 8;
-  play_fleet (&decisions, &plan, &hosts);
+  simulate_fleet (&decisions, &plan, &hosts);
   ck_assert_double_le (preempted_of_1000 (&hosts.all), 1);
   ck_assert_double_ge ((double)hosts.all.tokens,
                        0.97 * (double)one_host.all.tokens);
@@ -256,13 +258,13 @@
 START_TEST (results_are_reproducible)
 {
   arrivals_plan_t plan = plan_for (1.1, 60);
-  play_t decisions = default_play (DISPATCH_DECISIONS);
+  play_t decisions = default_simulation_settings (DISPATCH_DECISIONS);
   results_t one;
   results_t two;
 
   decisions.hosts = 3;
-  play_fleet (&decisions, &plan, &one);
-  play_fleet (&decisions, &plan, &two);
+  simulate_fleet (&decisions, &plan, &one);
+  simulate_fleet (&decisions, &plan, &two);
   ck_assert_uint_eq (one.all.tokens, two.all.tokens);
   ck_assert_uint_eq (one.all.refused, two.all.refused);
   free_results (&one);
--- a/tests/gateway/cordon-test.c
+++ b/tests/gateway/cordon-test.c
@@ -43,12 +43,12 @@
 
   cordon ("dc-a", true);
   send_text (caller, REQUEST ("/once/", "r1"));
-  link = target_accept (far);
-  target_read (link, 0);
+  link = accept_target_connection (far);
+  read_target_request (link, 0);
   send_text (link, ANSWER ("r1", "ok", "2"));
   ck_assert_ptr_nonnull (strstr (read_until (caller, "ok"), " 200 "));
   ck_assert_ptr_nonnull (
-      strstr (fixture_page (&stream.fixture, "/metrics"),
+      strstr (fixture_get_page (&stream.fixture, "/metrics"),
               "gateway_cordoned{data_centre=\"dc-a\"} 1\n"));
   close (caller);
   close (link);
@@ -87,10 +87,10 @@
   close (caller);
   caller = open_caller (&stream.fixture);
   send_text (caller, refusals[_i].request);
-  link = target_accept (strcmp (refusals[_i].service, "plain") == 0
-                            ? server
-                            : stream.listeners[0]);
-  target_read (link, 0);
+  link = accept_target_connection (strcmp (refusals[_i].service, "plain") == 0
+                                       ? server
+                                       : stream.listeners[0]);
+  read_target_request (link, 0);
   close (caller);
   close (link);
   close (server);
@@ -127,8 +127,8 @@
   stream.fixture.target_data_centre = NULL;
   fixture_mark_leaving (&stream.fixture, stream.listeners[0],
                         stream_engine_ids[0], "engines");
-  move_link = target_accept (stream.listeners[0]);
-  target_read (move_link, 0);
+  move_link = accept_target_connection (stream.listeners[0]);
+  read_target_request (move_link, 0);
   stream.fixture.target_data_centre = "dc-c";
   third = fixture_add_target (&stream.fixture, "t-2", "engines");
   stream.fixture.target_data_centre = NULL;
@@ -136,10 +136,11 @@
   ck_assert (await_close (move_link));
   close (move_link);
   csp_advance_fake_clock (&stream.fixture.fake_clock, 120);
-  move_link = target_accept (stream.listeners[0]);
+  move_link = accept_target_connection (stream.listeners[0]);
   snprintf (expected, sizeof expected, "&to=127.0.0.1:%u&last=0",
             get_port (third));
-  ck_assert_ptr_nonnull (strstr (target_read (move_link, 0), expected));
+  ck_assert_ptr_nonnull (
+      strstr (read_target_request (move_link, 0), expected));
   close (move_link);
   close (third);
   close (stream.source_link);
@@ -168,21 +169,21 @@
   cordon ("dc-a", true);
   fixture_mark_leaving (&stream.fixture, stream.listeners[0],
                         stream_engine_ids[0], "engines");
-  move_link = target_accept (stream.listeners[0]);
-  target_read (move_link, 0);
+  move_link = accept_target_connection (stream.listeners[0]);
+  read_target_request (move_link, 0);
   send_text (move_link, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nh1");
   close (move_link);
-  move_link = target_accept (stream.listeners[0]);
-  target_read (move_link, 0);
+  move_link = accept_target_connection (stream.listeners[0]);
+  read_target_request (move_link, 0);
   close (stream.source_link);
   csp_advance_fake_clock (&stream.fixture.fake_clock,
                           stop_delays[_i].elapsed_ms);
   send_text (move_link, "HTTP/1.1 503 No\r\nContent-Length: 2\r\n\r\nh1");
   if (stop_delays[_i].continues)
     {
-      link = target_accept (stream.listeners[0]);
+      link = accept_target_connection (stream.listeners[0]);
       ck_assert_ptr_nonnull (
-          strstr (target_read (link, 2), "Target-Id: t-0\r\n"));
+          strstr (read_target_request (link, 2), "Target-Id: t-0\r\n"));
       close (link);
     }
   else
@@ -197,10 +198,11 @@
 START_TEST (a_cordon_name_is_escaped_in_metrics)
 {
   cordon ("x\"} 7\nforged 1", true);
-  ck_assert_ptr_nonnull (strstr (fixture_page (&stream.fixture, "/metrics"),
-                                 "{data_centre=\"x\\\"} 7?forged 1\"} 1\n"));
+  ck_assert_ptr_nonnull (
+      strstr (fixture_get_page (&stream.fixture, "/metrics"),
+              "{data_centre=\"x\\\"} 7?forged 1\"} 1\n"));
   ck_assert_ptr_null (
-      strstr (fixture_page (&stream.fixture, "/metrics"), "\nforged"));
+      strstr (fixture_get_page (&stream.fixture, "/metrics"), "\nforged"));
 }
 END_TEST
 
--- a/tests/gateway/gateway-fixture.c
+++ b/tests/gateway/gateway-fixture.c
@@ -63,26 +63,26 @@
 }
 
 static const csp_dialect_t dialect
-    = { .names = { [CSP_NAME_REQUEST_ID] = "Request-Id",
-                   [CSP_NAME_TIME_LEFT] = "Time-Left",
-                   [CSP_NAME_KEY] = "Key",
-                   [CSP_NAME_TOKENS] = "Tokens",
-                   [CSP_NAME_OUTPUT_HINT] = "Output-Hint",
-                   [CSP_NAME_LAST_EVENT] = "Last-Event-Id",
-                   [CSP_NAME_ORGANISATION] = "Organisation",
-                   [CSP_NAME_TARGET_ID] = "Target-Id",
-                   [CSP_NAME_URGENCY] = "Urgency",
-                   [CSP_NAME_BACKUP] = "Backup",
-                   [CSP_NAME_GO_ON_FROM] = "Go-On-From",
-                   [CSP_NAME_SIGNATURE] = "Signature",
-                   [CSP_NAME_NOT_RUN] = "Not-Run",
-                   [CSP_NAME_LEAVING] = "Leaving" },
+    = { .names = { [CSP_HEADER_REQUEST_ID] = "Request-Id",
+                   [CSP_HEADER_REMAINING_TIME] = "Time-Left",
+                   [CSP_HEADER_KEY] = "Key",
+                   [CSP_HEADER_TOKENS] = "Tokens",
+                   [CSP_HEADER_OUTPUT_HINT] = "Output-Hint",
+                   [CSP_HEADER_LAST_EVENT] = "Last-Event-Id",
+                   [CSP_HEADER_ORGANISATION] = "Organisation",
+                   [CSP_HEADER_TARGET_ID] = "Target-Id",
+                   [CSP_HEADER_URGENCY] = "Urgency",
+                   [CSP_HEADER_BACKUP] = "Backup",
+                   [CSP_HEADER_CONTINUE_FROM] = "Go-On-From",
+                   [CSP_HEADER_SIGNATURE] = "Signature",
+                   [CSP_HEADER_NOT_RUN] = "Not-Run",
+                   [CSP_HEADER_LEAVING] = "Leaving" },
         .never_from_callers = never_from_callers,
         .write_move = write_move,
         .read_move = read_move,
         .write_report = write_report,
         .read_report = read_report,
-        .write_copy = write_copy };
+        .format_copy_source = write_copy };
 
 static void *
 run_gateway (void *state)
@@ -117,9 +117,9 @@
 {
   csp_gateway_settings_t settings = { .host = "host-a",
                                       .data_centre = "dc-a",
-                                      .front = loopback (0),
-                                      .ready = loopback (0),
-                                      .peers = *datagram_address,
+                                      .caller_address = loopback (0),
+                                      .readiness_address = loopback (0),
+                                      .datagram_address = *datagram_address,
                                       /* Hosts that tests simulate have no
                                          capacity, so that this host becomes
                                          the decider.  */
@@ -146,7 +146,7 @@
     }
   fixture->fake_clock.steady_ms = 1000000;
   fixture->fake_clock.wall_ms = 1000000;
-  clock = csp_clock_of_fake (&fixture->fake_clock);
+  clock = csp_clock_from_fake (&fixture->fake_clock);
   fixture->gateway = csp_create_gateway (&settings, &dialect, &clock, NULL,
                                          message, sizeof message);
   ck_assert_msg (fixture->gateway != NULL, "%s", message);
@@ -192,7 +192,7 @@
                         .timeout_ms = 4000,
                         .attempts_max = attempts,
                         .urgency = 2,
-                        .open_to_all = open_to_all,
+                        .allows_anonymous = open_to_all,
                         .share_count = 1,
                         .shares = { { service, 1 } } };
 
@@ -209,8 +209,8 @@
   csp_route_service_t plain = { .name = "plain" };
   csp_route_service_t engines = { .name = "engines",
                                   .is_engine = true,
-                                  .takes_backups = true,
-                                  .moves_runs = true,
+                                  .supports_kv_backups = true,
+                                  .supports_kv_moves = true,
                                   .memory_tokens = 100000,
                                   .copy_ms_per_token = 0.05 };
   csp_routes_t *routes = csp_create_routes (++fixture->routes_version, limits);
@@ -220,8 +220,8 @@
   ck_assert (csp_add_service (routes, &plain));
   ck_assert (csp_add_service (routes, &engines));
   add_route (routes, "/safe/", CSP_ROUTE_IDEMPOTENT, 2, "plain", false);
-  add_route (routes, "/once/", CSP_ROUTE_ONCE, 1, "plain", false);
-  add_route (routes, "/open/", CSP_ROUTE_ONCE, 1, "plain", true);
+  add_route (routes, "/once/", CSP_ROUTE_AT_MOST_ONCE, 1, "plain", false);
+  add_route (routes, "/open/", CSP_ROUTE_AT_MOST_ONCE, 1, "plain", true);
   add_route (routes, "/stream/", CSP_ROUTE_STREAM, 1, "engines", false);
   ck_assert (csp_add_organisation (routes, "org-a", 3));
   if (with_key)
@@ -269,7 +269,7 @@
   ck_assert_int_eq (listen (listener, 16), 0);
   setsockopt (listener, SOL_SOCKET, SO_RCVTIMEO, &wait, sizeof wait);
   send_target_row (fixture, listener, id, service, false);
-  fixture_send_update (fixture, CSP_UPDATE_LISTED);
+  fixture_send_update (fixture, CSP_UPDATE_TARGETS_LISTED);
   fixture_await_updates (fixture);
   return listener;
 }
@@ -313,13 +313,13 @@
 int
 open_caller (fixture_t *fixture)
 {
-  return connect_to (csp_gateway_front_port (fixture->gateway));
+  return connect_to (csp_gateway_caller_port (fixture->gateway));
 }
 
 const char *
-fixture_page (fixture_t *fixture, const char *path)
+fixture_get_page (fixture_t *fixture, const char *path)
 {
-  int caller = connect_to (csp_gateway_ready_port (fixture->gateway));
+  int caller = connect_to (csp_gateway_readiness_port (fixture->gateway));
   char request[200];
   const char *answer;
   bool reset;
@@ -344,7 +344,7 @@
   fixture_publish_routes (fixture, true);
   snprintf (expected, sizeof expected, "routes_version %llu",
             (unsigned long long)fixture->routes_version);
-  while (strstr (fixture_page (fixture, "/metrics"), expected) == NULL)
+  while (strstr (fixture_get_page (fixture, "/metrics"), expected) == NULL)
     continue;
 }
 
@@ -415,7 +415,7 @@
 }
 
 int
-target_accept (int listener)
+accept_target_connection (int listener)
 {
   int target = accept4 (listener, NULL, NULL, SOCK_CLOEXEC);
   struct timeval wait = { .tv_sec = WAIT_S };
@@ -426,7 +426,7 @@
 }
 
 const char *
-target_read (int socket, size_t body_bytes)
+read_target_request (int socket, size_t body_bytes)
 {
   size_t size_bytes = 0;
   const char *end = NULL;
--- a/tests/gateway/gateway-fixture.h
+++ b/tests/gateway/gateway-fixture.h
@@ -68,7 +68,7 @@
 void fixture_await_updates (fixture_t *fixture);
 
 /* Fetch a page of the readiness listener.  Returns the whole answer.  */
-const char *fixture_page (fixture_t *fixture, const char *path);
+const char *fixture_get_page (fixture_t *fixture, const char *path);
 
 /* A caller: connect, send bytes and read.  */
 int open_caller (fixture_t *fixture);
@@ -89,8 +89,8 @@
 
 /* A target: accept a connection, and read a request with this many body
    bytes.  */
-int target_accept (int listener);
-const char *target_read (int socket, size_t body_bytes);
+int accept_target_connection (int listener);
+const char *read_target_request (int socket, size_t body_bytes);
 
 /* Close with a reset, so that the peer doesn't see an orderly end.  */
 void reset_socket (int socket);
--- a/tests/gateway/gateway-test.c
+++ b/tests/gateway/gateway-test.c
@@ -36,8 +36,8 @@
                      "Secret: 1\r\nGo-On-From: 1.2.3.4:5/6\r\n"
                      "Connection: X-Hop\r\nX-Hop: 1\r\nX-Kept: a b\r\n"
                      "Content-Length: 4\r\n\r\nbody");
-  link = target_accept (target);
-  text = target_read (link, 4);
+  link = accept_target_connection (target);
+  text = read_target_request (link, 4);
   ck_assert_ptr_nonnull (strstr (text, "POST /once/x?y=%20z HTTP/1.1\r\n"));
   ck_assert_ptr_nonnull (strstr (text, "Host: h:80\r\n"));
   ck_assert_ptr_nonnull (strstr (text, "Request-Id: r1\r\n"));
@@ -104,7 +104,8 @@
   int caller;
 
   fixture_open (&fresh);
-  ck_assert_ptr_nonnull (strstr (fixture_page (&fresh, "/readyz"), " 503 "));
+  ck_assert_ptr_nonnull (
+      strstr (fixture_get_page (&fresh, "/readyz"), " 503 "));
   caller = open_caller (&fresh);
   send_text (caller, REQUEST ("/once/", "r1"));
   text = read_until (caller, "\r\n\r\n");
@@ -122,12 +123,14 @@
   int link;
 
   send_text (caller, REQUEST ("/once/", "r1") REQUEST ("/once/", "r2"));
-  link = target_accept (target);
-  ck_assert_ptr_nonnull (strstr (target_read (link, 0), "Request-Id: r1"));
+  link = accept_target_connection (target);
+  ck_assert_ptr_nonnull (
+      strstr (read_target_request (link, 0), "Request-Id: r1"));
   send_text (link, ANSWER ("r1", "one", "3"));
   read_until (caller, "one");
   /* The second request uses the kept connection.  */
-  ck_assert_ptr_nonnull (strstr (target_read (link, 0), "Request-Id: r2"));
+  ck_assert_ptr_nonnull (
+      strstr (read_target_request (link, 0), "Request-Id: r2"));
   send_text (link, ANSWER ("r2", "two", "3"));
   read_until (caller, "two");
   close (caller);
@@ -160,8 +163,8 @@
       send_text (caller, "\r\n");
     }
   /* The target gets the first part before the rest is sent.  */
-  link = target_accept (target);
-  text = target_read (link, PIECE_BYTES);
+  link = accept_target_connection (target);
+  text = read_target_request (link, PIECE_BYTES);
   ck_assert_ptr_nonnull (strstr (text, "Transfer-Encoding: chunked\r\n"));
   for (; *text != '\0'; text++)
     got_bytes += *text == 'p';
@@ -229,8 +232,8 @@
   int link;
 
   send_text (caller, REQUEST ("/once/", "r1"));
-  link = target_accept (target);
-  target_read (link, 0);
+  link = accept_target_connection (target);
+  read_target_request (link, 0);
   send_text (link, attempt_endings[_i].answer);
   close (link);
   text = read_until (caller, "\r\n\r\n");
@@ -252,8 +255,8 @@
   int link;
 
   send_text (caller, REQUEST ("/once/", "r1"));
-  link = target_accept (target);
-  target_read (link, 0);
+  link = accept_target_connection (target);
+  read_target_request (link, 0);
   send_text (link, "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nSignature: s\r\n\r\n"
                    "half");
   reset_socket (link);
@@ -274,12 +277,12 @@
   int link;
 
   send_text (caller, REQUEST ("/once/", "r1"));
-  link = target_accept (target);
-  target_read (link, 0);
+  link = accept_target_connection (target);
+  read_target_request (link, 0);
   send_text (link, ANSWER ("r1", "one", "3"));
   read_until (caller, "one");
   send_text (caller, REQUEST ("/once/", "r2"));
-  target_read (link, 0);
+  read_target_request (link, 0);
   send_text (link, ANSWER ("r1", "one", "3") ANSWER ("r2", "two", "3"));
   ck_assert_ptr_nonnull (strstr (read_until (caller, "\r\n\r\n"), " 502 "));
   ck_assert (await_close (link));
@@ -300,14 +303,14 @@
   int link;
 
   send_text (caller, REQUEST ("/safe/", "r1"));
-  link = target_accept (first);
-  target_read (link, 0);
+  link = accept_target_connection (first);
+  read_target_request (link, 0);
   second = fixture_add_target (&fixture, "t-2", "plain");
   send_text (link, "HTTP/1.1 500 Oops\r\nRequest-Id: r1\r\n"
                    "Signature: s\r\nContent-Length: 0\r\n\r\n");
   close (link);
-  link = target_accept (second);
-  target_read (link, 0);
+  link = accept_target_connection (second);
+  read_target_request (link, 0);
   send_text (link, ANSWER ("r1", "ok", "2"));
   text = read_until (caller, "ok");
   ck_assert_ptr_nonnull (strstr (text, " 200 "));
@@ -327,8 +330,8 @@
   int link;
 
   send_text (caller, REQUEST ("/stream/", "r1"));
-  link = target_accept (target);
-  target_read (link, 0);
+  link = accept_target_connection (target);
+  read_target_request (link, 0);
   close (caller);
   ck_assert (await_close (link));
   close (link);
@@ -345,10 +348,10 @@
   int link;
 
   send_text (caller, REQUEST ("/once/", "r1"));
-  link = target_accept (target);
-  target_read (link, 0);
+  link = accept_target_connection (target);
+  read_target_request (link, 0);
   fixture_publish_routes (&fixture, false);
-  while (strstr (fixture_page (&fixture, "/metrics"), "routes_version 3")
+  while (strstr (fixture_get_page (&fixture, "/metrics"), "routes_version 3")
          == NULL)
     continue;
   send_text (link, ANSWER ("r1", "ok", "2"));
@@ -375,14 +378,14 @@
   fixture_publish_routes (&fixture, false);
   /* Updates are handled in order.  */
   fixture_list_target (&fixture, target, "t-2", "engines");
-  while (strstr (fixture_page (&fixture, "/metrics"),
+  while (strstr (fixture_get_page (&fixture, "/metrics"),
                  "cowslipspoke_gateway_targets 2\n")
          == NULL)
     continue;
   send_text (caller, REQUEST ("/once/", "r1"));
-  link = target_accept (target);
+  link = accept_target_connection (target);
   ck_assert_ptr_nonnull (
-      strstr (target_read (link, 0), "Organisation: org-a\r\n"));
+      strstr (read_target_request (link, 0), "Organisation: org-a\r\n"));
   close (caller);
   close (link);
   close (target);
--- a/tests/gateway/lease-test.c
+++ b/tests/gateway/lease-test.c
@@ -61,8 +61,9 @@
   FD_SET (targets[0], &ready);
   FD_SET (targets[1], &ready);
   ck_assert_int_eq (select (max_fd + 1, &ready, NULL, NULL, NULL), 1);
-  link = target_accept (targets[FD_ISSET (targets[1], &ready) ? 1 : 0]);
-  target_read (link, 0);
+  link = accept_target_connection (
+      targets[FD_ISSET (targets[1], &ready) ? 1 : 0]);
+  read_target_request (link, 0);
   return link;
 }
 
@@ -110,14 +111,16 @@
 static uint32_t
 request_leases (int peer_socket, uint64_t sequence, uint32_t amount)
 {
-  csp_hello_t hello = { .boot = 1, .sequence = sequence, .want_count = 1 };
+  csp_hello_t hello
+      = { .boot = 1, .sequence = sequence, .lease_request_count = 1 };
   char datagram[CSP_HELLO_MAX_BYTES];
   csp_buffer_t bytes = { 0 };
 
-  hello.wants[0] = (csp_hello_lease_t){ .service = (uint32_t)csp_hash_pair (
-                                            "service", "plain"),
-                                        .id = sequence,
-                                        .amount = amount };
+  hello.lease_requests[0]
+      = (csp_hello_lease_t){ .service
+                             = (uint32_t)csp_hash_pair ("service", "plain"),
+                             .id = sequence,
+                             .amount = amount };
   ck_assert (csp_encode_hello (&hello, &bytes));
   ck_assert_int_gt (sendto (peer_socket, bytes.data, bytes.size_bytes, 0,
                             (struct sockaddr *)&datagram_address,
--- a/tests/gateway/leave-test.c
+++ b/tests/gateway/leave-test.c
@@ -28,8 +28,8 @@
   add_second_engine ();
   fixture_mark_leaving (&stream.fixture, stream.listeners[0],
                         stream_engine_ids[0], "engines");
-  move_link = target_accept (stream.listeners[0]);
-  text = target_read (move_link, 0);
+  move_link = accept_target_connection (stream.listeners[0]);
+  text = read_target_request (move_link, 0);
   snprintf (expected, sizeof expected, "/move?id=r1&to=127.0.0.1:%u&last=0",
             get_port (stream.listeners[1]));
   ck_assert_msg (strstr (text, expected) != NULL, "%s", text);
@@ -37,14 +37,15 @@
   read_until (stream.caller, "two\n\n");
   send_text (move_link, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nh1");
   close (move_link);
-  move_link = target_accept (stream.listeners[0]);
-  ck_assert_ptr_nonnull (strstr (target_read (move_link, 0), "last=1"));
+  move_link = accept_target_connection (stream.listeners[0]);
+  ck_assert_ptr_nonnull (
+      strstr (read_target_request (move_link, 0), "last=1"));
   send_chunk (stream.source_link, EVENT ("3", "three"));
   close (stream.source_link);
   read_until (stream.caller, "three\n\n");
   send_text (move_link, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nh1");
-  link = target_accept (stream.listeners[1]);
-  text = target_read (link, 2);
+  link = accept_target_connection (stream.listeners[1]);
+  text = read_target_request (link, 2);
   snprintf (expected, sizeof expected, "Go-On-From: 127.0.0.1:%u/h1\r\n",
             get_port (stream.listeners[0]));
   ck_assert_msg (strstr (text, expected) != NULL, "%s", text);
@@ -70,12 +71,12 @@
   add_second_engine ();
   fixture_mark_leaving (&stream.fixture, stream.listeners[0],
                         stream_engine_ids[0], "engines");
-  move_link = target_accept (stream.listeners[0]);
-  target_read (move_link, 0);
+  move_link = accept_target_connection (stream.listeners[0]);
+  read_target_request (move_link, 0);
   send_text (move_link, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nh1");
   close (move_link);
-  move_link = target_accept (stream.listeners[0]);
-  target_read (move_link, 0);
+  move_link = accept_target_connection (stream.listeners[0]);
+  read_target_request (move_link, 0);
   return move_link;
 }
 
@@ -88,8 +89,9 @@
 
   close (stream.source_link);
   send_text (move_link, "HTTP/1.1 503 No\r\nContent-Length: 2\r\n\r\nh1");
-  link = target_accept (stream.listeners[0]);
-  ck_assert_ptr_nonnull (strstr (target_read (link, 2), "Target-Id: t-0\r\n"));
+  link = accept_target_connection (stream.listeners[0]);
+  ck_assert_ptr_nonnull (
+      strstr (read_target_request (link, 2), "Target-Id: t-0\r\n"));
   send_text (link, STREAM_HEAD);
   send_chunk (link, EVENT ("2", "two"));
   read_until (stream.caller, "two\n\n");
@@ -112,8 +114,9 @@
   fixture_await_updates (&stream.fixture);
   close (stream.source_link);
   send_text (move_link, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nh1");
-  link = target_accept (stream.listeners[0]);
-  ck_assert_ptr_nonnull (strstr (target_read (link, 2), "Target-Id: t-0\r\n"));
+  link = accept_target_connection (stream.listeners[0]);
+  ck_assert_ptr_nonnull (
+      strstr (read_target_request (link, 2), "Target-Id: t-0\r\n"));
   close (link);
   close (move_link);
 }
@@ -129,8 +132,8 @@
   int link;
 
   send_text (caller, REQUEST ("/stream/", "r2"));
-  link = target_accept (stream.listeners[1]);
-  target_read (link, 0);
+  link = accept_target_connection (stream.listeners[1]);
+  read_target_request (link, 0);
   send_text (link, "HTTP/1.1 503 Busy\r\nNot-Run: 1\r\nRetry-After: 5\r\n"
                    "Content-Length: 0\r\n\r\n");
   read_until (caller, " 503 ");
@@ -138,8 +141,9 @@
   close (caller);
   close (stream.source_link);
   send_text (move_link, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nh1");
-  link = target_accept (stream.listeners[0]);
-  ck_assert_ptr_nonnull (strstr (target_read (link, 2), "Target-Id: t-0\r\n"));
+  link = accept_target_connection (stream.listeners[0]);
+  ck_assert_ptr_nonnull (
+      strstr (read_target_request (link, 2), "Target-Id: t-0\r\n"));
   close (link);
   close (move_link);
 }
@@ -159,18 +163,19 @@
   add_second_engine ();
   fixture_mark_leaving (&stream.fixture, stream.listeners[0],
                         stream_engine_ids[0], "engines");
-  move_link = target_accept (stream.listeners[0]);
-  target_read (move_link, 0);
+  move_link = accept_target_connection (stream.listeners[0]);
+  read_target_request (move_link, 0);
   third = fixture_add_target (&stream.fixture, "t-2", "engines");
   fixture_mark_leaving (&stream.fixture, stream.listeners[1],
                         stream_engine_ids[1], "engines");
   ck_assert (await_close (move_link));
   close (move_link);
   csp_advance_fake_clock (&stream.fixture.fake_clock, 120);
-  move_link = target_accept (stream.listeners[0]);
+  move_link = accept_target_connection (stream.listeners[0]);
   snprintf (expected, sizeof expected, "&to=127.0.0.1:%u&last=0",
             get_port (third));
-  ck_assert_ptr_nonnull (strstr (target_read (move_link, 0), expected));
+  ck_assert_ptr_nonnull (
+      strstr (read_target_request (move_link, 0), expected));
   close (move_link);
   close (third);
   close (stream.source_link);
@@ -190,7 +195,7 @@
   finish_stream (stream.source_link);
   close (stream.source_link);
   ck_assert_ptr_nonnull (
-      strstr (fixture_page (&stream.fixture, "/metrics"),
+      strstr (fixture_get_page (&stream.fixture, "/metrics"),
               "cowslipspoke_organisation_time_to_first_token_seconds_count{"
               "organisation=\"org-a\"} 1\n"));
 }
@@ -206,8 +211,9 @@
   start_stream (true);
   fixture_mark_leaving (&stream.fixture, stream.listeners[stream.source],
                         stream_engine_ids[stream.source], "engines");
-  move_link = target_accept (stream.listeners[stream.source]);
-  ck_assert_ptr_nonnull (strstr (target_read (move_link, 0), "last=0"));
+  move_link = accept_target_connection (stream.listeners[stream.source]);
+  ck_assert_ptr_nonnull (
+      strstr (read_target_request (move_link, 0), "last=0"));
   close (move_link);
   close (stream.source_link);
 }
@@ -223,8 +229,9 @@
                         stream_engine_ids[stream.source], "engines");
   ck_assert (await_close (stream.source_link));
   close (stream.source_link);
-  link = target_accept (stream.listeners[1 - stream.source]);
-  ck_assert_ptr_nonnull (strstr (target_read (link, 2), "Go-On-From: "));
+  link = accept_target_connection (stream.listeners[1 - stream.source]);
+  ck_assert_ptr_nonnull (
+      strstr (read_target_request (link, 2), "Go-On-From: "));
   send_text (link, STREAM_HEAD);
   send_chunk (link, EVENT ("2", "two"));
   read_until (stream.caller, "two\n\n");
@@ -251,8 +258,9 @@
                         stream_engine_ids[stream.source], "engines");
   ck_assert (await_close (stream.source_link));
   close (stream.source_link);
-  link = target_accept (stream.listeners[1 - stream.source]);
-  ck_assert_ptr_nonnull (strstr (target_read (link, 2), "Go-On-From: "));
+  link = accept_target_connection (stream.listeners[1 - stream.source]);
+  ck_assert_ptr_nonnull (
+      strstr (read_target_request (link, 2), "Go-On-From: "));
   close (link);
 }
 END_TEST
@@ -271,8 +279,9 @@
                         stream_engine_ids[0], "engines");
   fixture_await_updates (&stream.fixture);
   csp_advance_fake_clock (&stream.fixture.fake_clock, 600);
-  move_link = target_accept (stream.listeners[0]);
-  ck_assert_ptr_nonnull (strstr (target_read (move_link, 0), "last=0"));
+  move_link = accept_target_connection (stream.listeners[0]);
+  ck_assert_ptr_nonnull (
+      strstr (read_target_request (move_link, 0), "last=0"));
   close (move_link);
   close (stream.source_link);
 }
@@ -283,7 +292,7 @@
 static void
 silence_platform (int64_t silent_ms)
 {
-  fixture_send_update (&stream.fixture, CSP_UPDATE_PLATFORM_HEARD);
+  fixture_send_update (&stream.fixture, CSP_UPDATE_PLATFORM_READ);
   fixture_await_updates (&stream.fixture);
   csp_advance_fake_clock (&stream.fixture.fake_clock, silent_ms);
 }
@@ -295,7 +304,7 @@
 
   snprintf (text, sizeof text,
             "cowslipspoke_gateway_target_reports_total %d\n", query_count);
-  return strstr (fixture_page (&stream.fixture, "/metrics"), text) != NULL;
+  return strstr (fixture_get_page (&stream.fixture, "/metrics"), text) != NULL;
 }
 
 /* The platform's store is down while the engine is told to leave, so the list
@@ -310,12 +319,13 @@
   fixture_await_updates (&stream.fixture);
   ck_assert (has_query_count (0));
   csp_advance_fake_clock (&stream.fixture.fake_clock, 300);
-  report = target_accept (stream.listeners[0]);
-  ck_assert_ptr_nonnull (strstr (target_read (report, 0), "GET /report"));
+  report = accept_target_connection (stream.listeners[0]);
+  ck_assert_ptr_nonnull (
+      strstr (read_target_request (report, 0), "GET /report"));
   add_second_engine ();
   send_text (report, "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\nleaving");
   /* The connection is used again, as its state is known.  */
-  ck_assert_ptr_nonnull (strstr (target_read (report, 0), "last=0"));
+  ck_assert_ptr_nonnull (strstr (read_target_request (report, 0), "last=0"));
   close (report);
   close (stream.source_link);
 }
@@ -331,14 +341,15 @@
 
   start_stream (false);
   silence_platform (800);
-  report = target_accept (stream.listeners[0]);
-  target_read (report, 0);
+  report = accept_target_connection (stream.listeners[0]);
+  read_target_request (report, 0);
   send_text (report, "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=9\r\n"
                      "Content-Length: 2\r\n\r\nok");
-  fixture_send_update (&stream.fixture, CSP_UPDATE_PLATFORM_HEARD);
+  fixture_send_update (&stream.fixture, CSP_UPDATE_PLATFORM_READ);
   fixture_await_updates (&stream.fixture);
   csp_advance_fake_clock (&stream.fixture.fake_clock, 450);
-  ck_assert_ptr_nonnull (strstr (target_read (report, 0), "GET /report"));
+  ck_assert_ptr_nonnull (
+      strstr (read_target_request (report, 0), "GET /report"));
   send_text (report, "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=9\r\n"
                      "Content-Length: 2\r\n\r\nok");
   send_chunk (stream.source_link, EVENT ("2", "two"));
@@ -403,7 +414,7 @@
   size_t i;
 
   send_hello (&hello);
-  while (strstr (fixture_page (&stream.fixture, "/metrics"),
+  while (strstr (fixture_get_page (&stream.fixture, "/metrics"),
                  "cowslipspoke_gateway_peers 1\n")
          == NULL)
     continue;
@@ -414,8 +425,8 @@
       send_text (callers[i], "GET /stream/ HTTP/1.1\r\nHost: h\r\n"
                              "Key: key-a\r\nRequest-Id: r1\r\n"
                              "Tokens: 100,2000\r\n\r\n");
-      links[i] = target_accept (stream.listeners[0]);
-      target_read (links[i], 0);
+      links[i] = accept_target_connection (stream.listeners[0]);
+      read_target_request (links[i], 0);
     }
   for (i = 0; i < 2; i++)
     {
@@ -480,7 +491,7 @@
                             sizeof stream.datagram_address),
                     (int)bytes.size_bytes);
   csp_clear_buffer (&bytes);
-  while (strstr (fixture_page (&stream.fixture, "/metrics"),
+  while (strstr (fixture_get_page (&stream.fixture, "/metrics"),
                  "cowslipspoke_gateway_peers 1\n")
          == NULL)
     continue;
@@ -516,18 +527,20 @@
    The other hosts move their streams when they get its notice.  */
 START_TEST (a_leaving_notice_of_another_host_moves_streams)
 {
-  csp_hello_t hello = { .boot = 1,
-                        .sequence = 1,
-                        .leaving = true,
-                        .left_count = 2,
-                        .left = { 77, csp_hash_pair ("target", "t-0") } };
+  csp_hello_t hello
+      = { .boot = 1,
+          .sequence = 1,
+          .leaving = true,
+          .left_count = 2,
+          .leaving_targets = { 77, csp_hash_pair ("target", "t-0") } };
   int move_link;
 
   start_stream (false);
   add_second_engine ();
   send_hello (&hello);
-  move_link = target_accept (stream.listeners[0]);
-  ck_assert_ptr_nonnull (strstr (target_read (move_link, 0), "last=0"));
+  move_link = accept_target_connection (stream.listeners[0]);
+  ck_assert_ptr_nonnull (
+      strstr (read_target_request (move_link, 0), "last=0"));
   close (move_link);
   close (stream.source_link);
 }
@@ -541,7 +554,8 @@
 
   snprintf (expected, sizeof expected,
             "cowslipspoke_gateway_stream_moves_failed_total %d\n", count);
-  while (strstr (fixture_page (&stream.fixture, "/metrics"), expected) == NULL)
+  while (strstr (fixture_get_page (&stream.fixture, "/metrics"), expected)
+         == NULL)
     usleep (1000);
 }
 
@@ -559,8 +573,9 @@
                         stream_engine_ids[0], "engines");
   for (tries = 0; tries < 8; tries++)
     {
-      move_link = target_accept (stream.listeners[0]);
-      ck_assert_ptr_nonnull (strstr (target_read (move_link, 0), "last=0"));
+      move_link = accept_target_connection (stream.listeners[0]);
+      ck_assert_ptr_nonnull (
+          strstr (read_target_request (move_link, 0), "last=0"));
       send_text (move_link, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
       close (move_link);
       await_failed_moves (tries + 1);
--- a/tests/gateway/quarantine-test.c
+++ b/tests/gateway/quarantine-test.c
@@ -76,8 +76,8 @@
   int link;
 
   send_request (caller, target_id, body);
-  link = target_accept (listener);
-  target_read (link, strlen (body));
+  link = accept_target_connection (listener);
+  read_target_request (link, strlen (body));
   close (listener);
   close (link);
   ck_assert_ptr_nonnull (strstr (read_until (caller, "\r\n\r\n"), " 502 "));
@@ -114,7 +114,8 @@
 static void
 await_quarantine (fixture_t *host)
 {
-  while (strstr (fixture_page (host, "/metrics"), "_quarantined 1\n") == NULL)
+  while (strstr (fixture_get_page (host, "/metrics"), "_quarantined 1\n")
+         == NULL)
     continue;
 }
 
@@ -153,8 +154,8 @@
   int link;
 
   send_request (caller, "waits", "poison");
-  link = target_accept (listener);
-  target_read (link, strlen ("poison"));
+  link = accept_target_connection (listener);
+  read_target_request (link, strlen ("poison"));
   fixture_remove_target (&hosts[0], "t-4");
   end_target_during_request (&hosts[0], "t-1", "poison");
   end_target_during_request (&hosts[0], "t-2", "poison");
@@ -178,8 +179,8 @@
   int link;
 
   send_request (caller, id, body);
-  link = target_accept (listener);
-  target_read (link, strlen (body));
+  link = accept_target_connection (listener);
+  read_target_request (link, strlen (body));
   snprintf (answer, sizeof answer,
             "HTTP/1.1 %s\r\nRequest-Id: %s\r\nSignature: s\r\n"
             "Content-Length: 2\r\n\r\nok",
--- a/tests/gateway/reach-test.c
+++ b/tests/gateway/reach-test.c
@@ -30,7 +30,7 @@
 static void
 await_readiness (const char *status)
 {
-  while (strstr (fixture_page (&fixture, "/readyz"), status) == NULL)
+  while (strstr (fixture_get_page (&fixture, "/readyz"), status) == NULL)
     continue;
 }
 
@@ -51,13 +51,14 @@
   engine = fixture_add_target (&fixture, "t-1", "engines");
   await_readiness (" 200 ");
   send_text (caller, STREAM_REQUEST ("r1"));
-  link = target_accept (engine);
-  target_read (link, 2);
+  link = accept_target_connection (engine);
+  read_target_request (link, 2);
   reset_socket (link);
   ck_assert_ptr_nonnull (strstr (read_until (caller, "\r\n\r\n"), " 502 "));
   /* Only a status query, which may be repeated, is sent there.  */
-  link = target_accept (engine);
-  ck_assert_ptr_nonnull (strstr (target_read (link, 0), "GET /report"));
+  link = accept_target_connection (engine);
+  ck_assert_ptr_nonnull (
+      strstr (read_target_request (link, 0), "GET /report"));
   send_text (second, STREAM_REQUEST ("r2"));
   text = read_until (second, "can take it");
   ck_assert_ptr_nonnull (strstr (text, " 503 "));
@@ -79,8 +80,8 @@
   close (link);
   /* The other data centre is reachable again, and the next status query is
      answered.  */
-  link = target_accept (engine);
-  target_read (link, 0);
+  link = accept_target_connection (engine);
+  read_target_request (link, 0);
   send_text (link, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
   await_readiness (" 200 ");
   close (link);
@@ -100,8 +101,8 @@
   fixture.target_data_centre = "dc-b";
   remote_target = fixture_add_target (&fixture, "t-1", "engines");
   send_text (caller, STREAM_REQUEST ("r1"));
-  link = target_accept (remote_target);
-  target_read (link, 2);
+  link = accept_target_connection (remote_target);
+  read_target_request (link, 2);
   fixture.target_data_centre = NULL;
   local_target = fixture_add_target (&fixture, "t-2", "engines");
   reset_socket (link);
@@ -109,8 +110,9 @@
   csp_advance_fake_clock (&fixture.fake_clock, 400);
   await_readiness (" 200 ");
   send_text (caller, STREAM_REQUEST ("r2"));
-  link = target_accept (local_target);
-  ck_assert_ptr_nonnull (strstr (target_read (link, 2), "Request-Id: r2"));
+  link = accept_target_connection (local_target);
+  ck_assert_ptr_nonnull (
+      strstr (read_target_request (link, 2), "Request-Id: r2"));
   close (link);
   close (caller);
   close (local_target);
--- a/tests/gateway/stop-test.c
+++ b/tests/gateway/stop-test.c
@@ -40,13 +40,14 @@
   const char *text;
   int link;
 
-  ck_assert_ptr_nonnull (strstr (fixture_page (&fixture, "/readyz"), " 200 "));
+  ck_assert_ptr_nonnull (
+      strstr (fixture_get_page (&fixture, "/readyz"), " 200 "));
   fixture_send_update (&fixture, CSP_UPDATE_STOP);
-  while (strstr (fixture_page (&fixture, "/readyz"), " 503 ") == NULL)
+  while (strstr (fixture_get_page (&fixture, "/readyz"), " 503 ") == NULL)
     continue;
   send_text (caller, REQUEST ("/once/", "r1"));
-  link = target_accept (target);
-  target_read (link, 0);
+  link = accept_target_connection (target);
+  read_target_request (link, 0);
   send_text (late_caller, "GET /stream/ HTTP/1.1\r\n");
   csp_advance_fake_clock (&fixture.fake_clock, 2600);
   send_text (link, ANSWER ("r1", "ok", "2"));
@@ -88,8 +89,9 @@
   send_text (short_caller, "GET /stream/ HTTP/1.1\r\nHost: h\r\nKey: key-a\r\n"
                            "Request-Id: r2\r\nTokens: 100,2000\r\n"
                            "Output-Hint: 200\r\n\r\n");
-  link = target_accept (engine);
-  ck_assert_ptr_nonnull (strstr (target_read (link, 0), "Request-Id: r2\r\n"));
+  link = accept_target_connection (engine);
+  ck_assert_ptr_nonnull (
+      strstr (read_target_request (link, 0), "Request-Id: r2\r\n"));
   close (long_caller);
   close (short_caller);
   close (link);
--- a/tests/gateway/stream-fixture.c
+++ b/tests/gateway/stream-fixture.c
@@ -73,8 +73,9 @@
                         1);
       stream.source = FD_ISSET (stream.listeners[1], &ready);
     }
-  stream.source_link = target_accept (stream.listeners[stream.source]);
-  text = target_read (stream.source_link, 2);
+  stream.source_link
+      = accept_target_connection (stream.listeners[stream.source]);
+  text = read_target_request (stream.source_link, 2);
   ck_assert_int_eq (strstr (text, "Backup: ") != NULL, with_backup);
   send_text (stream.source_link, STREAM_HEAD);
   send_chunk (stream.source_link, EVENT ("1", "one"));
--- a/tests/gateway/stream-test.c
+++ b/tests/gateway/stream-test.c
@@ -21,8 +21,8 @@
   start_stream (true);
   send_chunk (stream.source_link, "id: 2\ndata: tw");
   reset_socket (stream.source_link);
-  link = target_accept (stream.listeners[1 - stream.source]);
-  text = target_read (link, 2);
+  link = accept_target_connection (stream.listeners[1 - stream.source]);
+  text = read_target_request (link, 2);
   snprintf (expected, sizeof expected, "Go-On-From: 127.0.0.1:%u/r1\r\n",
             get_port (stream.listeners[1 - stream.source]));
   ck_assert_msg (strstr (text, expected) != NULL, "%s", text);
@@ -65,8 +65,8 @@
 
   start_stream (true);
   reset_socket (stream.source_link);
-  link = target_accept (stream.listeners[1 - stream.source]);
-  target_read (link, 2);
+  link = accept_target_connection (stream.listeners[1 - stream.source]);
+  read_target_request (link, 2);
   send_text (link, "HTTP/1.1 503 No\r\nNot-Run: 1\r\n"
                    "Content-Length: 0\r\n\r\n");
   ck_assert_ptr_null (
@@ -83,8 +83,9 @@
 
   start_stream (true);
   csp_advance_fake_clock (&stream.fixture.fake_clock, 1000);
-  link = target_accept (stream.listeners[1 - stream.source]);
-  ck_assert_ptr_nonnull (strstr (target_read (link, 2), "Go-On-From: "));
+  link = accept_target_connection (stream.listeners[1 - stream.source]);
+  ck_assert_ptr_nonnull (
+      strstr (read_target_request (link, 2), "Go-On-From: "));
   ck_assert (await_close (stream.source_link));
   close (stream.source_link);
   send_text (link, STREAM_HEAD);
--- a/tests/gateway/target-says-test.c
+++ b/tests/gateway/target-says-test.c
@@ -55,8 +55,8 @@
             "Request-Id: r1\r\nTime-Left: 3000\r\n\r\n",
             path);
   send_text (caller, request);
-  first_link = target_accept (first);
-  target_read (first_link, 0);
+  first_link = accept_target_connection (first);
+  read_target_request (first_link, 0);
   send_text (first_link, answer);
   read_until (caller, "\r\n\r\n");
   close (caller);
@@ -99,7 +99,7 @@
   if (ready[3].revents != 0)
     snprintf (refusal, sizeof refusal, "%s", read_until (caller, "\r\n\r\n"));
   if (ready[2].revents != 0)
-    close (target_accept (second));
+    close (accept_target_connection (second));
   close (caller);
   if (ready[3].revents != 0)
     return -1;
