--- a/tests/handoff/handoff-test.c
+++ b/tests/handoff/handoff-test.c
@@ -112,7 +112,7 @@
 
   csp_destroy_slot_table (fixture->owners[0]);
   fixture->owners[0] = csp_create_slot_table (&settings, 3);
-  csp_gain_target (fixture->owners[0], "e0", fixture->now_ms);
+  csp_add_owned_target (fixture->owners[0], "e0", fixture->now_ms);
 }
 
 /* Delivers one message to an owner and fills in the event of its answer.  */
@@ -178,11 +178,11 @@
       restart_owner (fixture);
       break;
     case OWNER_MOVED:
-      csp_lose_target (fixture->owners[0], "e0");
-      csp_gain_target (fixture->owners[0], "e0", fixture->now_ms);
+      csp_remove_owned_target (fixture->owners[0], "e0");
+      csp_add_owned_target (fixture->owners[0], "e0", fixture->now_ms);
       break;
     case CALLER_GONE:
-      deliver_event_kind (fixture, CSP_HANDOFF_HUNG_UP);
+      deliver_event_kind (fixture, CSP_HANDOFF_CALLER_GONE);
       return;
     case PEER_DEAD:
     case CUT_BEFORE_DELIVERY:
@@ -236,7 +236,7 @@
         return;
       break;
     case CALLER_GONE:
-      deliver_event_kind (fixture, CSP_HANDOFF_HUNG_UP);
+      deliver_event_kind (fixture, CSP_HANDOFF_CALLER_GONE);
       return;
     case TARGET_REFUSES:
       fixture->starts = 0;
@@ -253,7 +253,7 @@
       restart_owner (fixture);
       break;
     case OWNER_MOVED:
-      csp_lose_target (fixture->owners[0], "e0");
+      csp_remove_owned_target (fixture->owners[0], "e0");
       break;
     case PEER_DEAD:
     case PEER_PAUSED:
@@ -344,9 +344,9 @@
       deliver_event (fixture, &event);
       ck_assert_int_ne (fixture->action.kind, CSP_HANDOFF_SEND_REQUEST);
     }
-  csp_take_holdings (fixture->owners[0], &empty_holdings, fixture->now_ms);
-  csp_count_target (fixture->owners[0], "e0", fixture->now_ms + LEAK_BOUND_MS,
-                    &usage);
+  csp_apply_holdings (fixture->owners[0], &empty_holdings, fixture->now_ms);
+  csp_get_target_usage (fixture->owners[0], "e0",
+                        fixture->now_ms + LEAK_BOUND_MS, &usage);
   ck_assert_uint_eq (usage.reserved + usage.held + usage.orphaned, 0);
   ck_assert_uint_eq (usage.expected_tokens, 0);
   csp_destroy_slot_table (fixture->owners[0]);
--- a/tests/handoff/interleaving-test.c
+++ b/tests/handoff/interleaving-test.c
@@ -81,7 +81,7 @@
   if (chance (sim, 50))
     schedule_event (sim, s, k, CSP_HANDOFF_TARGET_FAILED, length_ms);
   else if (chance (sim, 50))
-    schedule_event (sim, s, k, CSP_HANDOFF_HUNG_UP, length_ms);
+    schedule_event (sim, s, k, CSP_HANDOFF_CALLER_GONE, length_ms);
 }
 
 static void
@@ -128,7 +128,7 @@
       schedule_event (sim, s, k, CSP_HANDOFF_BEFORE_SEND, 60);
       return;
     case CSP_HANDOFF_SEND_REQUEST:
-      ck_assert (csp_held_by_handoff (worker->handoff, &peer, &slot));
+      ck_assert (csp_get_handoff_slot (worker->handoff, &peer, &slot));
       if (has_fault (sim, FAULT_PAUSE_AT_SEND) && chance (sim, 50))
         {
           sim->pauses_at_send++;
@@ -198,7 +198,8 @@
   csp_refuse_slot (&ask->action.u.reserve, 500, &m.event.u.reserve);
   for (t = 0; t < OWNERS && !m.event.u.reserve.granted; t++)
     {
-      csp_count_target (owner->table, target_names[t], sim->now_ms, &usage);
+      csp_get_target_usage (owner->table, target_names[t], sim->now_ms,
+                            &usage);
       if (owner->owns[t]
           && usage.reserved + usage.held + usage.orphaned < CAPACITY)
         csp_reserve_slot (owner->table, &ask->action.u.reserve,
@@ -221,7 +222,7 @@
       list.sender = sim->senders[m->sender].ref;
       list.sender.incarnation = m->incarnation;
       sim->senders[m->sender].last_holdings_ms = sim->now_ms;
-      csp_take_holdings (owner->table, &list, sim->now_ms);
+      csp_apply_holdings (owner->table, &list, sim->now_ms);
       return;
     case TO_OWNER:
       if (m->action.kind == CSP_HANDOFF_DONE)
@@ -274,7 +275,7 @@
       m.count = 0;
       for (k = 0; k < WORKERS; k++)
         if (sender->workers[k].handoff != NULL
-            && csp_held_by_handoff (sender->workers[k].handoff, &peer, &slot)
+            && csp_get_handoff_slot (sender->workers[k].handoff, &peer, &slot)
             && sim->target_owners[strcmp (slot.target, "e1") == 0] == m.owner)
           m.slots[m.count++] = slot;
       send_message (sim, &m, 200);
@@ -344,7 +345,8 @@
       = csp_create_slot_table (&settings, csp_random_u64 (&sim->random));
   for (t = 0; t < OWNERS && !first_start; t++)
     if (sim->owners[o].owns[t])
-      csp_gain_target (sim->owners[o].table, target_names[t], sim->now_ms);
+      csp_add_owned_target (sim->owners[o].table, target_names[t],
+                            sim->now_ms);
 }
 
 /* Moves a target to the other owner.  The old owner learns of it three seconds
@@ -358,12 +360,12 @@
     {
       sim->target_owners[0] = 1 - from;
       sim->owners[1 - from].owns[0] = true;
-      csp_gain_target (sim->owners[1 - from].table, "e0", sim->now_ms);
+      csp_add_owned_target (sim->owners[1 - from].table, "e0", sim->now_ms);
     }
   if (sim->now_ms % 20000 == 13000 && sim->now_ms > 10000)
     {
       sim->owners[1 - from].owns[0] = false;
-      csp_lose_target (sim->owners[1 - from].table, "e0");
+      csp_remove_owned_target (sim->owners[1 - from].table, "e0");
     }
 }
 
--- a/tests/handoff/slot-table-test.c
+++ b/tests/handoff/slot-table-test.c
@@ -32,7 +32,7 @@
 {
   csp_target_usage_t usage;
 
-  csp_count_target (table, target, now_ms, &usage);
+  csp_get_target_usage (table, target, now_ms, &usage);
   return usage;
 }
 
@@ -86,10 +86,10 @@
 
   csp_reserve_slot (table, &ask, "e0", 0, &answer);
   ck_assert (commit (table, answer.nonce, 4, 0));
-  csp_take_holdings (table, &empty_holdings, 10);
+  csp_apply_holdings (table, &empty_holdings, 10);
   ck_assert_uint_eq (get_usage (table, "e0", 60000).held, 1);
   empty_holdings.number = 5;
-  csp_take_holdings (table, &empty_holdings, 60000);
+  csp_apply_holdings (table, &empty_holdings, 60000);
   ck_assert_uint_eq (get_usage (table, "e0", 60000).orphaned, 1);
   ck_assert_uint_eq (get_usage (table, "e0", 95000).orphaned, 0);
   csp_destroy_slot_table (table);
--- a/tests/hostile/parsers-test.c
+++ b/tests/hostile/parsers-test.c
@@ -63,8 +63,8 @@
       ck_assert_int_eq (error.verdict, CSP_VERDICT_NOT_RUN);
       return;
     }
-  csp_request_prefix (request, &hash, &tokens);
-  ck_assert_ptr_nonnull (csp_request_engine_body (request, "engine-model", 9));
+  csp_hash_request_prefix (request, &hash, &tokens);
+  ck_assert_ptr_nonnull (csp_build_engine_body (request, "engine-model", 9));
   csp_destroy_request (request);
 }
 
@@ -375,13 +375,13 @@
 {
   static const char *const invalid_names[]
       = { "", "\xff", "a\nb", "a b", "\x1b[2J" };
-  csp_request_marks_t fields = { .class_name = invalid_names[_i] };
-  csp_marks_t marks;
+  csp_request_header_fields_t fields = { .class_name = invalid_names[_i] };
+  csp_request_options_t marks;
   csp_error_t error;
 
-  ck_assert_int_eq (csp_read_marks (&fields, &marks, &error), -1);
+  ck_assert_int_eq (csp_parse_request_headers (&fields, &marks, &error), -1);
   fields.class_name = "bulletin-1";
-  ck_assert_int_eq (csp_read_marks (&fields, &marks, &error), 0);
+  ck_assert_int_eq (csp_parse_request_headers (&fields, &marks, &error), 0);
 }
 END_TEST
 
--- a/tests/http/http-test.c
+++ b/tests/http/http-test.c
@@ -27,7 +27,7 @@
 static void
 feed (outcome_t *outcome, const char *data, size_t size_bytes)
 {
-  while (!outcome->complete && outcome->fault == CSP_HTTP_FINE)
+  while (!outcome->complete && outcome->fault == CSP_HTTP_NO_FAULT)
     {
       const char *piece = NULL;
       size_t piece_bytes = 0;
@@ -38,7 +38,7 @@
       data += used;
       size_bytes -= used;
       outcome->used += used;
-      if (step == CSP_HTTP_MORE)
+      if (step == CSP_HTTP_NEED_MORE)
         return;
       if (step == CSP_HTTP_BODY)
         {
@@ -79,21 +79,21 @@
   csp_http_fault_t fault;
   const char *body; /* NULL where the request is refused */
 } requests[] = {
-  { "a length", HEAD "Content-Length: 5\r\n\r\nhello", CSP_HTTP_FINE,
+  { "a length", HEAD "Content-Length: 5\r\n\r\nhello", CSP_HTTP_NO_FAULT,
     "hello" },
   { "chunks",
     HEAD "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n1\r\n!\r\n0\r\n\r\n",
-    CSP_HTTP_FINE, "hello!" },
+    CSP_HTTP_NO_FAULT, "hello!" },
   { "a chunk extension",
     HEAD "Transfer-Encoding: chunked\r\n\r\n5;a=b\r\nhello\r\n0\r\n\r\n",
-    CSP_HTTP_FINE, "hello" },
+    CSP_HTTP_NO_FAULT, "hello" },
   { "a trailer",
     HEAD "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\nA: b\r\n\r\n",
-    CSP_HTTP_FINE, "hello" },
-  { "no body", HEAD "\r\n", CSP_HTTP_FINE, "" },
-  { "an empty line first", "\r\n" HEAD "\r\n", CSP_HTTP_FINE, "" },
+    CSP_HTTP_NO_FAULT, "hello" },
+  { "no body", HEAD "\r\n", CSP_HTTP_NO_FAULT, "" },
+  { "an empty line first", "\r\n" HEAD "\r\n", CSP_HTTP_NO_FAULT, "" },
   { "blanks around a value", HEAD "Content-Length: \t5 \r\n\r\nhello",
-    CSP_HTTP_FINE, "hello" },
+    CSP_HTTP_NO_FAULT, "hello" },
   { "a length beside a coding",
     HEAD "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
     CSP_HTTP_MALFORMED, NULL },
@@ -211,21 +211,21 @@
   csp_body_framing_t framing;
 } responses[] = {
   { "a length", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", false,
-    CSP_HTTP_FINE, true, true, CSP_BODY_LENGTH },
+    CSP_HTTP_NO_FAULT, true, true, CSP_BODY_LENGTH },
   { "a length that isn't reached",
-    "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nok", false, CSP_HTTP_FINE,
+    "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nok", false, CSP_HTTP_NO_FAULT,
     false, false, CSP_BODY_LENGTH },
   { "chunks without the last",
     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", false,
-    CSP_HTTP_FINE, false, false, CSP_BODY_CHUNKED },
-  { "neither", "HTTP/1.1 200 OK\r\n\r\nok", false, CSP_HTTP_FINE, false, true,
-    CSP_BODY_UNTIL_CLOSE },
-  { "half a head", "HTTP/1.1 200 OK\r\nContent-", false, CSP_HTTP_FINE, false,
-    false, CSP_BODY_NONE },
-  { "no content", "HTTP/1.1 204 No Content\r\n\r\n", false, CSP_HTTP_FINE,
+    CSP_HTTP_NO_FAULT, false, false, CSP_BODY_CHUNKED },
+  { "neither", "HTTP/1.1 200 OK\r\n\r\nok", false, CSP_HTTP_NO_FAULT, false,
+    true, CSP_BODY_UNTIL_CLOSE },
+  { "half a head", "HTTP/1.1 200 OK\r\nContent-", false, CSP_HTTP_NO_FAULT,
+    false, false, CSP_BODY_NONE },
+  { "no content", "HTTP/1.1 204 No Content\r\n\r\n", false, CSP_HTTP_NO_FAULT,
     true, true, CSP_BODY_NONE },
   { "an answer to HEAD", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n", true,
-    CSP_HTTP_FINE, true, true, CSP_BODY_NONE },
+    CSP_HTTP_NO_FAULT, true, true, CSP_BODY_NONE },
   { "two lengths",
     "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok",
     false, CSP_HTTP_MALFORMED, false, false, CSP_BODY_NONE },
@@ -236,18 +236,18 @@
 START_TEST (test_responses)
 {
   outcome_t outcome
-      = { .reader = csp_create_http_reader (CSP_HTTP_ANSWER, limits) };
+      = { .reader = csp_create_http_reader (CSP_HTTP_RESPONSE, limits) };
 
-  csp_next_http_message (outcome.reader, limits, responses[_i].headless);
+  csp_reset_http_reader (outcome.reader, limits, responses[_i].headless);
   feed (&outcome, responses[_i].text, strlen (responses[_i].text));
   ck_assert_msg (outcome.fault == responses[_i].fault, "%s",
                  responses[_i].description);
   ck_assert_msg (outcome.complete == responses[_i].complete, "%s",
                  responses[_i].description);
-  ck_assert_msg (csp_close_http (outcome.reader)
+  ck_assert_msg (csp_handle_http_eof (outcome.reader)
                      == responses[_i].complete_when_closed,
                  "%s", responses[_i].description);
-  if (responses[_i].fault == CSP_HTTP_FINE)
+  if (responses[_i].fault == CSP_HTTP_NO_FAULT)
     ck_assert_int_eq (csp_http_head (outcome.reader)->framing,
                       responses[_i].framing);
   csp_destroy_http_reader (outcome.reader);
@@ -266,8 +266,8 @@
 
   ck_assert (outcome.complete);
   ck_assert_mem_eq (text + first, "GET /b", 6);
-  csp_next_http_message (outcome.reader, limits, false);
-  ck_assert (!csp_http_began (outcome.reader));
+  csp_reset_http_reader (outcome.reader, limits, false);
+  ck_assert (!csp_http_message_begun (outcome.reader));
   outcome.complete = false;
   feed (&outcome, text + first, strlen (text) - first);
   ck_assert (outcome.complete);
@@ -283,9 +283,9 @@
   outcome_t outcome
       = read_in_two_pieces (CSP_HTTP_REQUEST, text, strlen (text));
 
-  ck_assert (csp_is_hop_field (outcome.head, "x-mine"));
-  ck_assert (csp_is_hop_field (outcome.head, "transfer-encoding"));
-  ck_assert (!csp_is_hop_field (outcome.head, "X-Other"));
+  ck_assert (csp_is_hop_by_hop_field (outcome.head, "x-mine"));
+  ck_assert (csp_is_hop_by_hop_field (outcome.head, "transfer-encoding"));
+  ck_assert (!csp_is_hop_by_hop_field (outcome.head, "X-Other"));
   ck_assert (!outcome.head->keep_alive);
   ck_assert_str_eq (csp_find_http_field (outcome.head, "x-other"), "2");
   ck_assert_ptr_null (csp_find_http_field (outcome.head, "absent"));
@@ -324,7 +324,7 @@
 {
   uint32_t time_ms = 0;
 
-  ck_assert_msg (csp_read_http_seconds (seconds[_i].value, &time_ms)
+  ck_assert_msg (csp_parse_http_seconds (seconds[_i].value, &time_ms)
                      == seconds[_i].valid,
                  "%s", seconds[_i].value);
   ck_assert_uint_eq (time_ms, seconds[_i].time_ms);
--- a/tests/json/json-reader-test.c
+++ b/tests/json/json-reader-test.c
@@ -141,7 +141,7 @@
     fprintf (stream, ",\"k%d\":1", i);
   fputs ("}", stream);
   fclose (stream);
-  csp_default_settings (&settings);
+  csp_set_default_settings (&settings);
   ck_assert (!csp_parse_settings ("s", text, size_bytes, &settings, faults));
   ck_assert_uint_eq (csp_count_faults (faults), MANY_FAULTS);
   free (text);
@@ -212,7 +212,7 @@
   size_t count_before;
   size_t i;
 
-  csp_default_settings (&settings);
+  csp_set_default_settings (&settings);
   ck_assert_int_eq (
       csp_parse_settings ("s", text, size_bytes, &settings, faults),
       csp_count_faults (faults) == 0);
--- a/tests/length/length-test.c
+++ b/tests/length/length-test.c
@@ -19,8 +19,8 @@
 static void
 learn_answer (csp_lengths_t *lengths, uint32_t key, uint32_t tokens)
 {
-  csp_note_length (lengths, key, 0, tokens);
-  csp_learn_length (lengths, key, tokens, CSP_LENGTH_FINISHED);
+  csp_record_length_growth (lengths, key, 0, tokens);
+  csp_record_length_end (lengths, key, tokens, CSP_LENGTH_FINISHED);
 }
 
 static csp_lengths_t *
@@ -29,7 +29,7 @@
   csp_length_policy_t policy = csp_default_length_policy ();
   csp_lengths_t *lengths = csp_create_lengths (&policy);
 
-  *key = csp_find_length_key (lengths, "m", "draft");
+  *key = csp_get_length_key (lengths, "m", "draft");
   return lengths;
 }
 
@@ -38,7 +38,7 @@
   uint32_t key;
   csp_lengths_t *lengths = create_lengths (&key);
 
-  ck_assert_double_eq_tol (csp_expect_tokens_left (lengths, key, 0), 236, 12);
+  ck_assert_double_eq_tol (csp_mean_tokens_left (lengths, key, 0), 236, 12);
   ck_assert_uint_gt (csp_quantile_tokens_left (lengths, key, 0, 0.99), 1500);
   csp_destroy_lengths (lengths);
 }
@@ -88,7 +88,7 @@
       beyond += tokens - distributions[_i].made > bound;
     }
   ck_assert_double_eq_tol (
-      csp_expect_tokens_left (lengths, key, distributions[_i].made)
+      csp_mean_tokens_left (lengths, key, distributions[_i].made)
           / (sum / over),
       1, 0.2);
   ck_assert_double_eq_tol ((double)beyond / over, 0.1, 0.05);
@@ -106,15 +106,15 @@
   uint32_t i;
 
   for (i = 0; i < 80; i++)
-    csp_note_length (lengths, key, 0, 2000);
+    csp_record_length_growth (lengths, key, 0, 2000);
   for (i = 0; i < 20; i++)
     learn_answer (lengths, key, 30);
   for (i = 0; i < 20; i++)
     {
-      csp_note_length (lengths, key, 0, 30);
-      csp_learn_length (lengths, key, 30, CSP_LENGTH_CUT);
+      csp_record_length_growth (lengths, key, 0, 30);
+      csp_record_length_end (lengths, key, 30, CSP_LENGTH_CUT);
     }
-  ck_assert_double_gt (csp_survive_length (lengths, key, 0, 1000), 0.6);
+  ck_assert_double_gt (csp_length_survival (lengths, key, 0, 1000), 0.6);
   csp_destroy_lengths (lengths);
 }
 END_TEST
@@ -130,10 +130,10 @@
 
   for (i = 0; i < 100000; i++)
     learn_answer (lengths, key, 40 + i % 20);
-  ck_assert_double_lt (csp_expect_tokens_left (lengths, key, 0), 60);
+  ck_assert_double_lt (csp_mean_tokens_left (lengths, key, 0), 60);
   for (i = 0; i < 3 * 4096; i++)
     learn_answer (lengths, key, 320 + i % 160);
-  ck_assert_double_gt (csp_expect_tokens_left (lengths, key, 0), 300);
+  ck_assert_double_gt (csp_mean_tokens_left (lengths, key, 0), 300);
   csp_destroy_lengths (lengths);
 }
 END_TEST
@@ -145,10 +145,10 @@
 
   policy.max_keys = 2;
   lengths = csp_create_lengths (&policy);
-  ck_assert_uint_eq (csp_find_length_key (lengths, "m", "a"), 1);
-  ck_assert_uint_eq (csp_find_length_key (lengths, "m", "b"), 2);
-  ck_assert_uint_eq (csp_find_length_key (lengths, "m", "a"), 1);
-  ck_assert_uint_eq (csp_find_length_key (lengths, "m", "c"),
+  ck_assert_uint_eq (csp_get_length_key (lengths, "m", "a"), 1);
+  ck_assert_uint_eq (csp_get_length_key (lengths, "m", "b"), 2);
+  ck_assert_uint_eq (csp_get_length_key (lengths, "m", "a"), 1);
+  ck_assert_uint_eq (csp_get_length_key (lengths, "m", "c"),
                      CSP_LENGTH_KEY_SHARED);
   csp_destroy_lengths (lengths);
 }
--- a/tests/limit/limit-test.c
+++ b/tests/limit/limit-test.c
@@ -23,7 +23,7 @@
   int i;
 
   for (i = 0; i < HOSTS; i++)
-    csp_open_limit (&limits[i], &policy, RATE, 0, HOSTS, 1000);
+    csp_init_limit (&limits[i], &policy, RATE, 0, HOSTS, 1000);
 }
 
 /* Simulates one round of a second: hosts request their demand in small streams
@@ -44,11 +44,12 @@
 
   for (i = 0; i < HOSTS; i++)
     for (requested = 0; requested < demand[i]; requested += 100)
-      if (csp_open_limited (&limits[i], 100,
-                            now_ms + (int64_t)(1000.0 * requested / demand[i]),
-                            &retry_after_ms))
+      if (csp_admit_limited_stream (
+              &limits[i], 100,
+              now_ms + (int64_t)(1000.0 * requested / demand[i]),
+              &retry_after_ms))
         {
-          csp_close_limited (&limits[i], 100, 100);
+          csp_end_limited_stream (&limits[i], 100, 100);
           admitted += 100;
         }
   for (i = 0; i < HOSTS; i++)
@@ -68,7 +69,7 @@
           peers[count].demand = received[i][j];
           peers[count++].age_ms = (uint32_t)(now_ms - received_ms[i][j]);
         }
-      csp_share_limit (&limits[i], peers, count);
+      csp_update_limit_share (&limits[i], peers, count);
     }
   return admitted;
 }
@@ -149,13 +150,13 @@
   csp_limit_t limit;
   uint32_t retry_after_ms = 0;
 
-  csp_open_limit (&limit, &policy, 0, 2, 1, 1000);
-  ck_assert (csp_open_limited (&limit, 100, 1000, &retry_after_ms));
-  ck_assert (csp_open_limited (&limit, 100, 1000, &retry_after_ms));
-  ck_assert (!csp_open_limited (&limit, 100, 1000, &retry_after_ms));
+  csp_init_limit (&limit, &policy, 0, 2, 1, 1000);
+  ck_assert (csp_admit_limited_stream (&limit, 100, 1000, &retry_after_ms));
+  ck_assert (csp_admit_limited_stream (&limit, 100, 1000, &retry_after_ms));
+  ck_assert (!csp_admit_limited_stream (&limit, 100, 1000, &retry_after_ms));
   ck_assert_uint_gt (retry_after_ms, 0);
-  csp_close_limited (&limit, 100, 100);
-  ck_assert (csp_open_limited (&limit, 100, 1000, &retry_after_ms));
+  csp_end_limited_stream (&limit, 100, 100);
+  ck_assert (csp_admit_limited_stream (&limit, 100, 1000, &retry_after_ms));
 }
 END_TEST
 
@@ -165,12 +166,12 @@
   csp_limit_t limit;
   uint32_t retry_after_ms = 0;
 
-  csp_open_limit (&limit, &policy, 0, 2, 1, 1000);
-  ck_assert (csp_open_limited (&limit, 100, 1000, &retry_after_ms));
-  csp_close_limited (&limit, 100, 1000000);
-  csp_change_limit (&limit, 100, 2);
-  ck_assert (csp_open_limited (&limit, 250, 1000, &retry_after_ms));
-  ck_assert (!csp_open_limited (&limit, 100, 1000, &retry_after_ms));
+  csp_init_limit (&limit, &policy, 0, 2, 1, 1000);
+  ck_assert (csp_admit_limited_stream (&limit, 100, 1000, &retry_after_ms));
+  csp_end_limited_stream (&limit, 100, 1000000);
+  csp_update_limit (&limit, 100, 2);
+  ck_assert (csp_admit_limited_stream (&limit, 250, 1000, &retry_after_ms));
+  ck_assert (!csp_admit_limited_stream (&limit, 100, 1000, &retry_after_ms));
 }
 END_TEST
 
@@ -181,14 +182,14 @@
   csp_limit_t limit;
   uint32_t retry_after_ms = 0;
 
-  csp_open_limit (&limit, &policy, 100, 0, 1, 1000);
-  ck_assert (csp_open_limited (&limit, 100, 1000, &retry_after_ms));
-  csp_close_limited (&limit, 100, 1200);
-  ck_assert (!csp_open_limited (&limit, 100, 2000, &retry_after_ms));
+  csp_init_limit (&limit, &policy, 100, 0, 1, 1000);
+  ck_assert (csp_admit_limited_stream (&limit, 100, 1000, &retry_after_ms));
+  csp_end_limited_stream (&limit, 100, 1200);
+  ck_assert (!csp_admit_limited_stream (&limit, 100, 2000, &retry_after_ms));
   ck_assert_uint_ge (retry_after_ms, 8000);
   ck_assert_uint_le (retry_after_ms, 10001);
-  ck_assert (csp_open_limited (&limit, 100, 2000 + retry_after_ms + 100,
-                               &retry_after_ms));
+  ck_assert (csp_admit_limited_stream (
+      &limit, 100, 2000 + retry_after_ms + 100, &retry_after_ms));
 }
 END_TEST
 
--- a/tests/link/link-test.c
+++ b/tests/link/link-test.c
@@ -91,10 +91,10 @@
   client = csp_open_link (&loop, &address, 5000);
   ck_assert_ptr_nonnull (client);
   csp_start_link_request (client, &events, observed, false);
-  ck_assert (!csp_link_sent (client));
+  ck_assert (!csp_link_has_sent (client));
   csp_write_link (client, "GET / HTTP/1.1\r\n\r\n", 18);
   csp_finish_link_request (client);
-  while (!csp_link_sent (client))
+  while (!csp_link_has_sent (client))
     uv_run (&loop, UV_RUN_ONCE);
   server = accept (listener, NULL, NULL);
   ck_assert_int_gt (recv (server, request, sizeof request, 0), 0);
@@ -142,7 +142,7 @@
   run_loop_until (&observed.ended);
   ck_assert_int_eq (observed.failed, 0);
   ck_assert_uint_eq (observed.body_bytes, 4);
-  ck_assert_uint_eq (csp_link_usable_ms (client), 0);
+  ck_assert_uint_eq (csp_link_reusable_ms (client), 0);
   close_all (-1);
 }
 END_TEST
@@ -172,7 +172,7 @@
   send (server, reuse_rows[_i].answer, strlen (reuse_rows[_i].answer), 0);
   run_loop_until (&observed.ended);
   ck_assert_int_eq (observed.answered, 1);
-  ck_assert_uint_eq (csp_link_usable_ms (client), reuse_rows[_i].usable_ms);
+  ck_assert_uint_eq (csp_link_reusable_ms (client), reuse_rows[_i].usable_ms);
   close_all (server);
 }
 END_TEST
@@ -194,7 +194,7 @@
 
   send (server, reuse_rows[0].answer, strlen (reuse_rows[0].answer), 0);
   run_loop_until (&observed.ended);
-  csp_park_link (client, on_lost, &lost);
+  csp_watch_idle_link (client, on_lost, &lost);
   send (server, "x", 1, 0);
   run_loop_until (&lost);
   uv_run (&loop, UV_RUN_DEFAULT);
--- a/tests/log/log-test.c
+++ b/tests/log/log-test.c
@@ -22,11 +22,11 @@
 
   fake_clock.steady_ms = 1000;
   fake_clock.wall_ms = 5000;
-  clock = csp_clock_of_fake (&fake_clock);
+  clock = csp_clock_from_fake (&fake_clock);
   log_under_test = csp_create_log ("host-a", CSP_LEVEL_INFO, &clock);
   ck_assert_ptr_nonnull (log_under_test);
   stream = open_memstream (&output, &output_bytes);
-  csp_direct_log (log_under_test, stream);
+  csp_set_log_stream (log_under_test, stream);
 }
 
 static void
--- a/tests/membership/membership-test.c
+++ b/tests/membership/membership-test.c
@@ -58,7 +58,7 @@
   csp_member_event_t event;
   size_t count = 0;
 
-  while (csp_take_member_event (fleet->nodes[node].membership, &event))
+  while (csp_pop_member_event (fleet->nodes[node].membership, &event))
     count += event.kind == kind;
   return count;
 }
@@ -140,18 +140,18 @@
   size_t i;
 
   ck_assert (all_alive (fleet));
-  fleet_cut (fleet, 0, 1, true);
+  fleet_set_link_cut (fleet, 0, 1, true);
   fleet_run (fleet, 30000);
   ck_assert_int_eq (fleet_liveness (fleet, 0, 1), row->liveness);
   ck_assert_int_eq (fleet_liveness (fleet, 1, 0), row->liveness);
   ck_assert_int_eq (view (fleet, 0, 1).in_view, row->in_view);
-  ck_assert_int_ge (view (fleet, 0, 1).confirmed_age_ms, 29000);
+  ck_assert_int_ge (view (fleet, 0, 1).round_trip_age_ms, 29000);
   for (i = 0; i < row->nodes && row->in_view; i++)
     {
-      csp_describe_ownership (fleet->nodes[i].ownership, &owned);
+      csp_get_ownership_status (fleet->nodes[i].ownership, &owned);
       ck_assert_uint_eq (owned.lost, 0);
     }
-  fleet_cut (fleet, 0, 1, false);
+  fleet_set_link_cut (fleet, 0, 1, false);
   fleet_run (fleet, 10000);
   ck_assert (all_alive (fleet));
   fleet_destroy (fleet);
@@ -200,7 +200,7 @@
   fleet_run (fleet, 3000);
   ck_assert_uint_eq (count_events (fleet, 0, CSP_MEMBER_EVENT_RESTARTED), 1);
   ck_assert_uint_gt (view (fleet, 0, 1).incarnation, before.incarnation);
-  ck_assert_int_le (view (fleet, 0, 1).known_ms, 3000);
+  ck_assert_int_le (view (fleet, 0, 1).known_age_ms, 3000);
   late.deployment = csp_hash_pair ("deployment", "test");
   late.protocol = CSP_PROTOCOL_VERSION;
   late.incarnation = before.incarnation;
@@ -224,7 +224,7 @@
   fleet_t *fleet = start_fleet (5, 1, (uint64_t)_i);
   size_t i;
 
-  fleet->service_away = true;
+  fleet->platform_down = true;
   fleet_kill (fleet, 4);
   fleet_run (fleet, 12000);
   for (i = 0; i < 4; i++)
--- a/tests/metrics/metrics-test.c
+++ b/tests/metrics/metrics-test.c
@@ -44,7 +44,8 @@
   for (i = 0; i < NAMES; i++)
     {
       snprintf (name, sizeof name, "n%d", i);
-      csp_count (csp_get_labels (metrics, name, NULL), CSP_COUNT_REQUESTS, 2);
+      csp_add_count (csp_get_labels (metrics, name, NULL), CSP_COUNT_REQUESTS,
+                     2);
     }
   check_rendered (metrics,
                   LINE ("organisation_requests_total{organisation=\"n2\"} 2"),
@@ -81,8 +82,8 @@
 {
   csp_metrics_t *metrics = csp_create_metrics (SERIES_SMALL);
 
-  csp_count (csp_get_labels (metrics, name_cases[_i].name, NULL),
-             CSP_COUNT_TOKENS, 1);
+  csp_add_count (csp_get_labels (metrics, name_cases[_i].name, NULL),
+                 CSP_COUNT_TOKENS, 1);
   check_rendered (metrics, name_cases[_i].line, true);
   csp_destroy_metrics (metrics);
 }
@@ -95,7 +96,7 @@
 
   memset (name, '"', sizeof name);
   name[sizeof name - 1] = '\0';
-  csp_count (csp_get_labels (metrics, name, name), CSP_COUNT_TOKENS, 1);
+  csp_add_count (csp_get_labels (metrics, name, name), CSP_COUNT_TOKENS, 1);
   check_rendered (metrics, "tokens_total{class=\"\\\"", true);
   csp_destroy_metrics (metrics);
 }
@@ -152,10 +153,11 @@
   csp_metrics_t *metrics = csp_create_metrics (SERIES_SMALL);
   csp_labels_t labels = csp_get_labels (metrics, "o", "c");
 
-  csp_count_end (metrics, labels, CSP_REASON_NONE, CSP_VERDICT_RAN);
-  csp_count_end (metrics, labels, CSP_REASON_QUEUE_FULL, CSP_VERDICT_NOT_RUN);
-  csp_count_end (metrics, labels, CSP_REASON_STREAM_CUT,
-                 CSP_VERDICT_MAY_HAVE_RUN);
+  csp_count_request_end (metrics, labels, CSP_REASON_NONE, CSP_VERDICT_RAN);
+  csp_count_request_end (metrics, labels, CSP_REASON_QUEUE_FULL,
+                         CSP_VERDICT_NOT_RUN);
+  csp_count_request_end (metrics, labels, CSP_REASON_STREAM_CUT,
+                         CSP_VERDICT_MAY_HAVE_RUN);
   check_rendered (
       metrics, LINE ("ends_total{reason=\"none\",verdict=\"ran\"} 1"), true);
   check_rendered (metrics,
@@ -212,7 +214,7 @@
     {
       snprintf (name, sizeof name, "n%d", i % NAMES);
       labels = csp_get_labels (metrics, name, "c");
-      csp_count (labels, CSP_COUNT_TOKENS, 1);
+      csp_add_count (labels, CSP_COUNT_TOKENS, 1);
       csp_observe_time (labels, CSP_TIME_BETWEEN_TOKENS, i);
       if (i % (ROUNDS / 4) == 0)
         free (csp_render_metrics (metrics, &size_bytes));
--- a/tests/mirror/mirror-pack-test.c
+++ b/tests/mirror/mirror-pack-test.c
@@ -142,12 +142,12 @@
   int64_t as_of = 0;
 
   send_request (request_cases[_i].query);
-  ck_assert_int_eq (strcmp (type, csp_packed_type) == 0,
+  ck_assert_int_eq (strcmp (type, csp_compressed_content_type) == 0,
                     request_cases[_i].packed);
   if (request_cases[_i].packed)
     {
       ck_assert (
-          csp_unpack_bytes (body.data, body.size_bytes, 1 << 20, &text));
+          csp_decompress_bytes (body.data, body.size_bytes, 1 << 20, &text));
       /* An item takes some 70 bytes.  */
       ck_assert_uint_lt (body.size_bytes, text.size_bytes / 5);
     }
--- a/tests/mirror/mirror-test.c
+++ b/tests/mirror/mirror-test.c
@@ -42,9 +42,9 @@
   log_event ("lapsing:", "", "");
 }
 
-static const csp_mirror_events_t events = { .changed = on_changed,
+static const csp_mirror_events_t events = { .item_changed = on_changed,
                                             .listing_ended = on_listing_ended,
-                                            .lapsing = on_lapsing };
+                                            .rows_may_lapse = on_lapsing };
 
 /* The status that is sent with a settled mirror, and the one received.  */
 static const csp_mirror_status_t settled_status
@@ -389,8 +389,8 @@
 {
   const char *what;
   uint32_t self;
-  uint32_t near[CSP_READERS_NEAR_MAX];
-  uint32_t fleet[CSP_READERS_FLEET_MAX];
+  uint32_t near[CSP_LOCAL_READERS_MAX];
+  uint32_t fleet[CSP_FLEET_READERS_MAX];
   uint32_t failed[CSP_UPSTREAMS_FAILED_MAX];
   csp_mirror_role_t role;
   uint32_t upstream;
@@ -509,8 +509,8 @@
       hellos[i].sequence = 1;
       hellos[i].data_centre = (uint32_t)(i / HOSTS_PER_DATA_CENTRE);
       hellos[i].capacity = csp_random_below (&random, 3) == 0 ? 500 : 120;
-      hellos[i].up_ms = CSP_UP_TOLD_MAX_MS;
-      hellos[i].blind = csp_random_below (&random, 3) == 0;
+      hellos[i].up_ms = CSP_UP_REPORTED_MAX_MS;
+      hellos[i].platform_unreachable = csp_random_below (&random, 3) == 0;
     }
   for (i = 0; i < FLEET_HOSTS; i++)
     {
@@ -519,11 +519,12 @@
       csp_reader_ranks_t ranks;
       csp_peer_address_t upstream;
 
-      csp_set_roster_self (roster, hellos[i].capacity, -60000);
-      csp_set_roster_blind (roster, hellos[i].blind);
+      csp_set_roster_local_info (roster, hellos[i].capacity, -60000);
+      csp_set_roster_platform_unreachable (roster,
+                                           hellos[i].platform_unreachable);
       for (j = 0; j < FLEET_HOSTS; j++)
         if (j != i)
-          csp_hear_peer (roster, HOST (1 + (uint32_t)j), &hellos[j], 1000);
+          csp_receive_hello (roster, HOST (1 + (uint32_t)j), &hellos[j], 1000);
       csp_rank_readers (roster, &ranks);
       roles[i] = csp_choose_upstream (&ranks, &none, &upstream);
       followed[i] = upstream.ip == 0 ? i : upstream.ip - 1;
@@ -551,10 +552,10 @@
   csp_peer_address_t upstream;
   csp_mirror_role_t role;
 
-  ranks.near_count
-      = fill_hosts (upstream_cases[_i].near, CSP_READERS_NEAR_MAX, ranks.near);
-  ranks.fleet_count = fill_hosts (upstream_cases[_i].fleet,
-                                  CSP_READERS_FLEET_MAX, ranks.fleet);
+  ranks.local_reader_count = fill_hosts (
+      upstream_cases[_i].near, CSP_LOCAL_READERS_MAX, ranks.local_readers);
+  ranks.fleet_reader_count = fill_hosts (
+      upstream_cases[_i].fleet, CSP_FLEET_READERS_MAX, ranks.fleet_readers);
   failed.count = fill_hosts (upstream_cases[_i].failed,
                              CSP_UPSTREAMS_FAILED_MAX, failed.hosts);
   role = csp_choose_upstream (&ranks, &failed, &upstream);
@@ -624,10 +625,11 @@
 {
   const host_t *host = state;
 
-  *ranks = (csp_reader_ranks_t){ .self = peer_of (&host->serve),
-                                 .near_count = 1,
-                                 .near = { peer_of (&hosts[0].serve) },
-                                 .hosts = HOSTS };
+  *ranks
+      = (csp_reader_ranks_t){ .self = peer_of (&host->serve),
+                              .local_reader_count = 1,
+                              .local_readers = { peer_of (&hosts[0].serve) },
+                              .hosts = HOSTS };
 }
 
 /* Each of two hosts ranks the other one before itself, and so follows it.  */
@@ -637,10 +639,10 @@
   const host_t *host = state;
 
   *ranks = (csp_reader_ranks_t){ .self = peer_of (&host->serve),
-                                 .near_count = 2,
+                                 .local_reader_count = 2,
                                  .hosts = 2 };
-  list_hosts (state, ranks->near, 1);
-  ranks->near[1] = ranks->self;
+  list_hosts (state, ranks->local_readers, 1);
+  ranks->local_readers[1] = ranks->self;
 }
 
 static int store_calls; /* by all hosts; all of them fail */
@@ -659,20 +661,21 @@
 {
   host_t *host = state;
 
-  csp_note_store_reach (host->feed, away);
+  csp_set_store_unreachable (host->feed, away);
 }
 
 static const csp_follow_source_t absent_store
     = { .write_call = write_call,
         .reach_changed = on_reach_changed,
-        .policy = { .wait_ms = 600, .slack_ms = 500, .pause_last_ms = 400 } };
+        .policy
+        = { .wait_ms = 600, .answer_grace_ms = 500, .max_backoff_ms = 400 } };
 
 static void
 open_ranked_host (host_t *host, csp_mirror_t *of,
                   void (*rank) (void *, csp_reader_ranks_t *))
 {
-  csp_mirror_feed_settings_t settings = { .serve = host->serve,
-                                          .store = free_port (),
+  csp_mirror_feed_settings_t settings = { .serve_address = host->serve,
+                                          .store_address = free_port (),
                                           .store_source = &absent_store,
                                           .store_state = host,
                                           .list_hosts = list_hosts,
@@ -713,7 +716,7 @@
   server = csp_open_mirror_server (&loop, &hosts[0].serve, LINK, source);
   csp_update_mirror_server (server, true, false, uv_now (&loop));
   open_host (&hosts[1], mirror);
-  csp_note_store_reach (hosts[1].feed, true);
+  csp_set_store_unreachable (hosts[1].feed, true);
   run_until_logged ("s/a=1 ");
   csp_put_mirror_item (source, "s/b", "2", 7);
   csp_note_mirror_revision (source, 7);
@@ -753,7 +756,7 @@
   for (i = 1; i < HOSTS; i++)
     {
       open_ranked_host (&hosts[i], mirrors[i], rank_first);
-      csp_note_mirror_fed (hosts[i].feed, true);
+      csp_note_store_answer (hosts[i].feed, true);
     }
   csp_put_mirror_item (mirrors[0], "s/b", "2", 7);
   csp_note_mirror_revision (mirrors[0], 7);
@@ -863,8 +866,8 @@
   store_calls = 0;
   open_host (&hosts[0], mirror);
   open_host (&hosts[1], others);
-  csp_note_mirror_fed (hosts[0].feed, true);
-  csp_note_mirror_fed (hosts[1].feed, true);
+  csp_note_store_answer (hosts[0].feed, true);
+  csp_note_store_answer (hosts[1].feed, true);
   uv_update_time (&loop);
   until_ms = uv_now (&loop) + 10000;
   while (store_calls == 0 && uv_now (&loop) < until_ms)
--- a/tests/once/interleaving-test.c
+++ b/tests/once/interleaving-test.c
@@ -95,9 +95,9 @@
   message_t m = { .from = open->host, .round = open->serial };
   size_t i;
 
-  m.kind = action->kind == CSP_ONCE_ASK ? ASK : OUTCOME;
+  m.kind = action->kind == CSP_ONCE_SEND_CLAIM ? ASK : OUTCOME;
   m.ask = action->ask;
-  m.report = action->tell;
+  m.report = action->report;
   for (i = 0; i < action->host_count; i++)
     {
       m.to = host_index (action->hosts[i]);
@@ -138,7 +138,7 @@
       apply_action (sim, r, &action);
       return;
     }
-  event.kind = CSP_ONCE_ENDED;
+  event.kind = CSP_ONCE_RUN_ENDED;
   event.u.outcome = CSP_ONCE_RAN;
   if (chance (sim, 1000))
     {
@@ -299,8 +299,8 @@
       return;
     case OUTCOME:
       reply.kind = OUTCOME_ACK;
-      csp_settle_claim (sim->hosts[m->to].store, &m->report, sim->now_ms,
-                        wall_clock_ms (sim, m->to));
+      csp_record_claim_outcome (sim->hosts[m->to].store, &m->report,
+                                sim->now_ms, wall_clock_ms (sim, m->to));
       send_message (sim, &reply);
       return;
     case ANSWER:
@@ -308,7 +308,7 @@
       event.u.answer = m->answer;
       break;
     case OUTCOME_ACK:
-      event.kind = CSP_ONCE_TOLD;
+      event.kind = CSP_ONCE_OUTCOME_ACKED;
       event.host = sim->hosts[m->from].ref.name;
       break;
     }
@@ -351,7 +351,7 @@
         send_call (sim, r);
       if (csp_next_once_tick (open->round) <= sim->now_ms)
         step_round (sim, r, &tick);
-      if (csp_once_round_over (open->round))
+      if (csp_is_once_round_over (open->round))
         {
           csp_destroy_once_round (open->round);
           open->round = NULL;
@@ -384,7 +384,7 @@
         csp_destroy_once_round (sim->rounds[r].round);
         sim->rounds[r].round = NULL;
       }
-  csp_destroy_once (sim->hosts[h].store);
+  csp_destroy_once_key_store (sim->hosts[h].store);
   sim->hosts[h].store = NULL;
   sim->hosts[h].up = false;
 }
@@ -399,7 +399,8 @@
   host->view_ms = -1;
   host->ref.incarnation++;
   snprintf (host->ref.name, sizeof host->ref.name, "h%d", h);
-  host->store = csp_create_once (&sim->settings, &host->ref, sim->now_ms);
+  host->store
+      = csp_create_once_key_store (&sim->settings, &host->ref, sim->now_ms);
 }
 
 /* Stops one host for good and starts another.  The platform's list shows both
--- a/tests/once/once-key-test.c
+++ b/tests/once/once-key-test.c
@@ -62,10 +62,10 @@
   csp_claim_ask_t ask = { 0 };
   csp_claim_answer_t answer;
   csp_error_t error;
-  csp_once_t *store;
+  csp_once_key_store_t *store;
 
   settings.organisation_capacity = 1;
-  store = csp_create_once (&settings, &self, 0);
+  store = csp_create_once_key_store (&settings, &self, 0);
   ck_assert (csp_parse_once_key ("org", "d:c:5000~1", &ask.key, &error));
   ask.claim.low = 1;
   csp_claim_key (store, &ask, 0, 5000, &answer);
@@ -79,8 +79,8 @@
   ck_assert_uint_eq (csp_expire_keys (store, settings.retention_ms), 2);
   ck_assert (csp_parse_once_key ("org", "d:c:5000~1", &ask.key, &error));
   csp_claim_key (store, &ask, settings.retention_ms, 5000, &answer);
-  ck_assert_int_eq (answer.result, CSP_CLAIM_FORGOTTEN);
-  csp_destroy_once (store);
+  ck_assert_int_eq (answer.result, CSP_CLAIM_EXPIRED);
+  csp_destroy_once_key_store (store);
 }
 END_TEST
 
--- a/tests/once/once-test.c
+++ b/tests/once/once-test.c
@@ -64,7 +64,7 @@
   csp_once_settings_t settings;
   csp_random_t random;
   csp_once_peer_t peers[HOSTS];
-  csp_once_t *hosts[HOSTS];
+  csp_once_key_store_t *hosts[HOSTS];
   csp_once_key_t key;
   int64_t now_ms;
   int ask_count;
@@ -148,7 +148,7 @@
 claim_elsewhere (fixture_t *fixture, csp_once_outcome_t outcome)
 {
   csp_claim_ask_t ask = { fixture->key, other_claim () };
-  csp_outcome_tell_t report = { fixture->key, other_claim (), outcome };
+  csp_outcome_report_t report = { fixture->key, other_claim (), outcome };
   csp_claim_answer_t answer;
   int i;
 
@@ -156,7 +156,8 @@
     {
       csp_claim_key (fixture->hosts[i], &ask, fixture->now_ms, WALL_MS,
                      &answer);
-      csp_settle_claim (fixture->hosts[i], &report, fixture->now_ms, WALL_MS);
+      csp_record_claim_outcome (fixture->hosts[i], &report, fixture->now_ms,
+                                WALL_MS);
     }
 }
 
@@ -164,9 +165,9 @@
 restart_host (fixture_t *fixture, int i, int64_t started_ms)
 {
   fixture->peers[i].ref.incarnation++;
-  csp_destroy_once (fixture->hosts[i]);
-  fixture->hosts[i] = csp_create_once (&fixture->settings,
-                                       &fixture->peers[i].ref, started_ms);
+  csp_destroy_once_key_store (fixture->hosts[i]);
+  fixture->hosts[i] = csp_create_once_key_store (
+      &fixture->settings, &fixture->peers[i].ref, started_ms);
 }
 
 static void
@@ -322,15 +323,15 @@
   size_t i;
 
   for (i = 0; i < fixture->last.host_count; i++)
-    csp_settle_claim (
+    csp_record_claim_outcome (
         fixture->hosts[find_peer (fixture, fixture->last.hosts[i])],
-        &fixture->last.tell, fixture->now_ms, WALL_MS);
+        &fixture->last.report, fixture->now_ms, WALL_MS);
 }
 
 static void
 end_run (fixture_t *fixture, csp_once_round_t *round, scenario_t scenario)
 {
-  csp_once_event_t event = { .kind = CSP_ONCE_ENDED };
+  csp_once_event_t event = { .kind = CSP_ONCE_RUN_ENDED };
 
   fixture->ran = scenario != TARGET_REFUSED;
   event.u.outcome = fixture->ran ? CSP_ONCE_RAN : CSP_ONCE_CLOSED;
@@ -345,7 +346,7 @@
   if (scenario == PAUSED_BEFORE_SEND)
     fixture->now_ms += fixture->settings.grant_lease_ms;
   if (scenario == CALLER_GONE)
-    event.kind = CSP_ONCE_HUNG_UP;
+    event.kind = CSP_ONCE_CALLER_GONE;
   step (fixture, round, &event);
 }
 
@@ -360,7 +361,7 @@
   if (scenario == VIEW_OLD)
     view.confirmed_ms -= fixture->settings.view_lease_ms + 1;
   if (scenario == VIEW_NONE)
-    view.complete = false;
+    view.list_read = false;
   if (scenario == NOT_LISTED)
     view.count = 0;
   round = csp_create_once_round (&fixture->settings, &fixture->key, &view,
@@ -369,7 +370,7 @@
   for (i = 0; i < MAX_STEPS; i++)
     switch (fixture->last.kind)
       {
-      case CSP_ONCE_ASK:
+      case CSP_ONCE_SEND_CLAIM:
         ask_hosts (fixture, round, scenario);
         break;
       case CSP_ONCE_RUN:
@@ -383,7 +384,7 @@
         step (fixture, round, &tick);
         break;
       case CSP_ONCE_GIVE_UP:
-      case CSP_ONCE_TELL:
+      case CSP_ONCE_SEND_OUTCOME:
         i = MAX_STEPS;
         break;
       }
@@ -397,7 +398,7 @@
   int i;
 
   for (i = 0; i < HOSTS; i++)
-    csp_destroy_once (fixture->hosts[i]);
+    csp_destroy_once_key_store (fixture->hosts[i]);
 }
 
 START_TEST (each_scenario_has_its_verdict)
@@ -433,7 +434,7 @@
 
   set_up (&fixture, &test_case);
   for (i = 0; i < HOSTS; i++)
-    csp_delay_witness (fixture.hosts[i], START_MS - 1000);
+    csp_restart_witness_delay (fixture.hosts[i], START_MS - 1000);
   run_round (&fixture, HEALTHY);
   ck_assert (!fixture.ran);
   ck_assert_int_eq (fixture.last.error.verdict, CSP_VERDICT_MAY_HAVE_RUN);
--- a/tests/once/world.h
+++ b/tests/once/world.h
@@ -54,7 +54,7 @@
   int64_t due_ms;
   csp_claim_ask_t ask;
   csp_claim_answer_t answer;
-  csp_outcome_tell_t report;
+  csp_outcome_report_t report;
 } message_t;
 
 /* listed_ms, delisted_ms: from when and until when the platform's list
@@ -63,7 +63,7 @@
 typedef struct
 {
   csp_host_ref_t ref;
-  csp_once_t *store;
+  csp_once_key_store_t *store;
   bool up;
   int64_t skew_ms;
   int64_t paused_ms;
--- a/tests/order/order-split-test.c
+++ b/tests/order/order-split-test.c
@@ -38,7 +38,7 @@
 
 typedef struct
 {
-  csp_order_engine_t *memory;
+  csp_order_tracker_t *memory;
   csp_order_pace_t pace;
   int64_t revision;
   bool granted;
@@ -68,9 +68,9 @@
   uint32_t restarts;
 } world_t;
 
-static const csp_versioned_t versions[]
+static const csp_named_version_t versions[]
     = { { "m", "0" }, { "m", "1" }, { "m", "2" } };
-static const csp_wanted_t wanted[]
+static const csp_wanted_state_t wanted[]
     = { { 0 },
         { .models = &versions[OLD], .model_count = 1, .has_role = true },
         { .models = &versions[NEW], .model_count = 1, .has_role = true } };
@@ -174,8 +174,8 @@
 run_owner (world_t *world, uint32_t index)
 {
   owner_t *owner = &world->owners[index];
-  csp_versioned_t loaded = { "m", versions[world->version].version };
-  csp_order_report_t report = { .report = world->report,
+  csp_named_version_t loaded = { "m", versions[world->version].version };
+  csp_order_report_t report = { .sequence = world->report,
                                 .asked_ms = world->now_ms,
                                 .models = &loaded,
                                 .model_count = world->version != 0,
@@ -254,7 +254,7 @@
   world->now_ms = START_MS;
   for (i = 0; i < OWNERS; i++)
     {
-      world->owners[i].memory = csp_create_order_engine ();
+      world->owners[i].memory = csp_create_order_tracker ();
       world->owners[i].pace.interval_ms = 1;
       world->owners[i].granted = true;
       world->owners[i].revision = i == 0 ? OLD : NEW;
@@ -267,7 +267,7 @@
   uint32_t i;
 
   for (i = 0; i < OWNERS; i++)
-    csp_destroy_order_engine (world->owners[i].memory);
+    csp_destroy_order_tracker (world->owners[i].memory);
 }
 
 /* Operators change the version and change it back.  One owner receives both
--- a/tests/order/order-test.c
+++ b/tests/order/order-test.c
@@ -11,7 +11,7 @@
 typedef struct
 {
   const char *name;
-  csp_versioned_t models[2];
+  csp_named_version_t models[2];
   size_t model_count;
   const char *role;
   int64_t fence;
@@ -78,7 +78,7 @@
   { "no lease", V2, "decode", 50, .checks_fence = true, .not_granted = true,
     OWNED, .state = CSP_ORDER_NOT_GRANTED },
   { "a report from before a pause", V2, "decode", 50, .checks_fence = true,
-    .report_age_ms = CSP_ORDER_FRESH_MS + 1, OWNED,
+    .report_age_ms = CSP_ORDER_REPORT_MAX_AGE_MS + 1, OWNED,
     .state = CSP_ORDER_NO_REPORT },
   { "a new owner of a fence-checking engine", V2, "decode", 50,
     .checks_fence = true, SENT (CSP_ORDER_LOAD_MODEL, "m", 50) },
@@ -88,11 +88,11 @@
     SENT (CSP_ORDER_LOAD_MODEL, "m", 50) },
 };
 
-static const csp_versioned_t wanted_models[] = { { "m", "3" } };
-static const csp_wanted_t wanted = { .models = wanted_models,
-                                     .model_count = 1,
-                                     .role = CSP_ROLE_DECODE,
-                                     .has_role = true };
+static const csp_named_version_t wanted_models[] = { { "m", "3" } };
+static const csp_wanted_state_t wanted = { .models = wanted_models,
+                                           .model_count = 1,
+                                           .role = CSP_ROLE_DECODE,
+                                           .has_role = true };
 
 static csp_order_facts_t
 make_facts (const row_t *row, csp_order_report_t *report)
@@ -108,7 +108,7 @@
                               .oldest_stream_ms = INT64_MAX,
                               .report = report };
 
-  report->report = 7;
+  report->sequence = 7;
   report->asked_ms = NOW - row->report_age_ms;
   report->models = row->models;
   report->model_count = row->model_count;
@@ -121,7 +121,7 @@
 START_TEST (decides_from_wanted_state_and_report)
 {
   const row_t *row = &rows[_i];
-  csp_order_engine_t *engine = csp_create_order_engine ();
+  csp_order_tracker_t *engine = csp_create_order_tracker ();
   csp_order_pace_t pace = { .interval_ms = 1 };
   csp_order_report_t report = { 0 };
   csp_order_facts_t facts = make_facts (row, &report);
@@ -141,7 +141,7 @@
       ck_assert_str_eq (action.is.send.name, row->expected_name);
       ck_assert_int_eq (action.is.send.fence, row->expected_fence);
     }
-  csp_destroy_order_engine (engine);
+  csp_destroy_order_tracker (engine);
 }
 END_TEST
 
@@ -151,7 +151,7 @@
 {
   static const char *const routed[] = { "old" };
   static const row_t row = { "", OLD, "decode", 50, .checks_fence = true };
-  csp_order_engine_t *engine = csp_create_order_engine ();
+  csp_order_tracker_t *engine = csp_create_order_tracker ();
   csp_order_pace_t pace = { .interval_ms = 1 };
   csp_order_report_t report = { 0 };
   csp_order_facts_t facts = make_facts (&row, &report);
@@ -168,7 +168,7 @@
   facts.oldest_stream_ms = NOW + 1;
   csp_decide_order (engine, &facts, &pace, NOW + 1000, &action);
   ck_assert_int_eq (action.kind, CSP_ORDER_ACT_SEND);
-  csp_destroy_order_engine (engine);
+  csp_destroy_order_tracker (engine);
 }
 END_TEST
 
@@ -177,7 +177,7 @@
 START_TEST (failed_orders_back_off)
 {
   static const row_t row = { "", V2, "decode", 50, .checks_fence = true };
-  csp_order_engine_t *engine = csp_create_order_engine ();
+  csp_order_tracker_t *engine = csp_create_order_tracker ();
   csp_order_pace_t pace = { .interval_ms = 1 };
   csp_order_report_t report = { 0 };
   csp_order_facts_t facts = make_facts (&row, &report);
@@ -188,10 +188,10 @@
 
   for (now_ms = NOW; now_ms < NOW + 7200000; now_ms += 1000)
     {
-      report.report++;
+      report.sequence++;
       report.asked_ms = now_ms;
       csp_decide_order (engine, &facts, &pace, now_ms, &action);
-      given_up += (action.events & CSP_ORDER_SAW_GIVEN_UP) != 0;
+      given_up += (action.events & CSP_ORDER_EVENT_GIVEN_UP) != 0;
       if (action.kind != CSP_ORDER_ACT_SEND)
         continue;
       sent[now_ms >= NOW + 3600000]++;
@@ -200,7 +200,7 @@
   ck_assert_uint_le (sent[0], 12);
   ck_assert_uint_eq (sent[1], 6);
   ck_assert_uint_eq (given_up, 1);
-  csp_destroy_order_engine (engine);
+  csp_destroy_order_tracker (engine);
 }
 END_TEST
 
--- a/tests/ownership/ownership-test.c
+++ b/tests/ownership/ownership-test.c
@@ -28,7 +28,7 @@
 {
   csp_ownership_status_t status;
 
-  csp_describe_ownership (fleet->nodes[node].ownership, &status);
+  csp_get_ownership_status (fleet->nodes[node].ownership, &status);
   return status;
 }
 
@@ -49,7 +49,7 @@
   size_t sum = 0;
   size_t i;
 
-  ck_assert_int_ge (fleet_time_to_one_owner (fleet, 1000), 0);
+  ck_assert_int_ge (fleet_run_until_one_owner (fleet, 1000), 0);
   for (i = 0; i < size_cases[_i].nodes; i++)
     {
       sum += get_status (fleet, i).owned;
@@ -69,13 +69,13 @@
 {
   fleet_t *fleet = start_fleet (6, 1, 24, (uint64_t)_i);
 
-  fleet->load = true;
+  fleet->saturate_targets = true;
   fleet_run (fleet, 10000);
   fleet_kill (fleet, (size_t)_i % 6);
-  ck_assert_int_ge (fleet_time_to_one_owner (fleet, 12000), 0);
+  ck_assert_int_ge (fleet_run_until_one_owner (fleet, 12000), 0);
   fleet_run (fleet, 30000);
   ck_assert_uint_eq (fleet->double_grants, 0);
-  ck_assert_int_le (fleet->worst_used, FLEET_CAPACITY * 5 / 4);
+  ck_assert_int_le (fleet->max_used_tokens, FLEET_CAPACITY * 5 / 4);
   fleet_destroy (fleet);
 }
 END_TEST
@@ -87,12 +87,12 @@
 {
   fleet_t *fleet = start_fleet (6, 1, 24, (uint64_t)_i);
 
-  fleet->load = true;
+  fleet->saturate_targets = true;
   fleet_pause (fleet, 1, 3000 + 1500 * _i);
   fleet_pause (fleet, 4, 9000 + 500 * _i);
   fleet_run (fleet, 30000);
   ck_assert_uint_eq (fleet->double_grants, 0);
-  ck_assert_int_ge (fleet_time_to_one_owner (fleet, 1000), 0);
+  ck_assert_int_ge (fleet_run_until_one_owner (fleet, 1000), 0);
   fleet_destroy (fleet);
 }
 END_TEST
@@ -106,12 +106,12 @@
 
   fleet_kill (fleet, 0);
   fleet_run (fleet, 30000);
-  ck_assert_int_ge (fleet_time_to_one_owner (fleet, 1000), 0);
+  ck_assert_int_ge (fleet_run_until_one_owner (fleet, 1000), 0);
   fleet_pause (fleet, 1, 25000 + 700 * _i);
   fleet_start (fleet, 0);
   fleet_run (fleet, 60000);
   ck_assert_uint_eq (fleet->double_grants, 0);
-  ck_assert_int_ge (fleet_time_to_one_owner (fleet, 1000), 0);
+  ck_assert_int_ge (fleet_run_until_one_owner (fleet, 1000), 0);
   fleet_destroy (fleet);
 }
 END_TEST
@@ -123,17 +123,17 @@
   fleet_t *fleet = start_fleet (4, 1, 16, (uint64_t)_i);
   int64_t ms;
 
-  fleet->load = true;
+  fleet->saturate_targets = true;
   fleet_run (fleet, 20000);
-  fleet->worst_used = 0;
-  fleet_leave (fleet, 2);
+  fleet->max_used_tokens = 0;
+  fleet_set_leaving (fleet, 2);
   fleet_run (fleet, 300);
   ck_assert_uint_eq (get_status (fleet, 2).owned, 0);
-  ms = fleet_time_to_one_owner (fleet, 6000);
+  ms = fleet_run_until_one_owner (fleet, 6000);
   ck_assert_int_ge (ms, 0);
   fleet_run (fleet, 20000);
   ck_assert_uint_eq (fleet->double_grants, 0);
-  ck_assert_int_le (fleet->worst_used, FLEET_CAPACITY * 11 / 10);
+  ck_assert_int_le (fleet->max_used_tokens, FLEET_CAPACITY * 11 / 10);
   fleet_destroy (fleet);
 }
 END_TEST
@@ -146,10 +146,10 @@
   fleet_t *fleet = start_fleet (4, 1, 16, (uint64_t)_i);
   int64_t since_ms;
 
-  fleet->load = true;
+  fleet->saturate_targets = true;
   fleet_run (fleet, 5000);
   fleet->targets[3].leaving = true;
-  fleet_leave_target (fleet, 7);
+  fleet_set_target_leaving (fleet, 7);
   since_ms = fleet->now_ms;
   while (fleet_count_granting (fleet, 3) + fleet_count_granting (fleet, 7) > 0)
     {
@@ -195,26 +195,26 @@
   const split_case_t *row = &split_cases[_i];
   fleet_t *fleet = start_fleet (12, 1, 40, 9);
 
-  fleet->load = !row->idle_before;
+  fleet->saturate_targets = !row->idle_before;
   fleet_run (fleet, 20000);
-  fleet->worst_used = 0;
-  fleet_split (fleet, row->split, true);
+  fleet->max_used_tokens = 0;
+  fleet_set_partition (fleet, row->split, true);
   fleet_run (fleet, 40000);
-  fleet->load = true;
+  fleet->saturate_targets = true;
   fleet_run (fleet, 20000);
-  ck_assert_int_le (fleet->worst_used,
+  ck_assert_int_le (fleet->max_used_tokens,
                     FLEET_CAPACITY * row->worst_at_once / 100);
-  fleet->worst_used = 0;
+  fleet->max_used_tokens = 0;
   fleet_run (fleet, 30000);
-  ck_assert_int_le (fleet->worst_used,
+  ck_assert_int_le (fleet->max_used_tokens,
                     FLEET_CAPACITY * row->worst_after / 100);
   ck_assert_uint_gt (fleet->double_grants, 0);
-  fleet_split (fleet, row->split, false);
+  fleet_set_partition (fleet, row->split, false);
   fleet_run (fleet, 15000);
   fleet->double_grants = 0;
   fleet_run (fleet, 15000);
   ck_assert_uint_eq (fleet->double_grants, 0);
-  ck_assert_int_ge (fleet_time_to_one_owner (fleet, 1000), 0);
+  ck_assert_int_ge (fleet_run_until_one_owner (fleet, 1000), 0);
   fleet_destroy (fleet);
 }
 END_TEST
@@ -226,9 +226,9 @@
   fleet_t *fleet = start_fleet (_i % 2 == 0 ? 9 : 6, _i % 3 == 0 ? 3 : 1, 8,
                                 (uint64_t)_i);
 
-  fleet->load = true;
-  fleet_break_things (fleet, 12, false);
-  ck_assert_int_ge (fleet_time_to_one_owner (fleet, 30000), 0);
+  fleet->saturate_targets = true;
+  fleet_inject_faults (fleet, 12, false);
+  ck_assert_int_ge (fleet_run_until_one_owner (fleet, 30000), 0);
   ck_assert_uint_eq (fleet->double_grants, 0);
   fleet_destroy (fleet);
 }
@@ -265,9 +265,9 @@
   settings.report_lag_ms = 2000;
   fleet = fleet_create (&settings);
   fleet_start_all (fleet);
-  fleet->load = true;
-  fleet_break_things (fleet, 12, false);
-  ck_assert_int_ge (fleet_time_to_one_owner (fleet, 30000), 0);
+  fleet->saturate_targets = true;
+  fleet_inject_faults (fleet, 12, false);
+  ck_assert_int_ge (fleet_run_until_one_owner (fleet, 30000), 0);
   ck_assert_uint_eq (fleet->double_grants, 0);
   fleet_destroy (fleet);
 }
@@ -280,10 +280,10 @@
   fleet_t *fleet = start_fleet (_i % 2 == 0 ? 9 : 6, _i % 3 == 0 ? 3 : 1, 8,
                                 (uint64_t)_i);
 
-  fleet->load = true;
-  fleet_break_things (fleet, 12, true);
+  fleet->saturate_targets = true;
+  fleet_inject_faults (fleet, 12, true);
   fleet_run (fleet, 20000);
-  ck_assert_int_ge (fleet_time_to_one_owner (fleet, 10000), 0);
+  ck_assert_int_ge (fleet_run_until_one_owner (fleet, 10000), 0);
   fleet->double_grants = 0;
   fleet_run (fleet, 10000);
   ck_assert_uint_eq (fleet->double_grants, 0);
--- a/tests/pack/pack-test.c
+++ b/tests/pack/pack-test.c
@@ -45,9 +45,9 @@
 START_TEST (compressed_bytes_round_trip)
 {
   fill_rows (row_counts[_i]);
-  ck_assert (csp_pack_bytes (bytes.data, bytes.size_bytes, &packed));
-  ck_assert (
-      csp_unpack_bytes (packed.data, packed.size_bytes, MAX_BYTES, &unpacked));
+  ck_assert (csp_compress_bytes (bytes.data, bytes.size_bytes, &packed));
+  ck_assert (csp_decompress_bytes (packed.data, packed.size_bytes, MAX_BYTES,
+                                   &unpacked));
   ck_assert_uint_eq (unpacked.size_bytes, bytes.size_bytes);
   ck_assert (bytes.size_bytes == 0
              || memcmp (unpacked.data, bytes.data, bytes.size_bytes) == 0);
@@ -64,7 +64,7 @@
   };
 
   fill_rows (3000);
-  ck_assert (csp_pack_bytes (bytes.data, bytes.size_bytes, &packed));
+  ck_assert (csp_compress_bytes (bytes.data, bytes.size_bytes, &packed));
   ck_assert_uint_le (packed.size_bytes, LINK_BYTES_PER_S / TRANSFERS_PER_S);
 }
 END_TEST
@@ -78,15 +78,15 @@
   size_t i;
 
   fill_rows (100);
-  ck_assert (csp_pack_bytes (bytes.data, bytes.size_bytes, &packed));
+  ck_assert (csp_compress_bytes (bytes.data, bytes.size_bytes, &packed));
   for (i = 0; i < packed.size_bytes; i++)
     {
       csp_clear_buffer (&unpacked);
-      ck_assert (!csp_unpack_bytes (packed.data, i, MAX_BYTES, &unpacked));
+      ck_assert (!csp_decompress_bytes (packed.data, i, MAX_BYTES, &unpacked));
     }
   csp_clear_buffer (&unpacked);
-  ck_assert (!csp_unpack_bytes (packed.data, packed.size_bytes,
-                                bytes.size_bytes - 1, &unpacked));
+  ck_assert (!csp_decompress_bytes (packed.data, packed.size_bytes,
+                                    bytes.size_bytes - 1, &unpacked));
   csp_seed_random (&random, 7);
   for (i = 0; i < 2000; i++)
     {
@@ -95,14 +95,14 @@
 
       csp_clear_buffer (&unpacked);
       packed.data[at] ^= (char)(1 + csp_random_below (&random, 255));
-      ck_assert (!csp_unpack_bytes (packed.data, packed.size_bytes, MAX_BYTES,
-                                    &unpacked));
+      ck_assert (!csp_decompress_bytes (packed.data, packed.size_bytes,
+                                        MAX_BYTES, &unpacked));
       packed.data[at] = original;
     }
   csp_append_buffer (&packed, "x", 1);
   csp_clear_buffer (&unpacked);
-  ck_assert (!csp_unpack_bytes (packed.data, packed.size_bytes, MAX_BYTES,
-                                &unpacked));
+  ck_assert (!csp_decompress_bytes (packed.data, packed.size_bytes, MAX_BYTES,
+                                    &unpacked));
 }
 END_TEST
 
--- a/tests/peer/peer-codec-test.c
+++ b/tests/peer/peer-codec-test.c
@@ -23,7 +23,7 @@
 
 static char *targets[] = { "e1", "e2", "e3" };
 
-static csp_carry_t carries[]
+static csp_carried_load_t carries[]
     = { { .target = "e1", .carried_tokens = 5000, .carried_streams = 3 },
         { .target = "e2", .owning = true } };
 
@@ -324,17 +324,17 @@
 /* A list with more entries than the receiver accepts is refused.  */
 START_TEST (lists_over_the_limit_are_refused)
 {
-  char **many = calloc (CSP_MAX_CARRY_TARGETS + 1, sizeof *many);
+  char **many = calloc (CSP_MAX_LOAD_QUERY_TARGETS + 1, sizeof *many);
   csp_peer_message_t message = { .kind = CSP_PEER_CARRY_ASK };
   csp_peer_message_t decoded;
   uint8_t *frame;
   size_t size_bytes;
   size_t i;
 
-  for (i = 0; i <= CSP_MAX_CARRY_TARGETS; i++)
+  for (i = 0; i <= CSP_MAX_LOAD_QUERY_TARGETS; i++)
     many[i] = targets[0];
   message.u.carry_ask.targets = many;
-  message.u.carry_ask.count = CSP_MAX_CARRY_TARGETS;
+  message.u.carry_ask.count = CSP_MAX_LOAD_QUERY_TARGETS;
   frame = encode (&message, &size_bytes);
   ck_assert (
       csp_decode_peer_message (frame, size_bytes, DEPLOYMENT, &decoded));
--- a/tests/placement/placement-test.c
+++ b/tests/placement/placement-test.c
@@ -24,7 +24,7 @@
 {
   csp_length_policy_t lengths_policy = csp_default_length_policy ();
   csp_admission_policy_t admission = csp_default_admission_policy ();
-  csp_load_report_t report = { .report = 1, .memory_tokens = MEMORY };
+  csp_load_report_t report = { .sequence = 1, .memory_tokens = MEMORY };
   uint32_t i;
 
   policy = csp_default_placement_policy ();
@@ -32,9 +32,9 @@
   for (i = 0; i < TARGETS; i++)
     {
       ledgers[i] = csp_create_ledger (&admission, lengths);
-      csp_take_report (ledgers[i], &report, 1000);
+      csp_apply_load_report (ledgers[i], &report, 1000);
       candidates[i] = (csp_candidate_t){ .ledger = ledgers[i],
-                                         .open = 1,
+                                         .usable_share = 1,
                                          .slowness = 1 };
     }
 }
@@ -58,11 +58,12 @@
 }
 
 static void
-add_stream (uint32_t target, uint32_t prompt_tokens, uint32_t made_tokens)
+add_stream (uint32_t target, uint32_t prompt_tokens,
+            uint32_t generated_token_count)
 {
   csp_stream_t stream = stream_of (prompt_tokens);
 
-  csp_add_stream (ledgers[target], &stream, made_tokens, 1000);
+  csp_add_stream (ledgers[target], &stream, generated_token_count, 1000);
 }
 
 /* What makes the first of two targets the worse choice.  A prompt that is
@@ -99,7 +100,7 @@
   if (worse_targets[_i].held_tokens != 0)
     add_stream (0, worse_targets[_i].held_tokens, 50);
   candidates[0].slowness = worse_targets[_i].slowness;
-  candidates[0].open = worse_targets[_i].open;
+  candidates[0].usable_share = worse_targets[_i].open;
   candidates[1].cached_tokens = worse_targets[_i].cached_elsewhere;
   ck_assert (
       csp_choose_target (&policy, candidates, 2, &stream, 1000, &chosen));
@@ -158,7 +159,7 @@
    each chose the best peer, all would send to that one.  */
 START_TEST (spilling_hosts_spread_over_peers)
 {
-  csp_peer_offer_t offers[12] = { 0 };
+  csp_peer_candidate_t offers[12] = { 0 };
   uint32_t counts[12] = { 0 };
   size_t order[CSP_HANDOFF_MAX_PEERS];
   csp_random_t random;
@@ -186,7 +187,7 @@
   uint32_t i;
 
   for (i = 0; i < TARGETS; i++)
-    if (csp_health_open (health, i) > 0)
+    if (csp_health_share (health, i) > 0)
       csp_note_gaps (health, i, 64, gaps_ms[i]);
 }
 
@@ -205,26 +206,26 @@
 
   for (now_ms = 1000; now_ms < 20000; now_ms += 1000)
     {
-      before = csp_health_open (health, 9);
+      before = csp_health_share (health, 9);
       record_gaps (health, gaps_ms);
-      csp_weigh_health (health, now_ms);
-      ck_assert_double_ge (csp_health_open (health, 9), before / 2 - 0.1);
+      csp_update_health (health, now_ms);
+      ck_assert_double_ge (csp_health_share (health, 9), before / 2 - 0.1);
     }
-  ck_assert_double_eq (csp_health_open (health, 9), 0);
-  ck_assert_double_eq (csp_health_open (health, 8), 1);
+  ck_assert_double_eq (csp_health_share (health, 9), 0);
+  ck_assert_double_eq (csp_health_share (health, 8), 1);
   for (; now_ms < 40000; now_ms += 1000)
     probes += csp_take_probe (health, 9, 0, now_ms);
   ck_assert_uint_eq (probes, 4);
   ck_assert (!csp_take_probe (health, 9, 1, now_ms + 10000));
   csp_note_gaps (health, 9, 200, 41);
-  csp_weigh_health (health, now_ms);
-  ck_assert_double_le (csp_health_open (health, 9), 0.25);
+  csp_update_health (health, now_ms);
+  ck_assert_double_le (csp_health_share (health, 9), 0.25);
   for (; now_ms < 60000; now_ms += 1000)
     {
       csp_note_gaps (health, 9, 64, 41);
-      csp_weigh_health (health, now_ms);
+      csp_update_health (health, now_ms);
     }
-  ck_assert_double_eq (csp_health_open (health, 9), 1);
+  ck_assert_double_eq (csp_health_share (health, 9), 1);
   csp_destroy_health (health);
 }
 END_TEST
@@ -243,10 +244,10 @@
   for (now_ms = 1000; now_ms < 60000; now_ms += 1000)
     {
       record_gaps (health, gaps_ms);
-      csp_weigh_health (health, now_ms);
+      csp_update_health (health, now_ms);
     }
   for (i = 0; i < TARGETS; i++)
-    closed += csp_health_open (health, i) < 1;
+    closed += csp_health_share (health, i) < 1;
   ck_assert_uint_eq (closed, 2);
   csp_destroy_health (health);
 }
@@ -267,12 +268,12 @@
       csp_note_gaps (health, 0, 64, 41);
       csp_note_gaps (health, 1, 64, 126);
       csp_set_fleet_health (health, 42, 10, now_ms < 20000 ? 2 : 0);
-      csp_weigh_health (health, now_ms);
+      csp_update_health (health, now_ms);
       if (now_ms < 20000)
-        ck_assert_double_eq (csp_health_open (health, 1), 1);
+        ck_assert_double_eq (csp_health_share (health, 1), 1);
     }
-  ck_assert_double_eq (csp_health_open (health, 0), 1);
-  ck_assert_double_eq (csp_health_open (health, 1), 0);
+  ck_assert_double_eq (csp_health_share (health, 0), 1);
+  ck_assert_double_eq (csp_health_share (health, 1), 0);
   csp_destroy_health (health);
 }
 END_TEST
@@ -287,15 +288,15 @@
   int64_t now_ms;
 
   record_gaps (health, gaps_ms);
-  csp_weigh_health (health, 1000);
+  csp_update_health (health, 1000);
   for (now_ms = 2000; now_ms < 16000; now_ms += 1000)
     {
       csp_note_silence (health, 4, (double)now_ms - 1000);
-      csp_weigh_health (health, now_ms);
+      csp_update_health (health, now_ms);
     }
-  ck_assert_double_eq (csp_health_open (health, 4), 0);
+  ck_assert_double_eq (csp_health_share (health, 4), 0);
   csp_reset_health (health, 4, true);
-  ck_assert_double_eq (csp_health_open (health, 4), 1);
+  ck_assert_double_eq (csp_health_share (health, 4), 1);
   csp_destroy_health (health);
 }
 END_TEST
--- a/tests/platform/fetcher-test.c
+++ b/tests/platform/fetcher-test.c
@@ -26,7 +26,7 @@
     "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n", 202, true },
   { "refused", true, true,
     "HTTP/1.1 409 Conflict\r\nContent-Length: 0\r\n\r\n", 409, true },
-  { "cut", true, true, NULL, CSP_POST_LOST, true },
+  { "cut", true, true, NULL, CSP_POST_NO_RESPONSE, true },
   { "nobody there", false, true, NULL, CSP_POST_NOT_SENT, false },
   /* The process was paused between its decision and the send, and another host
      owns the engine by now.  An order sent all the same would undo that
--- a/tests/platform/list-watch-test.c
+++ b/tests/platform/list-watch-test.c
@@ -59,14 +59,15 @@
   switch (step->kind)
     {
     case READ_SENT:
-      csp_note_list_asked (watch, true, step->at_ms);
+      csp_note_list_read_sent (watch, true, step->at_ms);
       break;
     case READ_SUCCEEDED:
     case READ_FAILED:
-      csp_note_list_read (watch, step->kind == READ_SUCCEEDED, step->at_ms);
+      csp_note_list_read_ended (watch, step->kind == READ_SUCCEEDED,
+                                step->at_ms);
       break;
     case HOST_RESUMED:
-      csp_note_list_woke (watch, step->at_ms);
+      csp_note_list_host_resumed (watch, step->at_ms);
       break;
     }
 }
@@ -96,14 +97,14 @@
 {
   csp_list_watch_t watch = { .pending = false };
 
-  csp_note_list_asked (&watch, true, 1000);
+  csp_note_list_read_sent (&watch, true, 1000);
   ck_assert (!csp_list_read_is_due (&watch, 5000));
-  csp_note_list_read (&watch, true, 3000);
+  csp_note_list_read_ended (&watch, true, 3000);
   ck_assert_int_eq (watch.confirmed_ms, 1000);
-  csp_note_list_asked (&watch, true, 4000);
-  csp_note_list_read (&watch, false, 5000);
+  csp_note_list_read_sent (&watch, true, 4000);
+  csp_note_list_read_ended (&watch, false, 5000);
   ck_assert_int_eq (watch.confirmed_ms, 1000);
-  ck_assert (watch.away);
+  ck_assert (watch.last_read_failed);
 }
 END_TEST
 
--- a/tests/preemption/preemption-test.c
+++ b/tests/preemption/preemption-test.c
@@ -20,12 +20,12 @@
 {
   csp_length_policy_t lengths_policy = csp_default_length_policy ();
   csp_admission_policy_t admission = csp_default_admission_policy ();
-  csp_load_report_t report = { .report = 1, .memory_tokens = MEMORY };
+  csp_load_report_t report = { .sequence = 1, .memory_tokens = MEMORY };
 
   policy = csp_default_preemption_policy ();
   lengths = csp_create_lengths (&lengths_policy);
   ledger = csp_create_ledger (&admission, lengths);
-  csp_take_report (ledger, &report, 1000);
+  csp_apply_load_report (ledger, &report, 1000);
 }
 
 static void
@@ -36,15 +36,15 @@
 }
 
 static uint32_t
-add_stream (uint32_t prompt_tokens, uint32_t made_tokens, uint8_t priority,
-            uint8_t given_way, bool repeatable)
+add_stream (uint32_t prompt_tokens, uint32_t generated_token_count,
+            uint8_t priority, uint8_t preempted_count, bool repeatable)
 {
   csp_stream_t stream = { .prompt_tokens = prompt_tokens,
                           .priority = priority,
-                          .given_way = given_way,
+                          .preempted_count = preempted_count,
                           .repeatable = repeatable };
 
-  return csp_add_stream (ledger, &stream, made_tokens, 1000);
+  return csp_add_stream (ledger, &stream, generated_token_count, 1000);
 }
 
 /* Which of two streams on an overfull engine is taken back: the second, with
@@ -54,7 +54,7 @@
   const char *name;
   uint32_t made;
   uint8_t priority;
-  uint8_t given_way;
+  uint8_t preempted_count;
   bool repeatable;
   uint32_t victims;
 } rows[] = {
@@ -75,7 +75,7 @@
   add_stream (12000, 3000, 5, 0, true);
   first = add_stream (4000, 0, 5, 0, true);
   other = add_stream (4000, rows[_i].made, rows[_i].priority,
-                      rows[_i].given_way, rows[_i].repeatable);
+                      rows[_i].preempted_count, rows[_i].repeatable);
   ck_assert_uint_gt (csp_expect_overrun (&policy, ledger, 1000), 0);
   count = csp_choose_victims (&policy, ledger, 1000, handles, MAX_VICTIMS);
   ck_assert_uint_eq (count, 1);
@@ -130,11 +130,11 @@
 {
   csp_stream_t stream = { .priority = 8 };
 
-  ck_assert_uint_eq (csp_engine_priority (&stream), 8);
-  stream.given_way = 1;
-  ck_assert_uint_eq (csp_engine_priority (&stream), 9);
-  stream.given_way = 200;
-  ck_assert_uint_eq (csp_engine_priority (&stream), 9);
+  ck_assert_uint_eq (csp_compute_engine_priority (&stream), 8);
+  stream.preempted_count = 1;
+  ck_assert_uint_eq (csp_compute_engine_priority (&stream), 9);
+  stream.preempted_count = 200;
+  ck_assert_uint_eq (csp_compute_engine_priority (&stream), 9);
 }
 END_TEST
 
--- a/tests/quarantine/quarantine-test.c
+++ b/tests/quarantine/quarantine-test.c
@@ -99,7 +99,7 @@
     if (step->target == 0)
       csp_clear_request (here, REQUEST, step->at_ms);
     else
-      csp_strike_request (here, REQUEST, step->target, step->at_ms);
+      csp_add_request_strike (here, REQUEST, step->target, step->at_ms);
   left_ms
       = csp_quarantine_left_ms (here, REQUEST, strike_cases[_i].checked_at_ms);
   ck_assert_msg (left_ms == strike_cases[_i].left_ms, "%s: %u",
@@ -115,19 +115,19 @@
 {
   csp_suspect_t listed[1];
 
-  if (csp_name_suspects (from, listed, 1, now_ms) == 0)
-    return CSP_SUSPECT_AS_BEFORE;
+  if (csp_list_suspects_for_greeting (from, listed, 1, now_ms) == 0)
+    return CSP_SUSPECT_UNCHANGED;
   return csp_merge_suspect (to, listed, now_ms);
 }
 
 START_TEST (strikes_of_several_hosts_add_up)
 {
-  csp_strike_request (here, REQUEST, 1, 10);
-  csp_strike_request (there, REQUEST, 2, 20);
-  csp_strike_request (there, REQUEST, 1, 20);
-  ck_assert_int_eq (greet (there, here, 30), CSP_SUSPECT_STRUCK);
-  ck_assert_int_eq (greet (here, there, 30), CSP_SUSPECT_AS_BEFORE);
-  csp_strike_request (here, REQUEST, 3, 40);
+  csp_add_request_strike (here, REQUEST, 1, 10);
+  csp_add_request_strike (there, REQUEST, 2, 20);
+  csp_add_request_strike (there, REQUEST, 1, 20);
+  ck_assert_int_eq (greet (there, here, 30), CSP_SUSPECT_STRIKE_ADDED);
+  ck_assert_int_eq (greet (here, there, 30), CSP_SUSPECT_UNCHANGED);
+  csp_add_request_strike (here, REQUEST, 3, 40);
   ck_assert_int_eq (greet (here, there, 40), CSP_SUSPECT_QUARANTINED);
   ck_assert_uint_eq (csp_quarantine_left_ms (there, REQUEST, 40), HOLD_MS);
 }
@@ -137,9 +137,9 @@
    the first greeting restores them.  */
 START_TEST (a_restarted_host_learns_of_a_quarantine)
 {
-  csp_strike_request (here, REQUEST, 1, 10);
-  csp_strike_request (here, REQUEST, 2, 10);
-  csp_strike_request (here, REQUEST, 3, 10);
+  csp_add_request_strike (here, REQUEST, 1, 10);
+  csp_add_request_strike (here, REQUEST, 2, 10);
+  csp_add_request_strike (here, REQUEST, 3, 10);
   ck_assert_int_eq (greet (here, there, 5010), CSP_SUSPECT_QUARANTINED);
   ck_assert_uint_eq (csp_quarantine_left_ms (there, REQUEST, 5010),
                      HOLD_MS - 5000);
@@ -153,11 +153,11 @@
   const int64_t first_trial_ms = HOLD_MS + 100;
   const int64_t second_trial_ms = first_trial_ms + 2 * HOLD_MS + 100;
 
-  csp_strike_request (here, REQUEST, 1, 10);
-  csp_strike_request (here, REQUEST, 2, 10);
-  csp_strike_request (here, REQUEST, 3, 10);
-  csp_strike_request (here, REQUEST, 4, first_trial_ms);
-  csp_strike_request (here, REQUEST, 5, second_trial_ms);
+  csp_add_request_strike (here, REQUEST, 1, 10);
+  csp_add_request_strike (here, REQUEST, 2, 10);
+  csp_add_request_strike (here, REQUEST, 3, 10);
+  csp_add_request_strike (here, REQUEST, 4, first_trial_ms);
+  csp_add_request_strike (here, REQUEST, 5, second_trial_ms);
   ck_assert_int_eq (greet (here, there, second_trial_ms + FORGET_MS + 1),
                     CSP_SUSPECT_QUARANTINED);
   ck_assert_uint_eq (
@@ -174,18 +174,18 @@
   int64_t now_ms = 10;
   csp_suspect_t listed;
 
-  csp_strike_request (here, REQUEST, 1, now_ms);
-  csp_strike_request (here, REQUEST, 2, now_ms);
-  csp_strike_request (here, REQUEST, 3, now_ms);
-  csp_strike_request (there, REQUEST, 4, now_ms);
-  csp_strike_request (there, REQUEST, 5, now_ms);
-  csp_strike_request (there, REQUEST, 6, now_ms);
+  csp_add_request_strike (here, REQUEST, 1, now_ms);
+  csp_add_request_strike (here, REQUEST, 2, now_ms);
+  csp_add_request_strike (here, REQUEST, 3, now_ms);
+  csp_add_request_strike (there, REQUEST, 4, now_ms);
+  csp_add_request_strike (there, REQUEST, 5, now_ms);
+  csp_add_request_strike (there, REQUEST, 6, now_ms);
   while (now_ms < HOLD_MS)
     {
-      csp_name_suspects (here, &listed, 1, now_ms);
+      csp_list_suspects_for_greeting (here, &listed, 1, now_ms);
       now_ms += delay_ms;
       csp_merge_suspect (there, &listed, now_ms);
-      csp_name_suspects (there, &listed, 1, now_ms);
+      csp_list_suspects_for_greeting (there, &listed, 1, now_ms);
       now_ms += delay_ms;
       csp_merge_suspect (here, &listed, now_ms);
     }
@@ -204,13 +204,14 @@
   uint64_t i;
 
   for (i = 0; i < 100; i++)
-    csp_strike_request (here, 1000 + i, 1, 10);
-  csp_strike_request (here, REQUEST, 1, 10);
-  csp_strike_request (here, REQUEST, 2, 10);
-  csp_strike_request (here, REQUEST, 3, 10);
+    csp_add_request_strike (here, 1000 + i, 1, 10);
+  csp_add_request_strike (here, REQUEST, 1, 10);
+  csp_add_request_strike (here, REQUEST, 2, 10);
+  csp_add_request_strike (here, REQUEST, 3, 10);
   for (i = 0; i < 10; i++)
     {
-      ck_assert_uint_eq (csp_name_suspects (here, listed, 2, 20), 2);
+      ck_assert_uint_eq (csp_list_suspects_for_greeting (here, listed, 2, 20),
+                         2);
       ck_assert_uint_eq (listed[0].request, REQUEST);
       ck_assert_uint_eq (listed[1].request, 1000 + i);
     }
@@ -220,8 +221,8 @@
 START_TEST (a_recently_served_request_gets_no_strike)
 {
   csp_clear_request (there, REQUEST, 5);
-  csp_strike_request (here, REQUEST, 1, 10);
-  ck_assert_int_eq (greet (here, there, 20), CSP_SUSPECT_SOUND);
+  csp_add_request_strike (here, REQUEST, 1, 10);
+  ck_assert_int_eq (greet (here, there, 20), CSP_SUSPECT_RECENTLY_SERVED);
   ck_assert (csp_clear_request (here, REQUEST, 21));
   ck_assert_uint_eq (csp_count_suspects (here), 0);
 }
@@ -229,7 +230,7 @@
 
 START_TEST (only_a_host_that_reported_strikes_reports_the_success)
 {
-  csp_strike_request (here, REQUEST, 1, 10);
+  csp_add_request_strike (here, REQUEST, 1, 10);
   greet (here, there, 20);
   ck_assert (!csp_clear_request (there, REQUEST, 30));
   ck_assert (!csp_clear_request (there, REQUEST, 31));
@@ -243,10 +244,11 @@
   csp_suspect_t listed[2];
   int i;
 
-  csp_strike_request (here, REQUEST, 1, 10);
+  csp_add_request_strike (here, REQUEST, 1, 10);
   for (i = 0; i < CSP_SUSPECT_BROADCASTS; i++)
-    ck_assert_uint_eq (csp_list_fresh_suspects (here, listed, 2, 20), 1);
-  ck_assert_uint_eq (csp_list_fresh_suspects (here, listed, 2, 30), 0);
+    ck_assert_uint_eq (csp_take_suspects_to_broadcast (here, listed, 2, 20),
+                       1);
+  ck_assert_uint_eq (csp_take_suspects_to_broadcast (here, listed, 2, 30), 0);
   ck_assert_uint_eq (listed[0].request, REQUEST);
   ck_assert_uint_eq (listed[0].age_ms, 10);
 }
@@ -258,11 +260,11 @@
 {
   uint64_t i;
 
-  csp_strike_request (here, REQUEST, 1, 10);
-  csp_strike_request (here, REQUEST, 2, 10);
-  csp_strike_request (here, REQUEST, 3, 10);
+  csp_add_request_strike (here, REQUEST, 1, 10);
+  csp_add_request_strike (here, REQUEST, 2, 10);
+  csp_add_request_strike (here, REQUEST, 3, 10);
   for (i = 0; i < 10 * CSP_SUSPECTS_MAX; i++)
-    csp_strike_request (here, 1000 + i, 1, 20 + (int64_t)i);
+    csp_add_request_strike (here, 1000 + i, 1, 20 + (int64_t)i);
   ck_assert_uint_le (csp_count_suspects (here), CSP_SUSPECTS_MAX);
   ck_assert_uint_gt (csp_quarantine_left_ms (here, REQUEST, 20), 0);
 }
@@ -270,7 +272,7 @@
 
 START_TEST (old_suspects_expire)
 {
-  csp_strike_request (here, REQUEST, 1, 10);
+  csp_add_request_strike (here, REQUEST, 1, 10);
   csp_expire_suspects (here, FORGET_MS + 9);
   ck_assert_uint_eq (csp_count_suspects (here), 1);
   csp_expire_suspects (here, FORGET_MS + 10);
@@ -365,13 +367,14 @@
   csp_suspect_t reports[1];
   int to;
 
-  while (
-      csp_list_fresh_suspects (sim->hosts[from].quarantine, reports, 1, now_ms)
-      > 0)
+  while (csp_take_suspects_to_broadcast (sim->hosts[from].quarantine, reports,
+                                         1, now_ms)
+         > 0)
     for (to = 0; to < SIM_HOSTS; to++)
       deliver (sim, from, to, reports, now_ms);
   if (now_ms % GREET_MS == 0
-      && csp_name_suspects (sim->hosts[from].quarantine, reports, 1, now_ms)
+      && csp_list_suspects_for_greeting (sim->hosts[from].quarantine, reports,
+                                         1, now_ms)
              > 0)
     deliver (sim, from, (int)draw_between (sim, 0, SIM_HOSTS - 1), reports,
              now_ms);
@@ -434,8 +437,8 @@
       run->ends_ms = 0;
       if (++sim->crashes == CSP_STRIKES_MAX)
         sim->third_crash_ms = now_ms;
-      csp_strike_request (sim->hosts[run->host].quarantine, REQUEST,
-                          run->target, now_ms);
+      csp_add_request_strike (sim->hosts[run->host].quarantine, REQUEST,
+                              run->target, now_ms);
     }
 }
 
--- a/tests/queue/queue-test.c
+++ b/tests/queue/queue-test.c
@@ -38,17 +38,17 @@
 push (uint32_t organisation, uint8_t priority, int64_t start_by_ms,
       int64_t now_ms, csp_error_t *error)
 {
-  csp_waiting_t waiting = { .id = next_id++,
-                            .organisation = organisation,
-                            .priority = priority,
-                            .cost_tokens = COST,
-                            .start_by_ms = start_by_ms };
+  csp_waiting_request_t waiting = { .id = next_id++,
+                                    .organisation = organisation,
+                                    .priority = priority,
+                                    .cost_tokens = COST,
+                                    .start_by_ms = start_by_ms };
 
   return csp_push_waiting (queue, &waiting, now_ms, error);
 }
 
 static bool
-take (int64_t now_ms, csp_waiting_t *waiting)
+take (int64_t now_ms, csp_waiting_request_t *waiting)
 {
   bool borrowing;
 
@@ -63,7 +63,7 @@
 static void
 serve_for (int64_t from_ms, int64_t until_ms)
 {
-  csp_waiting_t waiting;
+  csp_waiting_request_t waiting;
 
   for (; from_ms < until_ms; from_ms += 100)
     if (take (from_ms, &waiting))
@@ -75,7 +75,7 @@
 START_TEST (small_organisation_overtakes_largest)
 {
   csp_error_t error;
-  csp_waiting_t waiting;
+  csp_waiting_request_t waiting;
   uint32_t taken_count = 0;
   uint32_t i;
 
@@ -103,7 +103,7 @@
 START_TEST (shares_follow_weights)
 {
   csp_error_t error;
-  csp_waiting_t waiting;
+  csp_waiting_request_t waiting;
   uint32_t small = 0;
   uint32_t i;
 
@@ -126,7 +126,7 @@
 START_TEST (lowest_priority_is_not_starved)
 {
   csp_error_t error;
-  csp_waiting_t waiting = { 0 };
+  csp_waiting_request_t waiting = { 0 };
   int64_t now_ms;
 
   push (LARGEST, 0, 0, 1000, &error);
@@ -168,7 +168,8 @@
 
   while (push (LARGEST, 5, 0, 1000, &error))
     accepted++;
-  ck_assert_uint_eq (accepted, csp_default_queue_policy ().max_waiting_each);
+  ck_assert_uint_eq (accepted,
+                     csp_default_queue_policy ().max_waiting_per_organisation);
   ck_assert_int_eq (error.reason, CSP_REASON_QUEUE_FULL);
   ck_assert (push (SMALL, 5, 0, 1000, &error));
 }
@@ -180,7 +181,7 @@
 START_TEST (unmeetable_request_expires_before_deadline)
 {
   csp_error_t error;
-  csp_waiting_t waiting;
+  csp_waiting_request_t waiting;
   uint32_t given_up = 0;
   int64_t now_ms;
   uint32_t i;
@@ -207,7 +208,7 @@
    when nothing is served for long they must be told to retry later.  */
 START_TEST (startup_is_not_taken_for_standstill)
 {
-  csp_waiting_t waiting;
+  csp_waiting_request_t waiting;
   csp_error_t error;
   int64_t now_ms;
 
@@ -225,7 +226,7 @@
 START_TEST (wait_ends_at_deadline)
 {
   csp_error_t error;
-  csp_waiting_t waiting;
+  csp_waiting_request_t waiting;
 
   push (SMALL, 5, 1500, 1000, &error);
   ck_assert (!csp_expire_waiting (queue, 1499, &waiting, &error));
@@ -236,12 +237,12 @@
 END_TEST
 
 /* The largest organisation may use what others leave, and is reported as a
-   borrower, so that it leaves lend_keep free.  When the small one sends again,
-   it gets every second turn from the first on.  */
+   borrower, so that it leaves lending_reserve free.  When the small one sends
+   again, it gets every second turn from the first on.  */
 START_TEST (lent_share_is_taken_back)
 {
   csp_error_t error;
-  csp_waiting_t waiting;
+  csp_waiting_request_t waiting;
   bool borrowing = false;
   uint32_t taken = 0;
   uint32_t small = 0;
@@ -274,9 +275,9 @@
    memory that gets free.  After blocking_after_ms the queue waits for it.  */
 START_TEST (large_request_is_not_skipped_forever)
 {
-  csp_waiting_t large
+  csp_waiting_request_t large
       = { .id = 1000, .organisation = SMALL, .cost_tokens = 40000 };
-  csp_waiting_t waiting;
+  csp_waiting_request_t waiting;
   csp_error_t error;
   bool borrowing;
   uint32_t overtaken = 0;
--- a/tests/reach/reach-test.c
+++ b/tests/reach/reach-test.c
@@ -94,19 +94,20 @@
       switch (step->kind)
         {
         case ANSWER:
-          csp_note_answer_from (reach, step->data_centre, step->at_ms);
+          csp_note_target_answer_from (reach, step->data_centre, step->at_ms);
           break;
         case RECEIVED:
-          csp_note_host_heard (reach, step->data_centre, step->at_ms);
+          csp_note_host_message_from (reach, step->data_centre, step->at_ms);
           break;
         case FAILED:
           csp_note_exchange_failed (reach, step->data_centre, step->at_ms);
           break;
         }
     }
-  ck_assert_msg (csp_is_reached (reach, cases[_i].data_centre, cases[_i].at_ms)
-                     == cases[_i].reachable,
-                 "%s", cases[_i].name);
+  ck_assert_msg (
+      csp_is_reachable (reach, cases[_i].data_centre, cases[_i].at_ms)
+          == cases[_i].reachable,
+      "%s", cases[_i].name);
   csp_destroy_reach (reach);
 }
 END_TEST
@@ -118,14 +119,14 @@
 {
   csp_reach_t *reach = csp_create_reach (HOME);
 
-  csp_note_host_heard (reach, ELSEWHERE, 1000);
-  ck_assert (!csp_take_reach_question (reach, ELSEWHERE, 1100));
-  ck_assert (csp_take_reach_question (reach, ELSEWHERE, 3000));
-  ck_assert (!csp_take_reach_question (reach, ELSEWHERE, 3100));
-  ck_assert (csp_take_reach_question (reach, ELSEWHERE, 3500));
-  csp_note_answer_from (reach, ELSEWHERE, 3510);
-  ck_assert (!csp_take_reach_question (reach, ELSEWHERE, 4000));
-  ck_assert (!csp_take_reach_question (reach, HOME, 9000));
+  csp_note_host_message_from (reach, ELSEWHERE, 1000);
+  ck_assert (!csp_take_reach_probe (reach, ELSEWHERE, 1100));
+  ck_assert (csp_take_reach_probe (reach, ELSEWHERE, 3000));
+  ck_assert (!csp_take_reach_probe (reach, ELSEWHERE, 3100));
+  ck_assert (csp_take_reach_probe (reach, ELSEWHERE, 3500));
+  csp_note_target_answer_from (reach, ELSEWHERE, 3510);
+  ck_assert (!csp_take_reach_probe (reach, ELSEWHERE, 4000));
+  ck_assert (!csp_take_reach_probe (reach, HOME, 9000));
   csp_destroy_reach (reach);
 }
 END_TEST
--- a/tests/retry/lease-test.c
+++ b/tests/retry/lease-test.c
@@ -8,12 +8,13 @@
 #include <stdlib.h>
 #include <string.h>
 
-static const csp_lease_policy_t policy = { .extra = 600, .window_ms = 10000 };
+static const csp_lease_policy_t policy
+    = { .max_per_window = 600, .window_ms = 10000 };
 
 /* A fleet of 100 hosts in four data centres without faults.  */
 static const csp_lease_facts_t healthy_fleet = { .hosts_asking = 100,
                                                  .hosts_known = 100,
-                                                 .data_centres_heard = 4,
+                                                 .data_centres_live = 4,
                                                  .data_centres_listed = 4 };
 
 /* Events of one pool in order, with the granted leases.  A new decider doesn't
@@ -62,7 +63,7 @@
   csp_lease_pool_t pool;
   size_t i;
 
-  csp_open_lease_pool (&pool, &policy, 0);
+  csp_init_lease_pool (&pool, &policy, 0);
   for (i = 0; i < sizeof cases[0].steps / sizeof cases[0].steps[0]; i++)
     {
       const step_t *step = &cases[_i].steps[i];
@@ -71,7 +72,7 @@
       if (i > 0 && step->at_ms == 0)
         break;
       if (step->decider != 0)
-        csp_note_lease_duty (&pool, step->decider > 0, step->at_ms);
+        csp_set_lease_decider (&pool, step->decider > 0, step->at_ms);
       granted = csp_grant_leases (&pool, &healthy_fleet, step->wanted,
                                   step->at_ms);
       ck_assert_msg (granted == step->granted, "%s: step %zu: %u",
@@ -103,8 +104,8 @@
   csp_lease_pool_t pool;
   uint32_t granted;
 
-  csp_open_lease_pool (&pool, &policy, 0);
-  csp_note_lease_duty (&pool, true, 0);
+  csp_init_lease_pool (&pool, &policy, 0);
+  csp_set_lease_decider (&pool, true, 0);
   granted = csp_grant_leases (&pool, &fleet_views[_i].facts, 1000, 20000);
   ck_assert_msg (granted == fleet_views[_i].granted, "%s: %u",
                  fleet_views[_i].name, granted);
@@ -121,13 +122,15 @@
   csp_retry_facts_t facts = refused;
   csp_retry_budget_t budget;
 
-  csp_open_retry_budget (&budget, &no_retries);
-  ck_assert_int_eq (csp_decide_retry (&budget, &facts), CSP_RETRY_BUDGET);
+  csp_init_retry_budget (&budget, &no_retries);
+  ck_assert_int_eq (csp_decide_retry (&budget, &facts),
+                    CSP_RETRY_BUDGET_USED_UP);
   csp_take_retry_lease (&budget, 2, 5000);
   facts.now_ms = 4999;
-  ck_assert_int_eq (csp_decide_retry (&budget, &facts), CSP_RETRY_YES);
+  ck_assert_int_eq (csp_decide_retry (&budget, &facts), CSP_RETRY_ALLOWED);
   facts.now_ms = 5000;
-  ck_assert_int_eq (csp_decide_retry (&budget, &facts), CSP_RETRY_BUDGET);
+  ck_assert_int_eq (csp_decide_retry (&budget, &facts),
+                    CSP_RETRY_BUDGET_USED_UP);
 }
 END_TEST
 
@@ -151,7 +154,7 @@
 
 static const double retry_share = 0.2;
 static const csp_lease_policy_t sim_policy
-    = { .extra = 240, .window_ms = 10000 };
+    = { .max_per_window = 240, .window_ms = 10000 };
 
 typedef struct
 {
@@ -199,11 +202,11 @@
 {
   host_t *host = &sim->hosts[index];
   csp_retry_policy_t own_policy
-      = { .retry_share = retry_share, .retry_most = 1, .attempts_max = 3 };
+      = { .retry_share = retry_share, .retry_max = 1, .attempts_max = 3 };
 
   memset (host, 0, sizeof *host);
-  csp_open_retry_budget (&host->budget, &own_policy);
-  csp_open_lease_pool (&host->pool, &sim_policy, sim->now_ms);
+  csp_init_retry_budget (&host->budget, &own_policy);
+  csp_init_lease_pool (&host->pool, &sim_policy, sim->now_ms);
   host->alive = true;
   host->decider = index;
   host->next_view_ms = sim->now_ms;
@@ -225,7 +228,7 @@
         host->seen[i] = true;
         host->decider = i;
       }
-  csp_note_lease_duty (&host->pool, host->decider == index, sim->now_ms);
+  csp_set_lease_decider (&host->pool, host->decider == index, sim->now_ms);
 }
 
 static csp_lease_facts_t
@@ -244,7 +247,7 @@
       seen_data_centres[data_centre_of (i)] = true;
     }
   for (i = 0; i < DATA_CENTRES; i++)
-    facts.data_centres_heard += seen_data_centres[i];
+    facts.data_centres_live += seen_data_centres[i];
   return facts;
 }
 
@@ -284,10 +287,10 @@
   sim->requests[step]++;
   csp_note_first_attempt (&host->budget);
   facts.now_ms = sim->now_ms;
-  if (csp_decide_retry (&host->budget, &facts) != CSP_RETRY_YES)
+  if (csp_decide_retry (&host->budget, &facts) != CSP_RETRY_ALLOWED)
     {
       ask_for_lease (sim, index);
-      if (csp_decide_retry (&host->budget, &facts) != CSP_RETRY_YES)
+      if (csp_decide_retry (&host->budget, &facts) != CSP_RETRY_ALLOWED)
         return;
     }
   sim->retries[step]++;
@@ -361,7 +364,7 @@
         }
       allowed = (uint32_t)(retry_share
                            * sum_before (sim->requests, (int64_t)step + 1))
-                + sim_policy.extra;
+                + sim_policy.max_per_window;
       ck_assert_msg (sum_before (sim->retries, (int64_t)step + 1) <= allowed,
                      "seed %d, step %zu: %u retries, allowed %u", _i + 1, step,
                      sum_before (sim->retries, (int64_t)step + 1), allowed);
--- a/tests/retry/retry-test.c
+++ b/tests/retry/retry-test.c
@@ -10,7 +10,7 @@
         .verdict = CSP_VERDICT_MAY_HAVE_RUN,
         .attempts = 1,
         .left_ms = 10000,
-        .needs_ms = 1000 };
+        .usual_first_token_ms = 1000 };
 
 static csp_retry_budget_t
 full_budget (void)
@@ -19,7 +19,7 @@
   csp_retry_budget_t budget;
   int i;
 
-  csp_open_retry_budget (&budget, &policy);
+  csp_init_retry_budget (&budget, &policy);
   for (i = 0; i < 1000; i++)
     csp_note_first_attempt (&budget);
   return budget;
@@ -31,12 +31,12 @@
 static const struct
 {
   csp_retry_facts_t facts;
-  csp_retry_t retry;
-  csp_retry_t hedge;
+  csp_retry_decision_t retry;
+  csp_retry_decision_t hedge;
 } rows[] = {
   { { true, false, CSP_VERDICT_MAY_HAVE_RUN, 1, 10000, 1000, 0, 0, 0 },
-    CSP_RETRY_YES,
-    CSP_RETRY_YES },
+    CSP_RETRY_ALLOWED,
+    CSP_RETRY_ALLOWED },
   { { false, false, CSP_VERDICT_MAY_HAVE_RUN, 1, 10000, 1000, 0, 0, 0 },
     CSP_RETRY_MAY_HAVE_RUN,
     CSP_RETRY_MAY_HAVE_RUN },
@@ -44,22 +44,22 @@
     CSP_RETRY_MAY_HAVE_RUN,
     CSP_RETRY_MAY_HAVE_RUN },
   { { false, false, CSP_VERDICT_NOT_RUN, 1, 10000, 1000, 0, 0, 0 },
-    CSP_RETRY_YES,
+    CSP_RETRY_ALLOWED,
     CSP_RETRY_MAY_HAVE_RUN },
   { { true, true, CSP_VERDICT_RAN, 1, 10000, 1000, 0, 0, 0 },
     CSP_RETRY_TOKENS_SENT,
     CSP_RETRY_TOKENS_SENT },
   { { true, false, CSP_VERDICT_NOT_RUN, 3, 10000, 1000, 0, 0, 0 },
-    CSP_RETRY_ATTEMPTS,
-    CSP_RETRY_ATTEMPTS },
+    CSP_RETRY_ATTEMPTS_USED_UP,
+    CSP_RETRY_ATTEMPTS_USED_UP },
   { { true, false, CSP_VERDICT_NOT_RUN, 1, 900, 1000, 0, 0, 0 },
     CSP_RETRY_DEADLINE,
     CSP_RETRY_DEADLINE },
   { { true, false, CSP_VERDICT_NOT_RUN, 1, 10000, 1000, 1, 0, 0 },
-    CSP_RETRY_YES,
+    CSP_RETRY_ALLOWED,
     CSP_RETRY_BUSY },
   { { true, false, CSP_VERDICT_NOT_RUN, 1, 10000, 1000, 0, 0.9, 0 },
-    CSP_RETRY_YES,
+    CSP_RETRY_ALLOWED,
     CSP_RETRY_BUSY },
 };
 
@@ -90,7 +90,7 @@
       csp_note_first_attempt (&budget);
       sent++;
       for (facts.attempts = 1;
-           csp_decide_retry (&budget, &facts) == CSP_RETRY_YES;
+           csp_decide_retry (&budget, &facts) == CSP_RETRY_ALLOWED;
            facts.attempts++)
         sent++;
     }
@@ -98,7 +98,7 @@
   ck_assert_uint_ge (sent, 10900);
   ck_assert_uint_eq (budget.first_attempts - before, 10000);
   ck_assert_int_eq (csp_decide_retry (&budget, &idempotent_request),
-                    CSP_RETRY_BUDGET);
+                    CSP_RETRY_BUDGET_USED_UP);
 }
 END_TEST
 
@@ -111,14 +111,14 @@
   csp_retry_budget_t budget;
   uint32_t sent;
 
-  csp_open_retry_budget (&budget, &policy);
+  csp_init_retry_budget (&budget, &policy);
   for (sent = 0; sent < (uint32_t)policy.retry_start; sent++)
     ck_assert_int_eq (csp_decide_retry (&budget, &idempotent_request),
-                      CSP_RETRY_YES);
+                      CSP_RETRY_ALLOWED);
   ck_assert_int_eq (csp_decide_retry (&budget, &idempotent_request),
-                    CSP_RETRY_BUDGET);
+                    CSP_RETRY_BUDGET_USED_UP);
   ck_assert_int_eq (csp_decide_hedge (&budget, &idempotent_request),
-                    CSP_RETRY_BUDGET);
+                    CSP_RETRY_BUDGET_USED_UP);
 }
 END_TEST
 
--- a/tests/roster/roster-test.c
+++ b/tests/roster/roster-test.c
@@ -36,7 +36,8 @@
 static csp_hello_t
 hello_of (uint64_t boot, uint64_t sequence, bool whole, uint32_t requests)
 {
-  csp_hello_t hello = { .boot = boot, .sequence = sequence, .whole = whole };
+  csp_hello_t hello
+      = { .boot = boot, .sequence = sequence, .is_full_report = whole };
 
   if (requests > 0)
     {
@@ -60,7 +61,7 @@
 {
   uint32_t sum = 0;
 
-  csp_each_peer_load (roster, add_requests, &sum);
+  csp_visit_peer_loads (roster, add_requests, &sum);
   return sum;
 }
 
@@ -123,7 +124,7 @@
           cases[_i].received[i].boot, cases[_i].received[i].sequence,
           cases[_i].received[i].whole, cases[_i].received[i].requests);
 
-      ck_assert_msg (csp_hear_peer (roster, other, &hello, 1000)
+      ck_assert_msg (csp_receive_hello (roster, other, &hello, 1000)
                          == cases[_i].received[i].accepted,
                      "%s", cases[_i].what);
     }
@@ -138,7 +139,7 @@
 {
   csp_hello_t hello = hello_of (OTHER_BOOT, 1, true, 4);
 
-  csp_hear_peer (roster, other, &hello, 1000);
+  csp_receive_hello (roster, other, &hello, 1000);
   ck_assert (!csp_expire_peers (roster, 3500));
   ck_assert_uint_eq (csp_count_live_peers (roster), 1);
   ck_assert (csp_expire_peers (roster, 4300));
@@ -154,22 +155,22 @@
   csp_peer_address_t due[4];
   csp_hello_t hello = hello_of (OTHER_BOOT, 1, true, 0);
 
-  csp_learn_peer (roster, self);
-  csp_learn_peer (roster, other);
-  ck_assert_uint_eq (csp_list_due_peers (roster, 10, due, 4), 1);
-  ck_assert_uint_eq (csp_list_due_peers (roster, 1999, due, 4), 0);
-  ck_assert_uint_eq (csp_list_due_peers (roster, 2010, due, 4), 1);
+  csp_add_peer_address (roster, self);
+  csp_add_peer_address (roster, other);
+  ck_assert_uint_eq (csp_choose_hello_targets (roster, 10, due, 4), 1);
+  ck_assert_uint_eq (csp_choose_hello_targets (roster, 1999, due, 4), 0);
+  ck_assert_uint_eq (csp_choose_hello_targets (roster, 2010, due, 4), 1);
   ck_assert_uint_eq (due[0].ip, other.ip);
   hello.data_centre = THIS_DATA_CENTRE;
   hello.known_count = 2;
-  hello.known[0] = (csp_known_host_t){ .address = third,
-                                       .data_centre = OTHER_DATA_CENTRE,
-                                       .age_ms = 100 };
-  hello.known[1] = (csp_known_host_t){ .address = self };
-  csp_hear_peer (roster, other, &hello, 2100);
+  hello.known_hosts[0] = (csp_known_host_t){ .address = third,
+                                             .data_centre = OTHER_DATA_CENTRE,
+                                             .age_ms = 100 };
+  hello.known_hosts[1] = (csp_known_host_t){ .address = self };
+  csp_receive_hello (roster, other, &hello, 2100);
   ck_assert_uint_eq (csp_list_live_peers (roster, due, 4), 2);
-  ck_assert_uint_eq (csp_draw_peers (roster, due, 4), 2);
-  ck_assert_uint_eq (csp_list_due_peers (roster, 4000, due, 4), 2);
+  ck_assert_uint_eq (csp_sample_live_peers (roster, due, 4), 2);
+  ck_assert_uint_eq (csp_choose_hello_targets (roster, 4000, due, 4), 2);
   ck_assert_uint_eq (due[0].ip, third.ip);
   ck_assert_uint_eq (due[1].ip, other.ip);
 }
@@ -183,14 +184,14 @@
   csp_hello_t hello = hello_of (OTHER_BOOT, 1, true, 0);
 
   hello.data_centre = OTHER_DATA_CENTRE;
-  csp_hear_peer (roster, other, &hello, 1000);
-  csp_hear_peer (roster, third, &hello, 1000);
+  csp_receive_hello (roster, other, &hello, 1000);
+  csp_receive_hello (roster, third, &hello, 1000);
   csp_expire_peers (roster, 60000);
   ck_assert_uint_eq (csp_count_live_peers (roster), 0);
-  ck_assert_uint_eq (csp_list_due_peers (roster, 60000, due, 4), 1);
+  ck_assert_uint_eq (csp_choose_hello_targets (roster, 60000, due, 4), 1);
   hello.sequence = 2;
-  csp_hear_peer (roster, third, &hello, 60100);
-  ck_assert_uint_eq (csp_list_due_peers (roster, 60600, due, 4), 1);
+  csp_receive_hello (roster, third, &hello, 60100);
+  ck_assert_uint_eq (csp_choose_hello_targets (roster, 60600, due, 4), 1);
   ck_assert_uint_eq (due[0].ip, third.ip);
 }
 END_TEST
@@ -203,19 +204,20 @@
   csp_hello_t itself = hello_of (OTHER_BOOT, 1, true, 0);
   csp_hello_t hello = hello_of (OTHER_BOOT + 1, 1, false, 0);
 
-  csp_hear_peer (roster, other, &itself, 1000);
+  csp_receive_hello (roster, other, &itself, 1000);
   csp_expire_peers (roster, 6000);
   hello.known_count = 1;
-  hello.known[0]
-      = (csp_known_host_t){ .address = other, .age_ms = 5100, .blind = true };
-  csp_hear_peer (roster, third, &hello, 6000);
+  hello.known_hosts[0] = (csp_known_host_t){ .address = other,
+                                             .age_ms = 5100,
+                                             .platform_unreachable = true };
+  csp_receive_hello (roster, third, &hello, 6000);
   ck_assert_uint_eq (csp_count_live_peers (roster), 1);
   itself.sequence = 2;
-  csp_hear_peer (roster, other, &itself, 6100);
+  csp_receive_hello (roster, other, &itself, 6100);
   hello.sequence = 2;
-  hello.known[0].age_ms = 300;
-  hello.known[0].leaving = true;
-  csp_hear_peer (roster, third, &hello, 6200);
+  hello.known_hosts[0].age_ms = 300;
+  hello.known_hosts[0].leaving = true;
+  csp_receive_hello (roster, third, &hello, 6200);
   csp_expire_peers (roster, 9300);
   ck_assert_uint_eq (csp_count_live_peers (roster), 2);
 }
@@ -241,10 +243,10 @@
                         .data_centre = host->data_centre,
                         .capacity = host->capacity,
                         .up_ms = host->up_ms,
-                        .blind = host->blind,
+                        .platform_unreachable = host->blind,
                         .leaving = host->leaving };
 
-  csp_hear_peer (by, host->address, &hello, now_ms);
+  csp_receive_hello (by, host->address, &hello, now_ms);
 }
 
 /* The decider among this host, with 100 thousandths of a core and up for 60 s,
@@ -277,7 +279,7 @@
 {
   size_t i;
 
-  csp_set_roster_self (roster, 100, -60000);
+  csp_set_roster_local_info (roster, 100, -60000);
   for (i = 0; i < 2; i++)
     receive_hello_of (roster, &decider_cases[_i].hosts[i], 1, 1000);
   ck_assert_msg (csp_pick_decider (roster).ip == decider_cases[_i].decider_ip,
@@ -293,7 +295,7 @@
   ranked_host_t large
       = { { 2, 10 }, OTHER_DATA_CENTRE, 500, 100, false, false };
 
-  csp_set_roster_self (roster, 100, 0);
+  csp_set_roster_local_info (roster, 100, 0);
   receive_hello_of (roster, &large, 1, 300);
   ck_assert_uint_eq (csp_pick_decider (roster).ip, 2);
 }
@@ -312,7 +314,7 @@
   csp_peer_address_t load_receivers[CSP_DECIDERS_MAX];
   size_t i;
 
-  csp_set_roster_self (roster, 10, -60000);
+  csp_set_roster_local_info (roster, 10, -60000);
   for (i = 0; i < 4; i++)
     receive_hello_of (roster, &hosts[i], 1, 1000);
   ck_assert_uint_eq (csp_list_deciders (roster, load_receivers), 3);
@@ -333,12 +335,12 @@
 {
   size_t i;
 
-  ck_assert_uint_eq (a->near_count, b->near_count);
-  ck_assert_uint_eq (a->fleet_count, b->fleet_count);
-  for (i = 0; i < a->near_count; i++)
-    ck_assert (csp_is_same_peer (a->near[i], b->near[i]));
-  for (i = 0; i < a->fleet_count; i++)
-    ck_assert (csp_is_same_peer (a->fleet[i], b->fleet[i]));
+  ck_assert_uint_eq (a->local_reader_count, b->local_reader_count);
+  ck_assert_uint_eq (a->fleet_reader_count, b->fleet_reader_count);
+  for (i = 0; i < a->local_reader_count; i++)
+    ck_assert (csp_is_same_peer (a->local_readers[i], b->local_readers[i]));
+  for (i = 0; i < a->fleet_reader_count; i++)
+    ck_assert (csp_is_same_peer (a->fleet_readers[i], b->fleet_readers[i]));
 }
 
 /* One host reads the platform for the others: hosts agree on the order, and a
@@ -359,22 +361,22 @@
   size_t i;
   size_t j;
 
-  csp_set_roster_self (roster, 100, -60000);
+  csp_set_roster_local_info (roster, 100, -60000);
   csp_rank_readers (roster, &ranks);
-  ck_assert_uint_eq (ranks.near_count, 1);
-  ck_assert_uint_eq (ranks.fleet[0].ip, self.ip);
+  ck_assert_uint_eq (ranks.local_reader_count, 1);
+  ck_assert_uint_eq (ranks.fleet_readers[0].ip, self.ip);
   for (i = 0; i < 4; i++)
     receive_hello_of (roster, &hosts[i], 1, 1000);
   csp_rank_readers (roster, &ranks);
-  ck_assert_uint_eq (ranks.near_count, 4);
-  ck_assert_uint_eq (ranks.fleet_count, 3);
-  ck_assert_uint_eq (ranks.fleet[0].ip, 5);
+  ck_assert_uint_eq (ranks.local_reader_count, 4);
+  ck_assert_uint_eq (ranks.fleet_reader_count, 3);
+  ck_assert_uint_eq (ranks.fleet_readers[0].ip, 5);
   ck_assert_uint_eq (ranks.hosts, 5);
   for (i = 0; i < 3; i++)
     {
       other_roster = csp_create_roster (hosts[i].address, OTHER_BOOT + 90 + i,
                                         THIS_DATA_CENTRE, 1);
-      csp_set_roster_self (other_roster, 100, -60000);
+      csp_set_roster_local_info (other_roster, 100, -60000);
       receive_hello_of (other_roster, &itself, 1, 1000);
       for (j = 0; j < 4; j++)
         if (j != i)
@@ -382,7 +384,7 @@
       csp_rank_readers (other_roster, &other_ranks);
       check_same_order (&other_ranks, &ranks);
       csp_destroy_roster (other_roster);
-      if (hosts[i].address.ip == ranks.near[0].ip)
+      if (hosts[i].address.ip == ranks.local_readers[0].ip)
         first = i;
     }
   /* The store refuses the fleet's reader, which is elsewhere, and the first
@@ -392,27 +394,28 @@
   receive_hello_of (roster, &hosts[3], 2, 1050);
   receive_hello_of (roster, &hosts[first], 2, 1050);
   csp_rank_readers (roster, &other_ranks);
-  ck_assert_uint_ne (other_ranks.fleet[0].ip, 5);
-  ck_assert_uint_ne (other_ranks.fleet[0].ip, hosts[first].address.ip);
-  for (i = 0; i < ranks.near_count; i++)
-    ck_assert (csp_is_same_peer (other_ranks.near[i], ranks.near[i]));
-  ck_assert_uint_eq (other_ranks.blind_hosts, 2);
+  ck_assert_uint_ne (other_ranks.fleet_readers[0].ip, 5);
+  ck_assert_uint_ne (other_ranks.fleet_readers[0].ip, hosts[first].address.ip);
+  for (i = 0; i < ranks.local_reader_count; i++)
+    ck_assert (csp_is_same_peer (other_ranks.local_readers[i],
+                                 ranks.local_readers[i]));
+  ck_assert_uint_eq (other_ranks.refused_hosts, 2);
   /* If all are refused, the order is as if none were.  */
   for (i = 0; i < 4; i++)
     {
       hosts[i].blind = true;
       receive_hello_of (roster, &hosts[i], 3, 1060);
     }
-  csp_set_roster_blind (roster, true);
+  csp_set_roster_platform_unreachable (roster, true);
   csp_rank_readers (roster, &other_ranks);
   check_same_order (&other_ranks, &ranks);
   hosts[3].leaving = true;
   receive_hello_of (roster, &hosts[3], 4, 1070);
   csp_rank_readers (roster, &other_ranks);
-  ck_assert_uint_ne (other_ranks.fleet[0].ip, 5);
+  ck_assert_uint_ne (other_ranks.fleet_readers[0].ip, 5);
   csp_expire_peers (roster, 9000);
   csp_rank_readers (roster, &other_ranks);
-  ck_assert_uint_eq (other_ranks.near_count, 1);
+  ck_assert_uint_eq (other_ranks.local_reader_count, 1);
 }
 END_TEST
 
@@ -424,22 +427,22 @@
 
   hello.data_centre = OTHER_DATA_CENTRE;
   hello.decider = csp_pack_peer (self);
-  csp_hear_peer (roster, other, &hello, 1000);
+  csp_receive_hello (roster, other, &hello, 1000);
   hello.decider = csp_pack_peer (other);
-  csp_hear_peer (roster, third, &hello, 1000);
-  ck_assert_uint_eq (csp_count_askers (roster), 2);
+  csp_receive_hello (roster, third, &hello, 1000);
+  ck_assert_uint_eq (csp_count_asking_hosts (roster), 2);
   ck_assert_uint_eq (csp_count_known_hosts (roster), 3);
-  ck_assert_uint_eq (csp_count_heard_data_centres (roster), 2);
+  ck_assert_uint_eq (csp_count_reachable_data_centres (roster), 2);
   hello.sequence = 2;
-  csp_hear_peer (roster, other, &hello, 1500);
-  ck_assert_uint_eq (csp_count_askers (roster), 1);
+  csp_receive_hello (roster, other, &hello, 1500);
+  ck_assert_uint_eq (csp_count_asking_hosts (roster), 1);
   hello.sequence = 3;
   hello.decider = csp_pack_peer (self);
-  csp_hear_peer (roster, other, &hello, 2000);
+  csp_receive_hello (roster, other, &hello, 2000);
   csp_expire_peers (roster, 6000);
-  ck_assert_uint_eq (csp_count_askers (roster), 1);
+  ck_assert_uint_eq (csp_count_asking_hosts (roster), 1);
   ck_assert_uint_eq (csp_count_known_hosts (roster), 3);
-  ck_assert_uint_eq (csp_count_heard_data_centres (roster), 1);
+  ck_assert_uint_eq (csp_count_reachable_data_centres (roster), 1);
 }
 END_TEST
 
@@ -454,11 +457,11 @@
                         .data_centre = OTHER_DATA_CENTRE,
                         .capacity = 90,
                         .up_ms = 10000,
-                        .sighted = true };
+                        .platform_read = true };
   csp_reader_ranks_t ranks;
   uint32_t i;
 
-  csp_set_roster_self (roster, 100, -60000);
+  csp_set_roster_local_info (roster, 100, -60000);
   for (i = 0; i < 3 * CSP_OUTAGE_HOSTS; i++)
     {
       ranked_host_t host = { { 10 + i, 10 }, THIS_DATA_CENTRE,     900,
@@ -468,13 +471,13 @@
     }
   csp_rank_readers (roster, &ranks);
   ck_assert (ranks.outage);
-  csp_hear_peer (roster, third, &hello, 1000);
+  csp_receive_hello (roster, third, &hello, 1000);
   csp_rank_readers (roster, &ranks);
   ck_assert (!ranks.outage);
-  ck_assert (csp_is_same_peer (ranks.fleet[0], third));
+  ck_assert (csp_is_same_peer (ranks.fleet_readers[0], third));
   hello.sequence = 2;
-  hello.sighted = false;
-  csp_hear_peer (roster, third, &hello, 1100);
+  hello.platform_read = false;
+  csp_receive_hello (roster, third, &hello, 1100);
   csp_rank_readers (roster, &ranks);
   ck_assert (ranks.outage);
 }
@@ -490,7 +493,7 @@
   size_t count;
   uint32_t i;
 
-  csp_set_roster_self (roster, 100, -60000);
+  csp_set_roster_local_info (roster, 100, -60000);
   for (i = 0; i < 60; i++)
     {
       ranked_host_t host
@@ -499,10 +502,10 @@
 
       receive_hello_of (roster, &host, 1, 1000);
     }
-  count
-      = csp_name_known_hosts (roster, third, names, CSP_HELLO_KNOWN_MAX, 1010);
+  count = csp_choose_known_hosts (roster, third, names, CSP_HELLO_KNOWN_MAX,
+                                  1010);
   for (i = 0; i < count; i++)
-    blind += names[i].blind;
+    blind += names[i].platform_unreachable;
   /* The receiver itself isn't named.  */
   ck_assert_uint_eq (blind, 2);
 }
@@ -524,7 +527,7 @@
   uint32_t i;
   size_t j;
 
-  csp_set_roster_self (roster, 100, -60000);
+  csp_set_roster_local_info (roster, 100, -60000);
   for (i = 0; i < MANY; i++)
     {
       ranked_host_t host
@@ -539,8 +542,8 @@
     }
   for (i = 0; i < 300; i++)
     {
-      size_t count = csp_name_known_hosts (roster, other, names,
-                                           CSP_HELLO_KNOWN_MAX, 1010);
+      size_t count = csp_choose_known_hosts (roster, other, names,
+                                             CSP_HELLO_KNOWN_MAX, 1010);
 
       ck_assert_uint_eq (count, CSP_HELLO_KNOWN_MAX);
       for (j = 0; j < count; j++)
@@ -563,7 +566,7 @@
   csp_reader_ranks_t ranks;
   uint32_t i;
 
-  csp_set_roster_self (roster, 100, -60000);
+  csp_set_roster_local_info (roster, 100, -60000);
   for (i = 0; i < 3; i++)
     {
       ranked_host_t host
@@ -580,8 +583,9 @@
       receive_hello_of (roster, &host, 2, 1010);
     }
   csp_rank_readers (roster, &ranks);
-  ck_assert (csp_is_same_peer (ranks.near[0], before.near[0]));
-  ck_assert_uint_eq (ranks.fleet[0].ip, self.ip);
+  ck_assert (
+      csp_is_same_peer (ranks.local_readers[0], before.local_readers[0]));
+  ck_assert_uint_eq (ranks.fleet_readers[0].ip, self.ip);
 }
 END_TEST
 
@@ -594,7 +598,7 @@
   csp_reader_ranks_t ranks;
   uint32_t i;
 
-  csp_set_roster_self (roster, 100, -60000);
+  csp_set_roster_local_info (roster, 100, -60000);
   for (i = 0; i < CSP_OUTAGE_HOSTS; i++)
     {
       ranked_host_t host
@@ -602,8 +606,8 @@
 
       receive_hello_of (roster, &host, 1, 1000);
       csp_rank_readers (roster, &ranks);
-      ck_assert_uint_eq (ranks.blind_hosts, i + 1);
-      ck_assert_msg ((ranks.fleet[0].ip == self.ip)
+      ck_assert_uint_eq (ranks.refused_hosts, i + 1);
+      ck_assert_msg ((ranks.fleet_readers[0].ip == self.ip)
                          == (i + 1 < CSP_OUTAGE_HOSTS),
                      "%u hosts are refused", i + 1);
     }
@@ -620,10 +624,10 @@
   size_t hello_count = 0;
   int64_t now_ms;
 
-  csp_set_roster_self (roster, 100, 1000);
-  csp_learn_peer (roster, other);
+  csp_set_roster_local_info (roster, 100, 1000);
+  csp_add_peer_address (roster, other);
   for (now_ms = 1000; now_ms < 2000; now_ms += 50)
-    hello_count += csp_list_due_peers (roster, now_ms, due, 4);
+    hello_count += csp_choose_hello_targets (roster, now_ms, due, 4);
   ck_assert_uint_ge (hello_count, 6);
 }
 END_TEST
@@ -638,14 +642,14 @@
   size_t hello_count = 0;
   int64_t now_ms;
 
-  csp_set_roster_self (roster, 100, 1000);
+  csp_set_roster_local_info (roster, 100, 1000);
   hello.data_centre = OTHER_DATA_CENTRE;
-  csp_hear_peer (roster, other, &hello, 1000);
+  csp_receive_hello (roster, other, &hello, 1000);
   for (now_ms = 1000; now_ms < 2000; now_ms += 50)
-    hello_count += csp_list_due_peers (roster, now_ms, due, 4);
+    hello_count += csp_choose_hello_targets (roster, now_ms, due, 4);
   ck_assert_uint_ge (hello_count, 6);
   for (hello_count = 0, now_ms = 4000; now_ms < 5000; now_ms += 50)
-    hello_count += csp_list_due_peers (roster, now_ms, due, 4);
+    hello_count += csp_choose_hello_targets (roster, now_ms, due, 4);
   ck_assert_uint_eq (hello_count, 2);
 }
 END_TEST
@@ -668,18 +672,18 @@
       hello.loads[i] = load;
     }
   for (i = 0; i < hello.known_count; i++)
-    hello.known[i] = (csp_known_host_t){ .address = other,
-                                         .data_centre = UINT32_MAX,
-                                         .capacity = 500,
-                                         .age_ms = 3300,
-                                         .up_ms = CSP_UP_TOLD_MAX_MS,
-                                         .leaving = true,
-                                         .blind = true,
-                                         .sighted = true };
+    hello.known_hosts[i] = (csp_known_host_t){ .address = other,
+                                               .data_centre = UINT32_MAX,
+                                               .capacity = 500,
+                                               .age_ms = 3300,
+                                               .up_ms = CSP_UP_REPORTED_MAX_MS,
+                                               .leaving = true,
+                                               .platform_unreachable = true,
+                                               .platform_read = true };
   hello.capacity = 500;
-  hello.up_ms = CSP_UP_TOLD_MAX_MS;
-  hello.wants_answer = true;
-  hello.sighted = true;
+  hello.up_ms = CSP_UP_REPORTED_MAX_MS;
+  hello.reply_requested = true;
+  hello.platform_read = true;
   hello.ask_count = 1;
   hello.asks[0].id = UINT64_MAX;
   hello.asks[0].service = 1;
@@ -690,7 +694,7 @@
   hello.asks[0].urgency = 6;
   hello.asks[0].moves_from = 7;
   hello.asks[0].refused_at = 8;
-  hello.asks[0].left_ms = 9;
+  hello.asks[0].expected_remaining_ms = 9;
   hello.answer_count = 1;
   hello.answers[0].id = 7;
   hello.answers[0].outcome = CSP_ASK_REFUSED;
@@ -700,18 +704,18 @@
   hello.cancel_count = 1;
   hello.cancels[0] = 9;
   hello.decider = UINT64_MAX;
-  hello.want_count = CSP_HELLO_LEASES_MAX;
+  hello.lease_request_count = CSP_HELLO_LEASES_MAX;
   hello.lease_count = CSP_HELLO_LEASES_MAX;
   for (i = 0; i < CSP_HELLO_LEASES_MAX; i++)
     {
-      hello.wants[i] = (csp_hello_lease_t){ .service = 1,
-                                            .id = UINT64_MAX,
-                                            .amount = 300 };
-      hello.leases[i] = hello.wants[i];
+      hello.lease_requests[i] = (csp_hello_lease_t){ .service = 1,
+                                                     .id = UINT64_MAX,
+                                                     .amount = 300 };
+      hello.leases[i] = hello.lease_requests[i];
     }
   hello.left_count = CSP_HELLO_LEFT_MAX;
   for (i = 0; i < hello.left_count; i++)
-    hello.left[i] = UINT64_MAX - i;
+    hello.leaving_targets[i] = UINT64_MAX - i;
   ck_assert (csp_encode_hello (&hello, &bytes));
   ck_assert_uint_le (bytes.size_bytes, CSP_HELLO_MAX_BYTES);
   ck_assert (csp_decode_hello (bytes.data, bytes.size_bytes, &back));
@@ -749,7 +753,7 @@
 {
   csp_hello_t hello = { .boot = UINT64_MAX,
                         .sequence = UINT64_MAX,
-                        .wants_answer = true,
+                        .reply_requested = true,
                         .known_count = CSP_HELLO_KNOWN_MAX,
                         .suspect_count = CSP_HELLO_SUSPECTS_MAX,
                         .cleared_count = CSP_HELLO_SUSPECTS_MAX };
@@ -758,21 +762,22 @@
   size_t i;
 
   for (i = 0; i < CSP_HELLO_KNOWN_MAX; i++)
-    hello.known[i] = (csp_known_host_t){ .address = { UINT32_MAX, 65535 },
-                                         .data_centre = UINT32_MAX,
-                                         .capacity = 500,
-                                         .age_ms = 3300,
-                                         .up_ms = CSP_UP_TOLD_MAX_MS,
-                                         .leaving = true,
-                                         .blind = true,
-                                         .sighted = true };
+    hello.known_hosts[i]
+        = (csp_known_host_t){ .address = { UINT32_MAX, 65535 },
+                              .data_centre = UINT32_MAX,
+                              .capacity = 500,
+                              .age_ms = 3300,
+                              .up_ms = CSP_UP_REPORTED_MAX_MS,
+                              .leaving = true,
+                              .platform_unreachable = true,
+                              .platform_read = true };
   for (i = 0; i < CSP_HELLO_SUSPECTS_MAX; i++)
     {
       hello.suspects[i] = (csp_suspect_t){ .request = UINT64_MAX - i,
                                            .strike_count = CSP_STRIKES_MAX,
                                            .targets = { 6, 7, UINT64_MAX },
                                            .age_ms = UINT32_MAX,
-                                           .trials = 9 };
+                                           .failed_trials = 9 };
       hello.cleared[i] = i + 1;
     }
   ck_assert (csp_encode_hello (&hello, &bytes));
@@ -792,12 +797,12 @@
   csp_hello_t late = hello_of (OTHER_BOOT - 1, 1, true, 7);
   csp_hello_t new = hello_of (OTHER_BOOT - 1, 3, true, 2);
 
-  ck_assert (csp_hear_peer (roster, other, &old, 1000));
-  ck_assert (!csp_hear_peer (roster, other, &late, 2000));
+  ck_assert (csp_receive_hello (roster, other, &old, 1000));
+  ck_assert (!csp_receive_hello (roster, other, &late, 2000));
   ck_assert_uint_eq (requests (), 4);
-  ck_assert (csp_hear_peer (roster, other, &new, 2600));
+  ck_assert (csp_receive_hello (roster, other, &new, 2600));
   ck_assert_uint_eq (requests (), 2);
-  ck_assert (!csp_hear_peer (roster, other, &new, 2700));
+  ck_assert (!csp_receive_hello (roster, other, &new, 2700));
 }
 END_TEST
 
--- a/tests/route/route-test.c
+++ b/tests/route/route-test.c
@@ -84,7 +84,7 @@
 START_TEST (key_lookup_returns_the_last_owner)
 {
   const csp_route_organisation_t *organisation
-      = csp_find_key (routes, keys[_i].key);
+      = csp_find_key_owner (routes, keys[_i].key);
 
   if (keys[_i].organisation == NULL)
     ck_assert_ptr_null (organisation);
@@ -102,7 +102,7 @@
 
   csp_seed_random (&random, 3);
   for (i = 0; i < 10000; i++)
-    first += strcmp (csp_draw_service (route, &random), "s1") == 0;
+    first += strcmp (csp_pick_weighted_service (route, &random), "s1") == 0;
   ck_assert_uint_gt (first, 8800);
   ck_assert_uint_lt (first, 9200);
 }
@@ -110,7 +110,7 @@
 
 START_TEST (retained_version_outlives_a_release)
 {
-  csp_routes_t *retained = csp_hold_routes (routes);
+  csp_routes_t *retained = csp_retain_routes (routes);
 
   csp_release_routes (routes);
   ck_assert_uint_eq (csp_routes_version (retained), 7);
--- a/tests/settings/settings-test.c
+++ b/tests/settings/settings-test.c
@@ -64,7 +64,7 @@
   const csp_fault_t *fault;
   bool valid;
 
-  csp_default_settings (&settings);
+  csp_set_default_settings (&settings);
   valid = csp_parse_settings ("s.json", row->text, strlen (row->text),
                               &settings, faults);
   valid = valid && csp_check_settings ("s.json", &settings, faults);
@@ -94,7 +94,7 @@
   csp_faults_t *faults = csp_create_faults ();
   csp_settings_t settings;
 
-  csp_default_settings (&settings);
+  csp_set_default_settings (&settings);
   csp_parse_settings ("s.json", text, strlen (text), &settings, faults);
   csp_check_settings ("s.json", &settings, faults);
   /* The three faults above, and six missing required keys.  */
@@ -185,8 +185,8 @@
 static const char *
 describe_default (const csp_field_t *field)
 {
-  if (field->standard != NULL)
-    return field->standard;
+  if (field->default_setting != NULL)
+    return field->default_setting;
   return field->required ? "must be given" : "none";
 }
 
--- a/tests/shift/shift-test.c
+++ b/tests/shift/shift-test.c
@@ -12,25 +12,30 @@
 START_TEST (a_target_opens_by_doubling)
 {
   csp_shift_policy_t policy = csp_default_shift_policy ();
-  csp_shift_t shift = { 0 };
+  csp_slow_start_t shift = { 0 };
   double before;
   int64_t now_ms;
 
-  ck_assert_double_eq (csp_move_shift (&shift, &policy, true, 1000), 0);
-  csp_start_shift (&shift, &policy, 1000);
-  before = csp_move_shift (&shift, &policy, true, 1000);
+  ck_assert_double_eq (csp_advance_slow_start (&shift, &policy, true, 1000),
+                       0);
+  csp_begin_slow_start (&shift, &policy, 1000);
+  before = csp_advance_slow_start (&shift, &policy, true, 1000);
   ck_assert_double_eq_tol (before, 0.1, 1e-9);
   for (now_ms = 2000; now_ms <= 6000; now_ms += 1000)
     {
-      ck_assert_double_le (csp_move_shift (&shift, &policy, true, now_ms),
-                           before * 1.5);
-      before = csp_move_shift (&shift, &policy, true, now_ms);
+      ck_assert_double_le (
+          csp_advance_slow_start (&shift, &policy, true, now_ms),
+          before * 1.5);
+      before = csp_advance_slow_start (&shift, &policy, true, now_ms);
     }
   ck_assert_double_lt (before, 0.7);
-  ck_assert_double_eq (csp_move_shift (&shift, &policy, false, 20000), before);
-  ck_assert_double_eq (csp_move_shift (&shift, &policy, true, 24000), 1);
+  ck_assert_double_eq (csp_advance_slow_start (&shift, &policy, false, 20000),
+                       before);
+  ck_assert_double_eq (csp_advance_slow_start (&shift, &policy, true, 24000),
+                       1);
   csp_stop_slow_start (&shift);
-  ck_assert_double_eq (csp_move_shift (&shift, &policy, true, 90000), 0);
+  ck_assert_double_eq (csp_advance_slow_start (&shift, &policy, true, 90000),
+                       0);
 }
 END_TEST
 
--- a/tests/stream/recovery-test.c
+++ b/tests/stream/recovery-test.c
@@ -40,17 +40,17 @@
   { "engine dead before connect",
     { IDEMPOTENT, true, false, 0, 0, RECENT_MS },
     CSP_LINK_NO_CONNECT,
-    CSP_RECOVER_ELSEWHERE,
+    CSP_RECOVER_RETRY_ELSEWHERE,
     CSP_VERDICT_NOT_RUN },
   { "engine dead before connect, once",
     { AT_MOST_ONCE, true, false, 0, 0, RECENT_MS },
     CSP_LINK_NO_CONNECT,
-    CSP_RECOVER_ELSEWHERE,
+    CSP_RECOVER_RETRY_ELSEWHERE,
     CSP_VERDICT_NOT_RUN },
   { "engine full, once",
     { AT_MOST_ONCE, true, false, 0, 0, RECENT_MS },
     CSP_LINK_NOT_STARTED,
-    CSP_RECOVER_ELSEWHERE,
+    CSP_RECOVER_RETRY_ELSEWHERE,
     CSP_VERDICT_NOT_RUN },
   { "bad request",
     { IDEMPOTENT, true, false, 0, 0, RECENT_MS },
@@ -60,7 +60,7 @@
   { "cut before the first token",
     { IDEMPOTENT, true, true, 0, 0, RECENT_MS },
     CSP_LINK_CUT,
-    CSP_RECOVER_ELSEWHERE,
+    CSP_RECOVER_RETRY_ELSEWHERE,
     CSP_VERDICT_MAY_HAVE_RUN },
   { "cut before the first token, once: only the same generation",
     { AT_MOST_ONCE, true, true, 0, 0, RECENT_MS },
@@ -173,7 +173,7 @@
         attempt.delivered = (bits & 4) != 0 ? 3 : 0;
         recovery
             = csp_decide_recovery (&policy, &attempt, (csp_link_end_t)end);
-        if (recovery.kind == CSP_RECOVER_ELSEWHERE)
+        if (recovery.kind == CSP_RECOVER_RETRY_ELSEWHERE)
           {
             ck_assert (attempt.delivered == 0);
             ck_assert (attempt.idempotent || !attempt.may_have_started);
@@ -190,7 +190,7 @@
   const char *generation;
   uint64_t index;
   const char *finish;
-  csp_take_t action;
+  csp_token_action_t action;
 } token_case_t;
 
 /* A link is cut and resumed.  The old link's last tokens are received again,
@@ -200,15 +200,15 @@
 START_TEST (only_next_token_of_same_generation_is_delivered)
 {
   static const token_case_t rows[] = {
-    { "g1", 0, NULL, CSP_TAKE_DELIVER },
-    { "g1", 1, NULL, CSP_TAKE_DELIVER },
-    { "g1", 1, NULL, CSP_TAKE_DUPLICATE },
-    { "g1", 0, NULL, CSP_TAKE_DUPLICATE },
-    { "g2", 2, NULL, CSP_TAKE_FOREIGN },
-    { "g1", 3, NULL, CSP_TAKE_GAP },
-    { "g1", 2, "stop", CSP_TAKE_DELIVER },
-    { "g1", 3, NULL, CSP_TAKE_AFTER_END },
-    { "g1", 2, "stop", CSP_TAKE_DUPLICATE },
+    { "g1", 0, NULL, CSP_TOKEN_DELIVER },
+    { "g1", 1, NULL, CSP_TOKEN_DELIVER },
+    { "g1", 1, NULL, CSP_TOKEN_DUPLICATE },
+    { "g1", 0, NULL, CSP_TOKEN_DUPLICATE },
+    { "g2", 2, NULL, CSP_TOKEN_FOREIGN },
+    { "g1", 3, NULL, CSP_TOKEN_GAP },
+    { "g1", 2, "stop", CSP_TOKEN_DELIVER },
+    { "g1", 3, NULL, CSP_TOKEN_AFTER_END },
+    { "g1", 2, "stop", CSP_TOKEN_DUPLICATE },
   };
   csp_generation_t generation;
   csp_token_t token = { 0 };
@@ -220,9 +220,10 @@
       token.generation = rows[i].generation;
       token.index = rows[i].index;
       token.finish_reason = rows[i].finish;
-      ck_assert_int_eq (csp_take_token (&generation, &token), rows[i].action);
+      ck_assert_int_eq (csp_accept_token (&generation, &token),
+                        rows[i].action);
     }
-  ck_assert (csp_take_end (&generation));
+  ck_assert (csp_accept_end_mark (&generation));
   ck_assert_uint_eq (generation.next_index, 3);
 }
 END_TEST
@@ -235,8 +236,8 @@
   csp_token_t token = { "g", 0, "a", NULL };
 
   csp_start_generation (&generation, "g");
-  ck_assert_int_eq (csp_take_token (&generation, &token), CSP_TAKE_DELIVER);
-  ck_assert (!csp_take_end (&generation));
+  ck_assert_int_eq (csp_accept_token (&generation, &token), CSP_TOKEN_DELIVER);
+  ck_assert (!csp_accept_end_mark (&generation));
 }
 END_TEST
 
--- a/tests/support/declared.c
+++ b/tests/support/declared.c
@@ -73,8 +73,9 @@
 }
 
 csp_declaration_t *
-declare (const csp_declaration_t *previous, const pair_t *overrides,
-         size_t override_count, csp_faults_t *faults)
+create_test_declaration (const csp_declaration_t *previous,
+                         const pair_t *overrides, size_t override_count,
+                         csp_faults_t *faults)
 {
   csp_declared_value_t values[VALUES_MAX];
   size_t count = override_values (overrides, override_count, values);
@@ -83,10 +84,11 @@
 }
 
 csp_declaration_t *
-declare_base (void)
+create_base_declaration (void)
 {
   csp_faults_t *faults = csp_create_faults ();
-  csp_declaration_t *declaration = declare (NULL, NULL, 0, faults);
+  csp_declaration_t *declaration
+      = create_test_declaration (NULL, NULL, 0, faults);
 
   csp_print_faults (faults, stdout);
   if (declaration == NULL)
--- a/tests/support/declared.h
+++ b/tests/support/declared.h
@@ -28,11 +28,12 @@
 /* Create the base declaration with up to OVER_MAX values overridden or added;
    a json of NULL removes the value.  Returns NULL when the declaration is
    refused.  */
-csp_declaration_t *declare (const csp_declaration_t *previous,
-                            const pair_t *overrides, size_t override_count,
-                            csp_faults_t *faults);
+csp_declaration_t *create_test_declaration (const csp_declaration_t *previous,
+                                            const pair_t *overrides,
+                                            size_t override_count,
+                                            csp_faults_t *faults);
 
 /* Create the base declaration without changes; aborts when it is refused.  */
-csp_declaration_t *declare_base (void);
+csp_declaration_t *create_base_declaration (void);
 
 #endif
--- a/tests/support/fleet-chaos.c
+++ b/tests/support/fleet-chaos.c
@@ -43,10 +43,11 @@
       fleet_publish (fleet, 1 + csp_random_below (&fleet->random, 5));
       break;
     case FAULT_CUT_LINK:
-      fleet_cut (fleet, node, csp_random_below (&fleet->random, nodes), true);
+      fleet_set_link_cut (fleet, node,
+                          csp_random_below (&fleet->random, nodes), true);
       break;
     case FAULT_TOGGLE_PLATFORM:
-      fleet->service_away = !fleet->service_away;
+      fleet->platform_down = !fleet->platform_down;
       break;
     case FAULT_COUNT:
       break;
@@ -59,19 +60,19 @@
   size_t a;
   size_t b;
 
-  fleet->service_away = false;
+  fleet->platform_down = false;
   for (a = 0; a < fleet->settings.nodes; a++)
     {
       fleet->nodes[a].paused_until_ms = 0;
       if (!fleet->nodes[a].up)
         fleet_start (fleet, a);
       for (b = 0; b < fleet->settings.nodes; b++)
-        fleet_cut (fleet, a, b, false);
+        fleet_set_link_cut (fleet, a, b, false);
     }
 }
 
 void
-fleet_break_things (fleet_t *fleet, size_t rounds, bool cuts)
+fleet_inject_faults (fleet_t *fleet, size_t rounds, bool cuts)
 {
   size_t i;
 
@@ -97,7 +98,7 @@
 }
 
 int64_t
-fleet_time_to_one_owner (fleet_t *fleet, int64_t limit_ms)
+fleet_run_until_one_owner (fleet_t *fleet, int64_t limit_ms)
 {
   int64_t since_ms = fleet->now_ms;
 
--- a/tests/support/fleet-imp.h
+++ b/tests/support/fleet-imp.h
@@ -27,7 +27,7 @@
   int64_t refused_revision;
   char fault[CSP_FAULT_BYTES];
   size_t load_count;
-  csp_carry_t *loads;
+  csp_carried_load_t *loads;
 };
 
 /* Create a message from one node to another, owned by the queue until it is
--- a/tests/support/fleet-load.c
+++ b/tests/support/fleet-load.c
@@ -35,12 +35,11 @@
                             &slot))
         continue;
       node->carried_tokens[i] -= node->carried_tokens[i] / STREAM_MEAN_TICKS;
-      free_tokens
-          = csp_find_room_tokens (node->ownership, slot, fleet->now_ms);
-      if (free_tokens > 0 && fleet->load)
+      free_tokens = csp_get_free_tokens (node->ownership, slot, fleet->now_ms);
+      if (free_tokens > 0 && fleet->saturate_targets)
         node->carried_tokens[i] += free_tokens;
-      csp_set_carried (node->ownership, slot, node->carried_tokens[i],
-                       node->carried_tokens[i] > 0, fleet->now_ms);
+      csp_set_carried_load (node->ownership, slot, node->carried_tokens[i],
+                            node->carried_tokens[i] > 0, fleet->now_ms);
     }
 }
 
@@ -58,8 +57,8 @@
     {
       used_tokens = sum_used_tokens (fleet, i);
       fleet->targets[i].used_tokens[slot] = used_tokens;
-      if (used_tokens > fleet->worst_used)
-        fleet->worst_used = used_tokens;
+      if (used_tokens > fleet->max_used_tokens)
+        fleet->max_used_tokens = used_tokens;
     }
 }
 
--- a/tests/support/fleet-messages.c
+++ b/tests/support/fleet-messages.c
@@ -140,9 +140,9 @@
   csp_config_delta_t delta;
   fleet_message_t *answer;
 
-  csp_find_config_changes (node->configuration, message->after_revision,
-                           &delta);
-  csp_describe_configuration (node->configuration, &status);
+  csp_collect_config_changes (node->configuration, message->after_revision,
+                              &delta);
+  csp_get_configuration_status (node->configuration, &status);
   answer = fleet_begin_message (fleet, MESSAGE_PULL_REPLY, message->to,
                                 message->from);
   answer->id = message->id;
@@ -163,10 +163,11 @@
                                 message->from);
   answer->id = message->id;
   answer->load_count = message->load_count;
-  answer->loads = calloc (message->load_count + 1, sizeof (csp_carry_t));
+  answer->loads
+      = calloc (message->load_count + 1, sizeof (csp_carried_load_t));
   for (i = 0; i < message->load_count; i++)
-    csp_answer_carry (node->ownership, message->loads[i].target,
-                      &answer->loads[i]);
+    csp_get_carried_load (node->ownership, message->loads[i].target,
+                          &answer->loads[i]);
   fleet_send_message (fleet);
 }
 
@@ -191,7 +192,7 @@
       deliver_pull (fleet, message);
       break;
     case MESSAGE_PULL_REPLY:
-      csp_handle_pull (node->spread, message->id, &message->delta,
+      csp_handle_pull (node->config_sync, message->id, &message->delta,
                        message->refused_revision, message->fault,
                        fleet->now_ms);
       break;
@@ -199,8 +200,9 @@
       deliver_carry (fleet, message);
       break;
     case MESSAGE_LOAD_QUERY_REPLY:
-      csp_handle_carry (node->ownership, from, message->id, message->loads,
-                        message->load_count, fleet->now_ms);
+      csp_handle_load_query_answer (node->ownership, from, message->id,
+                                    message->loads, message->load_count,
+                                    fleet->now_ms);
       break;
     }
 }
--- a/tests/support/fleet-platform.c
+++ b/tests/support/fleet-platform.c
@@ -13,7 +13,7 @@
 void
 fleet_publish_value (fleet_t *fleet, size_t key, int value)
 {
-  fleet_service_t *service = &fleet->service;
+  fleet_config_service_t *service = &fleet->service;
 
   service->changed_revision[key] = ++service->revision;
   service->value[key] = value;
@@ -35,7 +35,7 @@
 }
 
 void
-fleet_leave_target (fleet_t *fleet, size_t target)
+fleet_set_target_leaving (fleet_t *fleet, size_t target)
 {
   fleet->targets[target].listed.state = CSP_MEMBER_LEAVING;
   fleet->list_version++;
@@ -44,7 +44,7 @@
 /* Fills the service's answer to a read of the changes after a revision.  The
    values are written to arrays of the caller.  */
 static void
-fill_delta (const fleet_service_t *service, int64_t after_revision,
+fill_delta (const fleet_config_service_t *service, int64_t after_revision,
             csp_config_delta_t *delta, csp_config_value_t *values,
             char keys[][KEY_BYTES], char texts[][JSON_BYTES])
 {
@@ -84,7 +84,8 @@
   fill_delta (&fleet->service, node->pending_read.after, &delta, values, keys,
               texts);
   node->read_pending = false;
-  csp_handle_read (node->spread, node->pending_read.id, &delta, fleet->now_ms);
+  csp_handle_read (node->config_sync, node->pending_read.id, &delta,
+                   fleet->now_ms);
 }
 
 static void
@@ -96,7 +97,7 @@
 
   if (!node->read_pending)
     return;
-  if (node->platform_cut || fleet->service_away)
+  if (node->platform_unreachable || fleet->platform_down)
     {
       if (waited_ms >= node->pending_read.timeout_ms)
         node->read_pending = false;
@@ -145,7 +146,7 @@
   for (i = 0; i < fleet->target_count; i++)
     targets[list.target_count++] = fleet->targets[i].listed;
   if (csp_apply_host_list (node->membership, &list, fleet->now_ms)
-      == CSP_LIST_TAKEN)
+      == CSP_LIST_APPLIED)
     csp_apply_target_list (node->ownership, &list, fleet->now_ms);
   free (hosts);
   free (targets);
@@ -155,8 +156,8 @@
 fleet_tick_platform (fleet_t *fleet, fleet_node_t *node)
 {
   tick_read (fleet, node);
-  if (fleet->now_ms < node->next_list_read_ms || fleet->service_away
-      || node->platform_cut)
+  if (fleet->now_ms < node->next_list_read_ms || fleet->platform_down
+      || node->platform_unreachable)
     return;
   node->next_list_read_ms = fleet->now_ms + FLEET_LIST_POLL_MS;
   apply_lists (fleet, node);
--- a/tests/support/fleet.c
+++ b/tests/support/fleet.c
@@ -36,14 +36,14 @@
   csp_heartbeat_actions_t actions;
   csp_ownership_status_t owned;
   csp_config_status_t config;
-  csp_spread_status_t spread;
+  csp_config_sync_status_t spread;
   csp_local_state_t local;
   fleet_message_t *message;
   size_t i;
 
-  csp_describe_ownership (node->ownership, &owned);
-  csp_describe_configuration (node->configuration, &config);
-  csp_describe_spread (node->spread, &spread);
+  csp_get_ownership_status (node->ownership, &owned);
+  csp_get_configuration_status (node->configuration, &config);
+  csp_get_config_sync_status (node->config_sync, &spread);
   memset (&local, 0, sizeof local);
   local.state = node->state;
   local.revision = config.revision;
@@ -66,7 +66,7 @@
 
 static void
 start_read (fleet_t *fleet, fleet_node_t *node,
-            const csp_spread_action_t *action)
+            const csp_config_sync_action_t *action)
 {
   node->read_pending = true;
   node->pending_read = *action;
@@ -78,23 +78,25 @@
 static void
 tick_spread (fleet_t *fleet, fleet_node_t *node, size_t index)
 {
-  csp_spread_peer_t peers[CSP_MAX_SPREAD_PEERS];
-  csp_spread_actions_t actions;
+  csp_config_sync_peer_t peers[CSP_MAX_CONFIG_SYNC_PEERS];
+  csp_config_sync_actions_t actions;
   fleet_message_t *message;
   size_t rank;
-  size_t count = csp_fill_spread_peers (node->membership, fleet->now_ms, peers,
-                                        CSP_MAX_SPREAD_PEERS, &rank);
+  size_t count
+      = csp_fill_config_sync_peers (node->membership, fleet->now_ms, peers,
+                                    CSP_MAX_CONFIG_SYNC_PEERS, &rank);
   size_t i;
 
-  if (fleet->settings.everyone_reads)
+  if (fleet->settings.every_host_reads)
     {
       count = 0;
       rank = 0;
     }
-  csp_tick_spread (node->spread, peers, count, rank, fleet->now_ms, &actions);
+  csp_tick_config_sync (node->config_sync, peers, count, rank, fleet->now_ms,
+                        &actions);
   for (i = 0; i < actions.count; i++)
     {
-      if (actions.items[i].kind == CSP_SPREAD_READ_SERVICE)
+      if (actions.items[i].kind == CSP_CONFIG_SYNC_READ_SERVICE)
         {
           start_read (fleet, node, &actions.items[i]);
           continue;
@@ -111,7 +113,7 @@
 static void
 tick_ownership (fleet_t *fleet, fleet_node_t *node, size_t index)
 {
-  csp_carry_asks_t queries;
+  csp_load_queries_t queries;
   csp_target_view_t view;
   fleet_message_t *message;
   size_t i;
@@ -126,7 +128,8 @@
           fleet_find_node (fleet, queries.items[i].peer));
       message->id = queries.items[i].id;
       message->load_count = queries.items[i].count;
-      message->loads = calloc (queries.items[i].count, sizeof (csp_carry_t));
+      message->loads
+          = calloc (queries.items[i].count, sizeof (csp_carried_load_t));
       for (t = 0; t < queries.items[i].count; t++)
         if (csp_view_target (node->ownership, queries.items[i].targets[t],
                              &view))
@@ -153,7 +156,7 @@
   tick_spread (fleet, node, index);
   tick_ownership (fleet, node, index);
   revision = fleet_revision (fleet, index);
-  fleet->went_back += revision < node->highest_revision;
+  fleet->revision_regressions += revision < node->highest_revision;
   node->highest_revision = revision;
 }
 
@@ -245,11 +248,11 @@
 destroy_node (fleet_node_t *node)
 {
   csp_destroy_ownership (node->ownership);
-  csp_destroy_spread (node->spread);
+  csp_destroy_config_sync (node->config_sync);
   csp_destroy_configuration (node->configuration);
   csp_destroy_membership (node->membership);
   node->ownership = NULL;
-  node->spread = NULL;
+  node->config_sync = NULL;
   node->configuration = NULL;
   node->membership = NULL;
 }
@@ -272,7 +275,7 @@
 {
   fleet_node_t *node = &fleet->nodes[index];
   csp_membership_settings_t settings = { 0 };
-  csp_config_check_t check = { build_checked, release_checked, NULL };
+  csp_config_builder_t check = { build_checked, release_checked, NULL };
   char data_centre[CSP_HOST_NAME_BYTES];
 
   destroy_node (node);
@@ -290,8 +293,8 @@
   settings.seed = csp_random_u64 (&fleet->random);
   node->membership = csp_create_membership (&settings, fleet->now_ms);
   node->configuration = csp_create_configuration (&check);
-  node->spread
-      = csp_create_spread (node->configuration, settings.seed, fleet->now_ms);
+  node->config_sync = csp_create_config_sync (node->configuration,
+                                              settings.seed, fleet->now_ms);
   node->ownership = csp_create_ownership (node->name, data_centre);
   node->state = CSP_MEMBER_LIVE;
   node->up = true;
@@ -332,19 +335,19 @@
 }
 
 void
-fleet_leave (fleet_t *fleet, size_t index)
+fleet_set_leaving (fleet_t *fleet, size_t index)
 {
   fleet->nodes[index].state = CSP_MEMBER_LEAVING;
 }
 
 void
-fleet_cut (fleet_t *fleet, size_t from, size_t to, bool cut)
+fleet_set_link_cut (fleet_t *fleet, size_t from, size_t to, bool cut)
 {
   fleet->cuts[from][to] = cut;
 }
 
 void
-fleet_split (fleet_t *fleet, size_t split, bool cut)
+fleet_set_partition (fleet_t *fleet, size_t split, bool cut)
 {
   size_t a;
   size_t b;
@@ -359,12 +362,12 @@
 {
   csp_config_status_t status;
 
-  csp_describe_configuration (fleet->nodes[index].configuration, &status);
+  csp_get_configuration_status (fleet->nodes[index].configuration, &status);
   return status.revision;
 }
 
 bool
-fleet_agrees_on (const fleet_t *fleet, int64_t revision)
+fleet_has_converged (const fleet_t *fleet, int64_t revision)
 {
   csp_config_status_t status;
   uint64_t digest = 0;
@@ -374,7 +377,7 @@
     {
       if (!fleet->nodes[i].up)
         continue;
-      csp_describe_configuration (fleet->nodes[i].configuration, &status);
+      csp_get_configuration_status (fleet->nodes[i].configuration, &status);
       if (status.revision < revision
           || (digest != 0 && status.digest != digest))
         return false;
@@ -384,11 +387,11 @@
 }
 
 int64_t
-fleet_time_to_agree (fleet_t *fleet, int64_t revision, int64_t limit_ms)
+fleet_run_until_converged (fleet_t *fleet, int64_t revision, int64_t limit_ms)
 {
   int64_t since_ms = fleet->now_ms;
 
-  while (!fleet_agrees_on (fleet, revision))
+  while (!fleet_has_converged (fleet, revision))
     {
       if (fleet->now_ms - since_ms >= limit_ms)
         return -1;
@@ -411,10 +414,11 @@
        i += fleet->settings.data_centres)
     {
       node = &fleet->nodes[i];
-      count += node->up
-               && csp_find_target (node->ownership,
-                                   fleet->targets[target].listed.name, &index)
-               && csp_find_opening (node->ownership, index, fleet->now_ms) > 0;
+      count
+          += node->up
+             && csp_find_target (node->ownership,
+                                 fleet->targets[target].listed.name, &index)
+             && csp_get_open_share (node->ownership, index, fleet->now_ms) > 0;
     }
   return count;
 }
--- a/tests/support/fleet.h
+++ b/tests/support/fleet.h
@@ -38,7 +38,7 @@
   int64_t report_lag_ms;
   /* Every host reads the configuration service at each change, as the simplest
      design would; used for comparison.  */
-  bool everyone_reads;
+  bool every_host_reads;
 } fleet_settings_t;
 
 /* Keys of the configuration service.  Value 0: the key doesn't exist;
@@ -54,7 +54,7 @@
   int64_t revision;
   int64_t changed_revision[FLEET_KEYS];
   int value[FLEET_KEYS];
-} fleet_service_t;
+} fleet_config_service_t;
 
 typedef struct
 {
@@ -68,14 +68,14 @@
   csp_member_state_t state;
   csp_membership_t *membership;
   csp_configuration_t *configuration;
-  csp_spread_t *spread;
+  csp_config_sync_t *config_sync;
   csp_ownership_t *ownership;
-  bool platform_cut;
+  bool platform_unreachable;
   int64_t next_tick_ms;
   int64_t next_list_read_ms;
   /* The read of the configuration service in progress.  */
   bool read_pending;
-  csp_spread_action_t pending_read;
+  csp_config_sync_action_t pending_read;
   int64_t read_started_ms;
   int64_t highest_revision;
   uint64_t bytes;
@@ -107,17 +107,17 @@
   size_t message_count;
   size_t message_capacity;
   fleet_message_t **messages;
-  fleet_service_t service;
-  bool service_away;
+  fleet_config_service_t service;
+  bool platform_down;
   int64_t list_version;
   int64_t up_changed_ms[FLEET_MAX_NODES];
   bool node_listed[FLEET_MAX_NODES];
   /* Every owner places as many tokens on its targets as it may.  */
-  bool load;
+  bool saturate_targets;
   /* Results of the checks at each step.  */
-  uint64_t went_back;
+  uint64_t revision_regressions;
   uint64_t double_grants;
-  int64_t worst_used;
+  int64_t max_used_tokens;
   uint64_t reads;
 } fleet_t;
 
@@ -130,28 +130,28 @@
 void fleet_start (fleet_t *fleet, size_t index);
 void fleet_kill (fleet_t *fleet, size_t index);
 void fleet_pause (fleet_t *fleet, size_t index, int64_t ms);
-void fleet_leave (fleet_t *fleet, size_t index);
+void fleet_set_leaving (fleet_t *fleet, size_t index);
 /* Cut or restore the link from one node to another, in this direction
    only.  */
-void fleet_cut (fleet_t *fleet, size_t from, size_t to, bool cut);
+void fleet_set_link_cut (fleet_t *fleet, size_t from, size_t to, bool cut);
 /* Cut or restore the links between the nodes below split and the others, in
    both directions.  */
-void fleet_split (fleet_t *fleet, size_t split, bool cut);
+void fleet_set_partition (fleet_t *fleet, size_t split, bool cut);
 
 /* Publish this many changes of random keys, each with its own revision.  */
 void fleet_publish (fleet_t *fleet, size_t count);
 void fleet_publish_value (fleet_t *fleet, size_t key, int value);
 /* List a target as leaving.  */
-void fleet_leave_target (fleet_t *fleet, size_t target);
+void fleet_set_target_leaving (fleet_t *fleet, size_t target);
 
 int64_t fleet_revision (const fleet_t *fleet, size_t index);
 /* Whether all nodes that are up have at least this revision, and all have the
    same digest.  */
-bool fleet_agrees_on (const fleet_t *fleet, int64_t revision);
-/* Run until fleet_agrees_on is true, for about limit_ms at most.  Returns how
-   many milliseconds it took, or -1 on a timeout.  */
-int64_t fleet_time_to_agree (fleet_t *fleet, int64_t revision,
-                             int64_t limit_ms);
+bool fleet_has_converged (const fleet_t *fleet, int64_t revision);
+/* Run until fleet_has_converged is true, for about limit_ms at most.  Returns
+   how many milliseconds it took, or -1 on a timeout.  */
+int64_t fleet_run_until_converged (fleet_t *fleet, int64_t revision,
+                                   int64_t limit_ms);
 /* Returns how many nodes may grant requests on a target now.  */
 size_t fleet_count_granting (const fleet_t *fleet, size_t target);
 csp_peer_liveness_t fleet_liveness (const fleet_t *fleet, size_t from,
@@ -160,11 +160,11 @@
 /* Inject two random faults and run for a random time, this many rounds; then
    clear all faults.  cuts: faults may also cut links and make the platform
    (its configuration service and its lists) unreachable.  */
-void fleet_break_things (fleet_t *fleet, size_t rounds, bool cuts);
+void fleet_inject_faults (fleet_t *fleet, size_t rounds, bool cuts);
 /* Run until every live target has exactly one host that grants, for about
    limit_ms at most.  Returns how many milliseconds it took, or -1 on a
    timeout.  */
-int64_t fleet_time_to_one_owner (fleet_t *fleet, int64_t limit_ms);
+int64_t fleet_run_until_one_owner (fleet_t *fleet, int64_t limit_ms);
 
 /* Internal to the simulation.  */
 void fleet_tick_platform (fleet_t *fleet, fleet_node_t *node);
--- a/tests/warmup/warmup-test.c
+++ b/tests/warmup/warmup-test.c
@@ -14,27 +14,28 @@
   BOUND = 40
 };
 
-static const csp_warmup_duty_t established_decider
+static const csp_decider_role_t established_decider
     = { .decides = true,
         .decides_since_ms = 0,
         .fleet = { .hosts_asking = 60,
                    .hosts_known = 60,
-                   .data_centres_heard = 4,
+                   .data_centres_live = 4,
                    .data_centres_listed = 4 } };
 
 /* Grants as many placements as possible; returns how many.  */
 static uint32_t
-grant_all (csp_warmup_t *warmup, const csp_warmup_duty_t *role, int64_t now_ms)
+grant_all (csp_warmup_t *warmup, const csp_decider_role_t *role,
+           int64_t now_ms)
 {
   uint32_t granted = 0;
 
-  while (csp_has_warmup_place (warmup, role, now_ms))
+  while (csp_has_warmup_grant (warmup, role, now_ms))
     {
-      ck_assert (csp_take_warmup_place (warmup, role, now_ms));
+      ck_assert (csp_take_warmup_grant (warmup, role, now_ms));
       granted++;
       ck_assert_uint_le (granted, BOUND);
     }
-  ck_assert (!csp_take_warmup_place (warmup, role, now_ms));
+  ck_assert (!csp_take_warmup_grant (warmup, role, now_ms));
   return granted;
 }
 
@@ -42,7 +43,7 @@
 static const struct
 {
   const char *name;
-  csp_warmup_duty_t role;
+  csp_decider_role_t role;
   uint32_t granted;
 } decider_views[] = {
   { "decider of the whole fleet", { true, 0, { 60, 60, 4, 4 } }, 20 },
@@ -62,7 +63,7 @@
   csp_warmup_t warmup;
   uint32_t granted;
 
-  csp_open_warmup (&warmup, 0);
+  csp_init_warmup (&warmup, 0);
   csp_set_warmup_bound (&warmup, BOUND);
   granted = grant_all (&warmup, &decider_views[_i].role, 10000);
   ck_assert_msg (granted == decider_views[_i].granted, "%s: %u",
@@ -76,7 +77,7 @@
 {
   csp_warmup_t warmup;
 
-  csp_open_warmup (&warmup, 0);
+  csp_init_warmup (&warmup, 0);
   csp_set_warmup_bound (&warmup, BOUND);
   ck_assert_uint_eq (grant_all (&warmup, &established_decider, 10000),
                      BOUND / 2);
@@ -91,12 +92,12 @@
    bound.  */
 START_TEST (an_unnoticed_change_of_decider_restarts_the_wait)
 {
-  csp_warmup_duty_t returned = established_decider;
+  csp_decider_role_t returned = established_decider;
   csp_warmup_t warmup;
 
-  csp_open_warmup (&warmup, 0);
+  csp_init_warmup (&warmup, 0);
   csp_set_warmup_bound (&warmup, BOUND);
-  ck_assert (csp_take_warmup_place (&warmup, &established_decider, 10000));
+  ck_assert (csp_take_warmup_grant (&warmup, &established_decider, 10000));
   returned.decides_since_ms = 12000;
   ck_assert_uint_eq (grant_all (&warmup, &returned, 13000), 0);
   ck_assert_uint_gt (grant_all (&warmup, &returned, 13501), 0);
@@ -126,7 +127,7 @@
 typedef struct
 {
   csp_warmup_t warmup;
-  csp_warmup_duty_t role;
+  csp_decider_role_t role;
   int64_t down_until_ms;
   int64_t paused_until_ms;
   size_t decider; /* in this host's view */
@@ -177,7 +178,7 @@
   host_t *host = &sim->hosts[index];
 
   memset (host, 0, sizeof *host);
-  csp_open_warmup (&host->warmup, sim->now_ms);
+  csp_init_warmup (&host->warmup, sim->now_ms);
   csp_set_warmup_bound (&host->warmup, BOUND);
   host->decider = index;
   host->role.decides = true;
@@ -201,7 +202,7 @@
       seen_data_centres[data_centre_of (i)] = true;
     }
   for (i = 0; i < DATA_CENTRES; i++)
-    view.data_centres_heard += seen_data_centres[i];
+    view.data_centres_live += seen_data_centres[i];
   return view;
 }
 
@@ -242,7 +243,7 @@
       || !can_reach (sim, index, decider))
     return;
   if (!sim->limited
-      || csp_take_warmup_place (&granter->warmup, &granter->role, sim->now_ms))
+      || csp_take_warmup_grant (&granter->warmup, &granter->role, sim->now_ms))
     sim->arrivals[step + csp_random_below (&sim->random, ARRIVAL_STEPS_MAX)]++;
 }
 
--- a/tests/watch/watch-test.c
+++ b/tests/watch/watch-test.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 
 static const csp_watch_policy_t policy
-    = { .wait_ms = 600, .slack_ms = 500, .pause_last_ms = 400 };
+    = { .wait_ms = 600, .answer_grace_ms = 500, .max_backoff_ms = 400 };
 static csp_watch_t watch;
 
 static void
