--- a/bench/decide-bench.c
+++ b/bench/decide-bench.c
@@ -91,7 +91,8 @@
 }
 
 static measures_t
-run_simulation (const play_t *settings, const arrivals_plan_t *plan)
+run_simulation (const simulation_settings_t *settings,
+                const arrivals_plan_t *plan)
 {
   results_t r;
   measures_t measures;
@@ -154,10 +155,11 @@
   return plan;
 }
 
-static play_t
+static simulation_settings_t
 decision_settings (uint32_t hosts)
 {
-  play_t settings = default_simulation_settings (DISPATCH_DECISIONS);
+  simulation_settings_t settings
+      = default_simulation_settings (DISPATCH_DECISIONS);
 
   settings.hosts = hosts;
   return settings;
@@ -195,7 +197,7 @@
   uint32_t count = 0;
   uint32_t best;
   uint32_t i;
-  play_t settings;
+  simulation_settings_t settings;
 
   for (i = 0; i < 3; i++)
     {
@@ -230,7 +232,7 @@
                         bool full)
 {
   static const double loads[] = { 0.5, 0.7, 0.9, 1.1, 1.5 };
-  play_t decisions = decision_settings (hosts);
+  simulation_settings_t decisions = decision_settings (hosts);
   measures_t baseline;
   measures_t now;
   arrivals_plan_t plan;
@@ -269,8 +271,8 @@
     { "flight_news", 1, 1 },
   };
   static const double loads[] = { 0.9, 1.5 };
-  play_t off;
-  play_t on;
+  simulation_settings_t off;
+  simulation_settings_t on;
   arrivals_plan_t plan;
   measures_t without;
   measures_t with;
@@ -328,7 +330,7 @@
   static const uint32_t stream_limits[] = { 0, 10, 12, 14 };
   static const double loads[] = { 0.9, 1.5 };
   arrivals_plan_t plan;
-  play_t settings;
+  simulation_settings_t settings;
   measures_t measures;
   uint32_t i;
   uint32_t j;
@@ -360,7 +362,7 @@
   static const double lending_reserves[] = { 0, 0.1, 0.05, 0.15 };
   static const double loads[] = { 0.9, 1.5 };
   arrivals_plan_t plan;
-  play_t settings;
+  simulation_settings_t settings;
   measures_t measures;
   uint32_t i;
   uint32_t j;
@@ -403,7 +405,7 @@
 {
   static const double loads[] = { 0.9, 1.5 };
   arrivals_plan_t plan;
-  play_t settings;
+  simulation_settings_t settings;
   measures_t alone;
   measures_t alone_on_one_engine;
   measures_t shared;
@@ -445,7 +447,7 @@
 measure_return (void)
 {
   arrivals_plan_t plan = make_plan (12, 1.5, 200);
-  play_t settings = decision_settings (1);
+  simulation_settings_t settings = decision_settings (1);
   results_t r;
   double seconds[2] = { 0, 0 };
   uint64_t count[2] = { 0, 0 };
--- a/bench/fleet-imp.h
+++ b/bench/fleet-imp.h
@@ -54,7 +54,7 @@
 
 typedef struct
 {
-  const play_t *settings;
+  const simulation_settings_t *settings;
   engine_t *engines;
   csp_ledger_t **ledgers;
   csp_load_report_t (*reports)[REPORT_RING_SIZE];
--- a/bench/fleet.c
+++ b/bench/fleet.c
@@ -4,17 +4,18 @@
 #include <stdlib.h>
 #include <string.h>
 
-play_t
+simulation_settings_t
 default_simulation_settings (dispatch_t dispatch)
 {
-  play_t settings = { .dispatch = dispatch,
-                      .fixed_streams = 10,
-                      .hosts = 1,
-                      .admission = csp_default_admission_policy (),
-                      .queue = csp_default_queue_policy (),
-                      .placement = csp_default_placement_policy (),
-                      .report_lag_us = 2000000,
-                      .slow_factor = 1 };
+  simulation_settings_t settings
+      = { .dispatch = dispatch,
+          .fixed_streams = 10,
+          .hosts = 1,
+          .admission = csp_default_admission_policy (),
+          .queue = csp_default_queue_policy (),
+          .placement = csp_default_placement_policy (),
+          .report_lag_us = 2000000,
+          .slow_factor = 1 };
 
   return settings;
 }
@@ -167,7 +168,7 @@
 static void
 tick (fleet_t *fleet)
 {
-  const play_t *settings = fleet->settings;
+  const simulation_settings_t *settings = fleet->settings;
   uint32_t i;
 
   if (settings->lost_until_us != 0)
@@ -349,8 +350,8 @@
 }
 
 void
-simulate_fleet (const play_t *settings, const arrivals_plan_t *plan,
-                results_t *results)
+simulate_fleet (const simulation_settings_t *settings,
+                const arrivals_plan_t *plan, results_t *results)
 {
   fleet_t fleet = { .settings = settings, .results = results };
   engine_shape_t shape = default_engine_shape ();
--- a/bench/fleet.h
+++ b/bench/fleet.h
@@ -51,7 +51,7 @@
   uint32_t faulty_engine;
   int64_t lost_from_us;
   int64_t lost_until_us;
-} play_t;
+} simulation_settings_t;
 
 /* Histogram of the gaps between tokens; each bucket is 2 % wider than the
    one before.  */
@@ -99,8 +99,8 @@
 
 /* Simulates the fleet for the arrivals of plan.  The caller frees the results
    with free_results.  */
-void simulate_fleet (const play_t *settings, const arrivals_plan_t *plan,
-                     results_t *results);
+void simulate_fleet (const simulation_settings_t *settings,
+                     const arrivals_plan_t *plan, results_t *results);
 void free_results (results_t *results);
 
 double gap_quantile_ms (const gaps_t *gaps, double quantile);
@@ -113,6 +113,6 @@
    seconds.  Sorts the times in place.  */
 double wait_quantile_s (outcome_t *outcome, double quantile);
 
-play_t default_simulation_settings (dispatch_t dispatch);
+simulation_settings_t default_simulation_settings (dispatch_t dispatch);
 
 #endif
--- a/include/cowslipspoke/engine.h
+++ b/include/cowslipspoke/engine.h
@@ -59,7 +59,7 @@
   csp_deliver_token_t deliver;
   csp_check_link_t check;
   void *state;
-} csp_link_t;
+} csp_engine_link_t;
 
 /* Details of a link that ended.  */
 typedef struct
@@ -72,7 +72,7 @@
 } csp_engine_link_report_t;
 
 /* Runs one link until it ends.  Blocks; to be called on a traffic thread.  */
-csp_link_end_t csp_run_engine_link (const csp_link_t *link,
+csp_link_end_t csp_run_engine_link (const csp_engine_link_t *link,
                                     csp_generation_t *generation,
                                     csp_engine_link_report_t *report);
 
--- a/include/cowslipspoke/membership.h
+++ b/include/cowslipspoke/membership.h
@@ -71,7 +71,7 @@
   char witness[CSP_HOST_NAME_BYTES];
   uint64_t incarnation;
   uint32_t age_ms;
-} csp_suspect_t;
+} csp_suspect_host_t;
 
 /* Summary of a data centre for hosts of other data centres.  */
 typedef struct
@@ -116,7 +116,7 @@
   uint32_t median_gap_us;
   uint32_t targets_out;
   csp_member_state_t state;
-  csp_suspect_t suspects[CSP_MAX_SUSPECTS];
+  csp_suspect_host_t suspects[CSP_MAX_SUSPECTS];
   csp_summary_t summaries[CSP_MAX_SUMMARIES];
   char name[CSP_HOST_NAME_BYTES];
   char region[CSP_HOST_NAME_BYTES];
--- a/source/control/control-admission.c
+++ b/source/control/control-admission.c
@@ -14,7 +14,7 @@
 };
 
 bool
-csp_open_admission (csp_control_t *control)
+csp_init_admission (csp_control_t *control)
 {
   csp_length_policy_t policy = csp_default_length_policy ();
   csp_retry_policy_t retry = csp_default_retry_policy ();
@@ -27,8 +27,8 @@
   control->started_ms = csp_now_ms (&control->context->clock);
   control->health = csp_create_health (&health, CSP_CONTROL_MAX_TARGETS);
   return control->lengths != NULL && control->organisations != NULL
-         && control->health != NULL && csp_open_limits (control)
-         && csp_open_request_table (control);
+         && control->health != NULL && csp_init_limits (control)
+         && csp_init_request_table (control);
 }
 
 static void
--- a/source/control/control-config.c
+++ b/source/control/control-config.c
@@ -64,7 +64,7 @@
 }
 
 bool
-csp_open_config (csp_control_t *control, int64_t now_ms)
+csp_init_config (csp_control_t *control, int64_t now_ms)
 {
   const csp_settings_t *settings = &control->context->settings;
   csp_config_builder_t check = { build_view, release_view, control };
--- a/source/control/control-imp.h
+++ b/source/control/control-imp.h
@@ -310,7 +310,7 @@
 
 /* Configuration and the host list: create what reads them from the platform,
    handle the answers, and start the reads that are due.  */
-bool csp_open_config (csp_control_t *control, int64_t now_ms);
+bool csp_init_config (csp_control_t *control, int64_t now_ms);
 void csp_close_config (csp_control_t *control);
 void csp_handle_config_read (csp_control_t *control,
                              const csp_control_command_t *command,
@@ -398,7 +398,7 @@
 
 /* Admission: queue a waiter's request, record progress, end a request, and
    serve the queues.  */
-bool csp_open_admission (csp_control_t *control);
+bool csp_init_admission (csp_control_t *control);
 void csp_enqueue_waiter (csp_control_t *control, csp_waiter_t *waiter,
                          int64_t now_ms);
 void csp_handle_progress (csp_control_t *control,
@@ -450,7 +450,7 @@
 
 /* The table of requests.  The find functions return NULL for a request that
    was removed, and csp_add_request returns NULL when the table is full.  */
-bool csp_open_request_table (csp_control_t *control);
+bool csp_init_request_table (csp_control_t *control);
 csp_tracked_request_t *csp_add_request (csp_control_t *control);
 void csp_remove_request (csp_control_t *control,
                          csp_tracked_request_t *request);
@@ -483,7 +483,7 @@
    returns false with an error when a limit is used up.  csp_end_limited_wait:
    the request no longer waits.  csp_settle_limits: the request has ended and
    has used used_tokens.  */
-bool csp_open_limits (csp_control_t *control);
+bool csp_init_limits (csp_control_t *control);
 bool csp_charge_limits (csp_control_t *control, csp_tracked_request_t *request,
                         int64_t now_ms, csp_error_t *error);
 void csp_end_limited_wait (csp_tracked_request_t *request);
@@ -525,7 +525,7 @@
 
 /* Hand-offs, on the owner.  csp_count_slot_tokens: expected tokens of the
    slots that other hosts hold on a target.  */
-bool csp_open_slots (csp_control_t *control);
+bool csp_init_slots (csp_control_t *control);
 void csp_handle_slot_release (csp_control_t *control,
                               const csp_peer_release_t *release,
                               int64_t now_ms);
@@ -538,7 +538,7 @@
 
 /* At-most-once calls: the keys that this host has recorded, and the claims of
    its own callers.  */
-bool csp_open_once (csp_control_t *control, int64_t now_ms);
+bool csp_init_once (csp_control_t *control, int64_t now_ms);
 void csp_close_once (csp_control_t *control);
 void csp_start_claim (csp_control_t *control, csp_waiter_t *waiter,
                       int64_t now_ms);
--- a/source/control/control-limits.c
+++ b/source/control/control-limits.c
@@ -36,7 +36,7 @@
 };
 
 bool
-csp_open_limits (csp_control_t *control)
+csp_init_limits (csp_control_t *control)
 {
   control->limits = calloc (1, sizeof *control->limits);
   if (control->limits == NULL)
--- a/source/control/control-once.c
+++ b/source/control/control-once.c
@@ -25,7 +25,7 @@
 };
 
 bool
-csp_open_once (csp_control_t *control, int64_t now_ms)
+csp_init_once (csp_control_t *control, int64_t now_ms)
 {
   csp_host_ref_t self = { .incarnation = control->incarnation };
 
--- a/source/control/control-place.c
+++ b/source/control/control-place.c
@@ -12,7 +12,7 @@
 };
 
 bool
-csp_open_request_table (csp_control_t *control)
+csp_init_request_table (csp_control_t *control)
 {
   control->requests = calloc (INITIAL_REQUESTS, sizeof *control->requests);
   control->request_capacity = INITIAL_REQUESTS;
--- a/source/control/control-slots.c
+++ b/source/control/control-slots.c
@@ -15,7 +15,7 @@
 };
 
 bool
-csp_open_slots (csp_control_t *control)
+csp_init_slots (csp_control_t *control)
 {
   csp_slot_settings_t settings = csp_default_slot_settings ();
 
--- a/source/control/control.c
+++ b/source/control/control.c
@@ -230,9 +230,9 @@
   control->fetcher = csp_create_fetcher (FETCHER_THREADS);
   if (control->fetcher == NULL
       || !csp_open_peers (control, message, message_bytes)
-      || !csp_open_admission (control) || !csp_open_slots (control)
-      || !csp_open_once (control, csp_now_ms (&context->clock))
-      || !csp_open_config (control, csp_now_ms (&context->clock)))
+      || !csp_init_admission (control) || !csp_init_slots (control)
+      || !csp_init_once (control, csp_now_ms (&context->clock))
+      || !csp_init_config (control, csp_now_ms (&context->clock)))
     goto fail;
   control->thread_started
       = pthread_create (&control->thread, NULL, run_control, control) == 0;
--- a/source/entry/generate.c
+++ b/source/entry/generate.c
@@ -56,12 +56,12 @@
   return !run->grant_lost && get_now_ms (run) < run->exchange->deadline_ms;
 }
 
-static csp_link_t
+static csp_engine_link_t
 build_link (csp_generation_run_t *run, const char *body, bool resume)
 {
   const csp_settings_t *settings = &run->exchange->entry->context->settings;
   bool chat = csp_request_api (run->request) == CSP_API_CHAT;
-  csp_link_t link
+  csp_engine_link_t link
       = { .endpoint = run->grant.endpoint,
           .path = chat ? "/v1/chat/completions" : "/v1/completions",
           .body = body,
@@ -102,7 +102,7 @@
   csp_recovery_policy_t policy = csp_default_recovery_policy ();
   csp_recovery_t recovery;
   csp_engine_link_report_t report;
-  csp_link_t link;
+  csp_engine_link_t link;
   const char *body = csp_build_engine_body (run->request, run->route->model,
                                             run->ask.max_tokens);
   bool resume = false;
--- a/source/membership/membership-hear.c
+++ b/source/membership/membership-hear.c
@@ -11,7 +11,7 @@
 static bool
 are_valid_suspects (const csp_heartbeat_t *message)
 {
-  const csp_suspect_t *suspect;
+  const csp_suspect_host_t *suspect;
   uint8_t i;
 
   for (i = 0; i < message->suspect_count; i++)
--- a/source/membership/membership-judge.c
+++ b/source/membership/membership-judge.c
@@ -141,7 +141,7 @@
 csp_apply_suspects (csp_membership_t *membership,
                     const csp_heartbeat_t *message, int64_t now_ms)
 {
-  const csp_suspect_t *suspect;
+  const csp_suspect_host_t *suspect;
   csp_peer_t *peer;
   uint8_t i;
 
@@ -177,7 +177,7 @@
 add_suspect (csp_heartbeat_t *message, const csp_peer_t *peer,
              const char *witness, int64_t age_ms)
 {
-  csp_suspect_t *suspect;
+  csp_suspect_host_t *suspect;
 
   if (message->suspect_count == CSP_MAX_SUSPECTS)
     return;
--- a/source/peer/peer-heartbeat.c
+++ b/source/peer/peer-heartbeat.c
@@ -17,7 +17,7 @@
 pack_suspects (const csp_heartbeat_t *heartbeat,
                csp_heartbeat_scratch_t *scratch)
 {
-  const csp_suspect_t *suspect;
+  const csp_suspect_host_t *suspect;
   CspWire__Suspect *wire;
   uint32_t i;
 
@@ -116,7 +116,7 @@
 static bool
 unpack_suspects (const CspWire__Heartbeat *wire, csp_heartbeat_t *heartbeat)
 {
-  csp_suspect_t *suspect;
+  csp_suspect_host_t *suspect;
   size_t i;
 
   if (wire->n_suspects > CSP_MAX_SUSPECTS)
--- a/source/target/engine.c
+++ b/source/target/engine.c
@@ -23,7 +23,7 @@
 /* The state of one HTTP transfer.  */
 typedef struct
 {
-  const csp_link_t *link;
+  const csp_engine_link_t *link;
   csp_generation_t *generation;
   csp_engine_link_report_t *report;
   CURL *call;
@@ -46,7 +46,7 @@
 static int
 handle_token (transfer_t *transfer, const csp_token_t *token, const char *json)
 {
-  const csp_link_t *link = transfer->link;
+  const csp_engine_link_t *link = transfer->link;
 
   switch (csp_accept_token (transfer->generation, token))
     {
@@ -138,7 +138,7 @@
 static csp_link_end_t
 check_limits (const transfer_t *transfer)
 {
-  const csp_link_t *link = transfer->link;
+  const csp_engine_link_t *link = transfer->link;
   int64_t gap_ms = csp_now_ms (link->clock) - transfer->last_token_ms;
   bool first = transfer->report->delivered == 0 && !link->resume;
   int64_t limit_ms
@@ -228,7 +228,8 @@
 }
 
 static struct curl_slist *
-make_headers (const csp_link_t *link, const csp_generation_t *generation)
+make_headers (const csp_engine_link_t *link,
+              const csp_generation_t *generation)
 {
   struct curl_slist *headers = NULL;
   char line[CSP_URL_BYTES];
@@ -266,7 +267,8 @@
 }
 
 csp_link_end_t
-csp_run_engine_link (const csp_link_t *link, csp_generation_t *generation,
+csp_run_engine_link (const csp_engine_link_t *link,
+                     csp_generation_t *generation,
                      csp_engine_link_report_t *report)
 {
   transfer_t transfer = { .link = link,
--- a/tests/declaration/declaration-rules-test.c
+++ b/tests/declaration/declaration-rules-test.c
@@ -122,30 +122,30 @@
   const char *expected_text;
 } cover_case_t;
 
-#define ORG(name) RULE ("{\"organisation\":\"" name "\"}", AWAY)
+#define ORG(name) RULE ("{\"organisation\":\"" name "\"}", TURN_AWAY)
 #define LOAD(min, max)                                                        \
-  RULE ("{\"load\":{\"min\":" min ",\"max\":" max "}}", AWAY)
+  RULE ("{\"load\":{\"min\":" min ",\"max\":" max "}}", TURN_AWAY)
 #define QUEUE(min, max)                                                       \
-  RULE ("{\"time_in_queue_ms\":{\"min\":" min ",\"max\":" max "}}", AWAY)
+  RULE ("{\"time_in_queue_ms\":{\"min\":" min ",\"max\":" max "}}", TURN_AWAY)
 
 static const cover_case_t cover_cases[] = {
-  { ORG ("a"), RULE ("{}", AWAY), ORG ("b"), "r2" },
-  { ORG ("a"), ORG ("b"), RULE ("{\"organisation\":[\"a\",\"b\"]}", AWAY),
+  { ORG ("a"), RULE ("{}", TURN_AWAY), ORG ("b"), "r2" },
+  { ORG ("a"), ORG ("b"), RULE ("{\"organisation\":[\"a\",\"b\"]}", TURN_AWAY),
     "r1, r2" },
-  { ORG ("a"), ORG ("b"), RULE ("{}", AWAY), NULL },
+  { ORG ("a"), ORG ("b"), RULE ("{}", TURN_AWAY), NULL },
   { LOAD ("0", "0.5"), LOAD ("0.5", "1"), LOAD ("0.2", "0.9"), "r1, r2" },
   { LOAD ("0", "0.5"), LOAD ("0.6", "1"), LOAD ("0.2", "0.9"), NULL },
   { QUEUE ("0", "10"), QUEUE ("11", "20"), QUEUE ("5", "15"), "r1, r2" },
   { QUEUE ("0", "10"), QUEUE ("12", "20"), QUEUE ("5", "15"), NULL },
-  { RULE ("{\"organisation\":\"a\",\"load\":{\"max\":1}}", AWAY),
-    RULE ("{\"organisation\":\"a\",\"load\":{\"min\":1}}", AWAY), ORG ("a"),
-    "r1, r2" },
-  { RULE ("{\"route\":\"m\"}", AWAY), ORG ("a"),
-    RULE ("{\"route\":\"n\",\"organisation\":\"b\"}", AWAY), NULL },
-  { ORG ("a"), ORG ("b"), RULE ("{\"route\":\"n\",\"class\":\"fast\"}", AWAY),
-    "classes" },
+  { RULE ("{\"organisation\":\"a\",\"load\":{\"max\":1}}", TURN_AWAY),
+    RULE ("{\"organisation\":\"a\",\"load\":{\"min\":1}}", TURN_AWAY),
+    ORG ("a"), "r1, r2" },
+  { RULE ("{\"route\":\"m\"}", TURN_AWAY), ORG ("a"),
+    RULE ("{\"route\":\"n\",\"organisation\":\"b\"}", TURN_AWAY), NULL },
+  { ORG ("a"), ORG ("b"),
+    RULE ("{\"route\":\"n\",\"class\":\"fast\"}", TURN_AWAY), "classes" },
   { ORG ("a"), ORG ("b"),
-    RULE ("{\"service\":\"quotes\",\"class\":\"fast\"}", AWAY),
+    RULE ("{\"service\":\"quotes\",\"class\":\"fast\"}", TURN_AWAY),
     "services have no classes" },
   { ORG ("a"), ORG ("b"), QUEUE ("0.2", "0.8"), "no whole number" },
 };
@@ -155,7 +155,7 @@
 START_TEST (unreachable_rules_are_found)
 {
   const cover_case_t *row = &cover_cases[_i];
-  const pair_t rules[] = {
+  const declared_pair_t rules[] = {
     { "rule/crowded", NULL },  { "rule/waited", NULL },
     { "rule/long", NULL },     { "rule/b", NULL },
     { "rule/r1", row->first }, { "rule/r2", row->second },
--- a/tests/declaration/declaration-test.c
+++ b/tests/declaration/declaration-test.c
@@ -10,7 +10,7 @@
 
 typedef struct
 {
-  pair_t overrides[2];
+  declared_pair_t overrides[2];
   const char *where;
   const char *path;
   const char *expected_text;
@@ -101,19 +101,20 @@
     "rule/b",
     "then",
     "has 2 actions" },
-  { { { "rule/b", RULE ("{\"load\":{\"min\":2,\"max\":1}}", AWAY) } },
+  { { { "rule/b", RULE ("{\"load\":{\"min\":2,\"max\":1}}", TURN_AWAY) } },
     "rule/b",
     "when.load",
     "min 2 is above max 1" },
-  { { { "rule/b", RULE ("{\"route\":\"m\",\"service\":\"quotes\"}", AWAY) } },
+  { { { "rule/b",
+        RULE ("{\"route\":\"m\",\"service\":\"quotes\"}", TURN_AWAY) } },
     "rule/b",
     "when",
     "no request has both" },
-  { { { "rule/b", RULE ("{\"organisation\":\"x\"}", AWAY) } },
+  { { { "rule/b", RULE ("{\"organisation\":\"x\"}", TURN_AWAY) } },
     "rule/b",
     "when.organisation",
     "there is no organisation \"x\"" },
-  { { { "rule/b", RULE ("{\"class\":[\"fast\",\"x\"]}", AWAY) } },
+  { { { "rule/b", RULE ("{\"class\":[\"fast\",\"x\"]}", TURN_AWAY) } },
     "rule/b",
     "when.class",
     "there is no class \"x\"" },
@@ -130,7 +131,7 @@
     "rule/b",
     "then.spill.data_centre",
     "is missing" },
-  { { { "rule/extra", RULE ("{}", AWAY) } },
+  { { { "rule/extra", RULE ("{}", TURN_AWAY) } },
     "rule/extra",
     "",
     "is not in rule-order" },
@@ -247,10 +248,10 @@
    destroyed.  */
 START_TEST (unchanged_values_are_shared)
 {
-  static const pair_t overrides[]
+  static const declared_pair_t overrides[]
       = { { "organisation/b", "{\"key_sha256\":\"" KEY_B "\",\"weight\":9}" },
           { "rule-order", "[\"b\",\"crowded\",\"waited\",\"long\"]" } };
-  static const pair_t bad[] = { { "organisation/b", "{}" } };
+  static const declared_pair_t bad[] = { { "organisation/b", "{}" } };
   csp_faults_t *faults = csp_create_faults ();
   csp_declaration_t *first = create_base_declaration ();
   csp_declaration_t *second
--- a/tests/fleet/fleet-test.c
+++ b/tests/fleet/fleet-test.c
@@ -68,8 +68,10 @@
 START_TEST (preemptions_are_rare)
 {
   arrivals_plan_t plan = plan_for (preemption_cases[_i].load, 900);
-  play_t first_come = default_simulation_settings (DISPATCH_FIRST_COME);
-  play_t decisions = default_simulation_settings (DISPATCH_DECISIONS);
+  simulation_settings_t first_come
+      = default_simulation_settings (DISPATCH_FIRST_COME);
+  simulation_settings_t decisions
+      = default_simulation_settings (DISPATCH_DECISIONS);
   results_t before;
   results_t now;
 
@@ -93,7 +95,8 @@
 START_TEST (saturation_by_the_largest)
 {
   arrivals_plan_t plan = plan_for (1.1, 600);
-  play_t decisions = default_simulation_settings (DISPATCH_DECISIONS);
+  simulation_settings_t decisions
+      = default_simulation_settings (DISPATCH_DECISIONS);
   results_t at_1_1;
   results_t at_1_5;
 
@@ -116,7 +119,8 @@
 START_TEST (a_burst)
 {
   arrivals_plan_t plan = plan_for (0.6, 300);
-  play_t decisions = default_simulation_settings (DISPATCH_DECISIONS);
+  simulation_settings_t decisions
+      = default_simulation_settings (DISPATCH_DECISIONS);
   results_t now;
 
   plan.burst_from_us = 60 * SECOND_US;
@@ -135,7 +139,8 @@
 START_TEST (short_requests_among_long_ones)
 {
   arrivals_plan_t plan = plan_for (0.9, 600);
-  play_t decisions = default_simulation_settings (DISPATCH_DECISIONS);
+  simulation_settings_t decisions
+      = default_simulation_settings (DISPATCH_DECISIONS);
   results_t now;
 
   simulate_fleet (&decisions, &plan, &now);
@@ -154,7 +159,8 @@
 START_TEST (a_slow_target)
 {
   arrivals_plan_t plan = plan_for (0.7, 300);
-  play_t decisions = default_simulation_settings (DISPATCH_DECISIONS);
+  simulation_settings_t decisions
+      = default_simulation_settings (DISPATCH_DECISIONS);
   results_t without;
   results_t with;
 
@@ -176,7 +182,8 @@
 START_TEST (a_wrong_length_estimate)
 {
   arrivals_plan_t plan = plan_for (0.4, 300);
-  play_t decisions = default_simulation_settings (DISPATCH_DECISIONS);
+  simulation_settings_t decisions
+      = default_simulation_settings (DISPATCH_DECISIONS);
   results_t without;
   results_t with;
 
@@ -199,8 +206,9 @@
 START_TEST (a_target_lost_at_saturation_returns)
 {
   arrivals_plan_t plan = plan_for (1.5, 200);
-  play_t with_shift = default_simulation_settings (DISPATCH_DECISIONS);
-  play_t without_shift;
+  simulation_settings_t with_slow_start
+      = default_simulation_settings (DISPATCH_DECISIONS);
+  simulation_settings_t without_slow_start;
   results_t with;
   results_t without;
   double with_s = 0;
@@ -208,15 +216,15 @@
   uint64_t with_count = 0;
   uint64_t without_count = 0;
 
-  with_shift.lost_from_us = 100 * (int64_t)SECOND_US;
-  with_shift.lost_until_us = 160 * (int64_t)SECOND_US;
-  with_shift.faulty_engine = 3;
-  without_shift = with_shift;
-  without_shift.no_slow_start = true;
+  with_slow_start.lost_from_us = 100 * (int64_t)SECOND_US;
+  with_slow_start.lost_until_us = 160 * (int64_t)SECOND_US;
+  with_slow_start.faulty_engine = 3;
+  without_slow_start = with_slow_start;
+  without_slow_start.no_slow_start = true;
   for (plan.seed = 1; plan.seed <= 4; plan.seed++)
     {
-      simulate_fleet (&with_shift, &plan, &with);
-      simulate_fleet (&without_shift, &plan, &without);
+      simulate_fleet (&with_slow_start, &plan, &with);
+      simulate_fleet (&without_slow_start, &plan, &without);
       check_small (&with, 4);
       ck_assert_uint_le (with.all.lost, 15);
       with_s += with.sent_after_return.sent_to_first_token_s;
@@ -238,7 +246,8 @@
 START_TEST (many_hosts_with_few_engines)
 {
   arrivals_plan_t plan = plan_for (0.9, 600);
-  play_t decisions = default_simulation_settings (DISPATCH_DECISIONS);
+  simulation_settings_t decisions
+      = default_simulation_settings (DISPATCH_DECISIONS);
   results_t one_host;
   results_t hosts;
 
@@ -258,7 +267,8 @@
 START_TEST (results_are_reproducible)
 {
   arrivals_plan_t plan = plan_for (1.1, 60);
-  play_t decisions = default_simulation_settings (DISPATCH_DECISIONS);
+  simulation_settings_t decisions
+      = default_simulation_settings (DISPATCH_DECISIONS);
   results_t one;
   results_t two;
 
--- a/tests/support/declared.c
+++ b/tests/support/declared.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 /* A valid declaration, of which the cases override values.  */
-static const pair_t base[] = {
+static const declared_pair_t base[] = {
   { "organisation/a", "{\"key_sha256\":\"" KEY_A "\",\"weight\":3,"
                       "\"limits\":{\"max_output_tokens\":500}}" },
   { "organisation/b", "{\"key_sha256\":[\"" KEY_B "\"]}" },
@@ -41,7 +41,7 @@
 /* Copies the base with values overridden or added; a json of NULL removes a
    value.  Returns how many values were written.  */
 static size_t
-override_values (const pair_t *overrides, size_t override_count,
+override_values (const declared_pair_t *overrides, size_t override_count,
                  csp_declared_value_t values[VALUES_MAX])
 {
   size_t count = 0;
@@ -74,8 +74,8 @@
 
 csp_declaration_t *
 create_test_declaration (const csp_declaration_t *previous,
-                         const pair_t *overrides, size_t override_count,
-                         csp_faults_t *faults)
+                         const declared_pair_t *overrides,
+                         size_t override_count, csp_faults_t *faults)
 {
   csp_declared_value_t values[VALUES_MAX];
   size_t count = override_values (overrides, override_count, values);
--- a/tests/support/declared.h
+++ b/tests/support/declared.h
@@ -11,7 +11,7 @@
   "bbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbb"
 
 #define RULE(when, then) "{\"when\":" when ",\"then\":" then "}"
-#define AWAY "{\"turn_away\":{\"reason\":\"r\"}}"
+#define TURN_AWAY "{\"turn_away\":{\"reason\":\"r\"}}"
 
 enum
 {
@@ -23,13 +23,13 @@
 {
   const char *key;
   const char *json;
-} pair_t;
+} declared_pair_t;
 
 /* Create the base declaration with up to OVER_MAX values overridden or added;
    a json of NULL removes the value.  Returns NULL when the declaration is
    refused.  */
 csp_declaration_t *create_test_declaration (const csp_declaration_t *previous,
-                                            const pair_t *overrides,
+                                            const declared_pair_t *overrides,
                                             size_t override_count,
                                             csp_faults_t *faults);
 
--- a/tests/support/fleet-bytes.c
+++ b/tests/support/fleet-bytes.c
@@ -36,7 +36,7 @@
 }
 
 static size_t
-count_suspect (const csp_suspect_t *suspect)
+count_suspect (const csp_suspect_host_t *suspect)
 {
   return 2 + count_text (suspect->name) + count_text (suspect->witness)
          + count_fixed (suspect->incarnation) + count_number (suspect->age_ms);
