--- a/bench/fleet-decisions.c
+++ b/bench/fleet-decisions.c
@@ -65,12 +65,12 @@
 fill_candidate (fleet_t *fleet, const request_t *request, uint32_t host,
                 uint32_t engine, csp_candidate_t *candidate)
 {
-  csp_shift_policy_t shift = csp_default_shift_policy ();
+  csp_slow_start_policy_t policy = csp_default_slow_start_policy ();
   csp_health_t *health = fleet->hosts[host].health;
 
   candidate->ledger = fleet->ledgers[engine];
   candidate->usable_share = csp_advance_slow_start (
-      &fleet->slow_starts[engine], &shift, true, fleet_now_ms (fleet));
+      &fleet->slow_starts[engine], &policy, true, fleet_now_ms (fleet));
   candidate->slowness = 1;
   candidate->cached_tokens = 0;
   if (!fleet->settings->no_prefixes)
--- a/bench/fleet.c
+++ b/bench/fleet.c
@@ -156,7 +156,7 @@
 static void
 restore_engine (fleet_t *fleet, uint32_t index)
 {
-  csp_shift_policy_t policy = csp_default_shift_policy ();
+  csp_slow_start_policy_t policy = csp_default_slow_start_policy ();
 
   fleet->engines[index].failed = false;
   csp_forget_prefixes (&fleet->prefixes[index]);
--- a/include/cowslipspoke/dialect.h
+++ b/include/cowslipspoke/dialect.h
@@ -68,7 +68,7 @@
                        csp_target_report_t *report);
   /* Writes the value of CSP_HEADER_CONTINUE_FROM for a copy.  */
   void (*format_copy_source) (const char *address, const char *handle,
-                              char *text, size_t room_bytes);
+                              char *text, size_t text_bytes);
 } csp_dialect_t;
 
 #endif
--- a/include/cowslipspoke/dispatch.h
+++ b/include/cowslipspoke/dispatch.h
@@ -42,8 +42,8 @@
   uint64_t refused_at; /* hash of a target that had no capacity; 0: none */
   uint32_t left_ms;    /* expected remaining time of the run */
   size_t backoff_count;
-  uint64_t backoffs[CSP_ASK_BACKOFFS_MAX]; /* hashes of targets that told its
-                                              host to back off */
+  uint64_t backoffs[CSP_ASK_BACKOFFS_MAX]; /* hashes of targets that asked
+                                              its host to back off */
 } csp_ask_t;
 
 typedef void (*csp_deliver_ask_answer_t) (void *state,
@@ -56,11 +56,11 @@
                                      void *state, uint64_t seed);
 void csp_destroy_dispatch (csp_dispatch_t *dispatch);
 
-/* Sets whether this host is the decider and for which part of the fleet; the
+/* Sets whether this host is the decider and for which part of the fleet; a
    decider counts placements on cold targets, see warmup.h.  To be called
    whenever that changes.  */
-void csp_set_dispatch_duty (csp_dispatch_t *dispatch,
-                            const csp_decider_role_t *duty);
+void csp_set_decider_role (csp_dispatch_t *dispatch,
+                           const csp_decider_role_t *role);
 
 /* Handles a new or repeated ask.  The answer (a placement, a refusal or that
    the ask waits) is delivered before this returns.  service and memory_tokens
--- a/include/cowslipspoke/fleet.h
+++ b/include/cowslipspoke/fleet.h
@@ -135,12 +135,12 @@
 bool csp_is_cold_limited (const csp_fleet_target_t *target, int64_t now_ms);
 
 /* Whether this host may assign a request there under the limit for cold
-   targets, and that it has assigned one.  duty: NULL where this host may
+   targets, and that it has assigned one.  role: NULL where this host may
    assign nothing to cold targets.  */
 bool csp_may_assign_request (csp_fleet_target_t *target,
-                             const csp_decider_role_t *duty, int64_t now_ms);
+                             const csp_decider_role_t *role, int64_t now_ms);
 void csp_note_request_assigned (csp_fleet_target_t *target,
-                                const csp_decider_role_t *duty,
+                                const csp_decider_role_t *role,
                                 int64_t now_ms);
 
 /* Whether a target may get new requests: it isn't leaving and isn't
@@ -224,7 +224,7 @@
   bool repeatable; /* may go to a target that is cut off, as a last resort */
   /* Under which this host may assign requests to cold targets; NULL: it may
      not.  */
-  const csp_decider_role_t *duty;
+  const csp_decider_role_t *role;
   const csp_fleet_target_t *excluded;
   const csp_fleet_target_t *also_excluded;
   bool sent_by_this_host; /* sent by this host: its backoffs apply */
--- a/include/cowslipspoke/handoff.h
+++ b/include/cowslipspoke/handoff.h
@@ -74,7 +74,7 @@
 } csp_commit_answer_t;
 
 /* maybe_decoding: the connection to the engine ended early, and the engine may
-   go on generating tokens for its resume window.  The owner counts the slot
+   continue generating tokens for its resume window.  The owner counts the slot
    for orphan_ms more.  */
 typedef struct
 {
--- a/include/cowslipspoke/http.h
+++ b/include/cowslipspoke/http.h
@@ -105,7 +105,8 @@
                             csp_http_limits_t limits, bool response_to_head);
 
 /* Read the next part of a message from data; *used is how many bytes were
-   consumed.  Call again with the rest until MORE, END or FAULT.  With
+   consumed.  Call again with the rest until the result is
+   CSP_HTTP_NEED_MORE, CSP_HTTP_END or CSP_HTTP_FAULT.  With
    CSP_HTTP_BODY, *piece points to *piece_bytes of body within data.  */
 csp_http_step_t csp_read_http (csp_http_reader_t *reader, const char *data,
                                size_t size_bytes, size_t *used,
--- a/include/cowslipspoke/membership.h
+++ b/include/cowslipspoke/membership.h
@@ -111,8 +111,8 @@
   uint32_t alive_ms;
   uint32_t protocol;
   uint32_t owned_targets;
-  /* Median gap between tokens on the owned targets, and how many of those are
-     closed as slow; see health.h.  */
+  /* Median gap between tokens on the owned targets, and how many of those
+     have a reduced share; see health.h.  */
   uint32_t median_gap_us;
   uint32_t targets_out;
   csp_member_state_t state;
--- a/include/cowslipspoke/peer.h
+++ b/include/cowslipspoke/peer.h
@@ -15,8 +15,8 @@
 {
   CSP_PEER_NONE,
   CSP_PEER_HEARTBEAT, /* request and reply */
-  CSP_PEER_CARRY_ASK,
-  CSP_PEER_CARRY_ANSWER,
+  CSP_PEER_LOAD_QUERY,
+  CSP_PEER_LOAD_QUERY_ANSWER,
   CSP_PEER_PULL_ASK,
   CSP_PEER_PULL_ANSWER,
   CSP_PEER_RESERVE_ASK,
@@ -27,7 +27,7 @@
   CSP_PEER_HOLDINGS,
   CSP_PEER_CLAIM_ASK,
   CSP_PEER_CLAIM_ANSWER,
-  CSP_PEER_OUTCOME_TELL,
+  CSP_PEER_OUTCOME_REPORT,
   CSP_PEER_HOSTS_ASK,
   CSP_PEER_HOSTS_ANSWER,
   CSP_PEER_ACKNOWLEDGE
@@ -86,12 +86,12 @@
     {
       size_t count;
       char **targets;
-    } carry_ask;
+    } load_query;
     struct
     {
       size_t count;
-      csp_carried_load_t *carries;
-    } carry_answer;
+      csp_carried_load_t *loads;
+    } load_query_answer;
     struct
     {
       int64_t after;
@@ -110,7 +110,7 @@
     csp_holdings_t holdings;
     csp_claim_ask_t claim_ask;
     csp_claim_answer_t claim_answer;
-    csp_outcome_report_t outcome_tell;
+    csp_outcome_report_t outcome_report;
     struct
     {
       int64_t after;
--- a/include/cowslipspoke/quarantine.h
+++ b/include/cowslipspoke/quarantine.h
@@ -29,7 +29,7 @@
   CSP_STRIKES_MAX = 3,
   /* Size of a host's table of requests with strikes.  */
   CSP_SUSPECTS_MAX = 1024,
-  /* How many times a new strike is broadcast to all hosts.  Greetings repeat
+  /* How many times a new strike is broadcast to all hosts.  Hellos repeat
      it for some time, in case a broadcast was lost.  */
   CSP_SUSPECT_BROADCASTS = 2
 };
@@ -87,12 +87,12 @@
                                        csp_suspect_t *suspects,
                                        size_t capacity, int64_t now_ms);
 
-/* Lists suspects to include in a greeting, round robin: quarantined ones
+/* Lists suspects to include in a hello, round robin: quarantined ones
    first, then those with several strikes and those with a recent one, whose
    broadcast may have been lost.  */
-size_t csp_list_suspects_for_greeting (csp_quarantine_t *quarantine,
-                                       csp_suspect_t *suspects,
-                                       size_t capacity, int64_t now_ms);
+size_t csp_list_suspects_for_hello (csp_quarantine_t *quarantine,
+                                    csp_suspect_t *suspects, size_t capacity,
+                                    int64_t now_ms);
 
 /* Drops old strikes and holds that expired long ago.  Call it
    periodically.  */
--- a/include/cowslipspoke/reach.h
+++ b/include/cowslipspoke/reach.h
@@ -17,7 +17,7 @@
 
    A data centre counts as unreachable once an exchange with one of its targets
    failed and none has succeeded since, or once nothing was received from it
-   for several greeting periods.  A single crashed target looks the same until
+   for several hello periods.  A single crashed target looks the same until
    another target answers, which costs the choice of targets there for that
    moment.  An unreachable data centre is probed periodically with an
    idempotent request; an answer makes it reachable again.  */
@@ -37,9 +37,9 @@
 void csp_note_host_message_from (csp_reach_t *reach, uint32_t data_centre,
                                  int64_t now_ms);
 
-/* Sets the period in which each host greets some host of every other data
-   centre.  */
-void csp_note_greeting_period (csp_reach_t *reach, uint32_t period_ms);
+/* Sets the period in which each host sends a hello to some host of
+   every other data centre.  */
+void csp_note_hello_period (csp_reach_t *reach, uint32_t period_ms);
 
 /* Records that a target there refused a connection, or broke off an exchange
    or let it time out without an answer.  */
--- a/include/cowslipspoke/roster.h
+++ b/include/cowslipspoke/roster.h
@@ -39,7 +39,7 @@
   CSP_HELLO_LOADS_MAX = 20,
   CSP_HELLO_KNOWN_MAX = 18,
   CSP_HELLO_ASKS_MAX = 4,
-  CSP_HELLO_LEFT_MAX = 8,
+  CSP_HELLO_LEAVING_MAX = 8,
   CSP_HELLO_LEASES_MAX = 2,
   CSP_HELLO_SUSPECTS_MAX = 4,
   /* Backed-off targets that an ask can exclude.  */
@@ -188,8 +188,8 @@
   csp_hello_lease_t lease_requests[CSP_HELLO_LEASES_MAX];
   size_t lease_count;
   csp_hello_lease_t leases[CSP_HELLO_LEASES_MAX];
-  size_t left_count;
-  uint64_t leaving_targets[CSP_HELLO_LEFT_MAX]; /* hashes of targets that
+  size_t leaving_target_count;
+  uint64_t leaving_targets[CSP_HELLO_LEAVING_MAX]; /* hashes of targets that
                                         announced that they leave */
   size_t suspect_count;
   csp_suspect_t suspects[CSP_HELLO_SUSPECTS_MAX];
@@ -309,15 +309,15 @@
 
 void csp_rank_readers (const csp_roster_t *roster, csp_reader_ranks_t *ranks);
 
-/* Calls take for each load of each host.  */
+/* Calls visit for each load of each host.  */
 typedef void (*csp_load_visitor_t) (void *state, csp_peer_address_t peer,
                                     const csp_peer_load_t *load);
-void csp_visit_peer_loads (const csp_roster_t *roster, csp_load_visitor_t take,
-                           void *state);
+void csp_visit_peer_loads (const csp_roster_t *roster,
+                           csp_load_visitor_t visit, void *state);
 
-/* Calls take for each load of one host; does nothing if the host is
+/* Calls visit for each load of one host; does nothing if the host is
    unknown.  */
 void csp_visit_loads_of_peer (csp_roster_t *roster, csp_peer_address_t address,
-                              csp_load_visitor_t take, void *state);
+                              csp_load_visitor_t visit, void *state);
 
 #endif
--- a/include/cowslipspoke/shift.h
+++ b/include/cowslipspoke/shift.h
@@ -36,41 +36,42 @@
   uint32_t doubling_ms;
   double rise_per_s;
   double dead_band;
-} csp_shift_policy_t;
+} csp_slow_start_policy_t;
 
-csp_shift_policy_t csp_default_shift_policy (void);
+csp_slow_start_policy_t csp_default_slow_start_policy (void);
 
 /* The slow start of one target; a plain value.  A zeroed value is a target
    that was never opened.  */
 typedef struct
 {
-  double open;
+  double open_share;
   int64_t advanced_ms;
-  bool opening;
+  bool in_progress;
 } csp_slow_start_t;
 
 /* Begins a slow start at policy->start, as the target is new, came back or was
    emptied.  */
-void csp_begin_slow_start (csp_slow_start_t *shift,
-                           const csp_shift_policy_t *policy, int64_t now_ms);
+void csp_begin_slow_start (csp_slow_start_t *slow_start,
+                           const csp_slow_start_policy_t *policy,
+                           int64_t now_ms);
 
 /* Opens the target fully at once, without a slow start: for example when a
    host restarts and finds the target in full service.  */
-void csp_skip_slow_start (csp_slow_start_t *shift);
+void csp_skip_slow_start (csp_slow_start_t *slow_start);
 
 /* Closes the target, as it is leaving or lost.  */
-void csp_stop_slow_start (csp_slow_start_t *shift);
+void csp_stop_slow_start (csp_slow_start_t *slow_start);
 
 /* Advances the slow start to now_ms and returns the share of the target's
    memory that may be used.  The share doesn't grow while the target isn't
    healthy (is slow, or reports more load than the hosts know of).  */
-double csp_advance_slow_start (csp_slow_start_t *shift,
-                               const csp_shift_policy_t *policy, bool healthy,
-                               int64_t now_ms);
+double csp_advance_slow_start (csp_slow_start_t *slow_start,
+                               const csp_slow_start_policy_t *policy,
+                               bool healthy, int64_t now_ms);
 
 /* Returns a data centre's share of the spilled load, moved from `current`
    towards `wanted` over passed_ms.  */
-double csp_move_share (const csp_shift_policy_t *policy, double current,
+double csp_move_share (const csp_slow_start_policy_t *policy, double current,
                        double wanted, bool trouble, int64_t passed_ms);
 
 #endif
--- a/include/cowslipspoke/spread.h
+++ b/include/cowslipspoke/spread.h
@@ -126,13 +126,13 @@
 /* Creates the state for a configuration, which must outlive it.  */
 csp_config_sync_t *csp_create_config_sync (csp_configuration_t *configuration,
                                            uint64_t seed, int64_t now_ms);
-void csp_destroy_config_sync (csp_config_sync_t *spread);
+void csp_destroy_config_sync (csp_config_sync_t *sync);
 
 /* Times out pending requests and decides on new ones.  peers: the live hosts,
    those of the own data centre first and in rendezvous order.  rank: this
    host's own position in that order (0 is first) among the hosts of its data
    centre.  To be called every 100 ms to 500 ms and after events.  */
-void csp_tick_config_sync (csp_config_sync_t *spread,
+void csp_tick_config_sync (csp_config_sync_t *sync,
                            const csp_config_sync_peer_t *peers,
                            size_t peer_count, size_t rank, int64_t now_ms,
                            csp_config_sync_actions_t *actions);
@@ -140,22 +140,22 @@
 /* Handles the service's answer to the read with this id.  If the read is no
    longer pending, the answer is counted and dropped, and the result is
    CSP_CONFIG_SAME.  The same holds for pulls.  */
-csp_config_result_t csp_handle_read (csp_config_sync_t *spread, uint64_t id,
+csp_config_result_t csp_handle_read (csp_config_sync_t *sync, uint64_t id,
                                      const csp_config_delta_t *delta,
                                      int64_t now_ms);
-void csp_handle_read_failed (csp_config_sync_t *spread, uint64_t id,
+void csp_handle_read_failed (csp_config_sync_t *sync, uint64_t id,
                              int64_t now_ms);
 
 /* Handles a peer's answer to the pull with this id, with the peer's refused
    revision, 0 if none, and its faults.  */
-csp_config_result_t csp_handle_pull (csp_config_sync_t *spread, uint64_t id,
+csp_config_result_t csp_handle_pull (csp_config_sync_t *sync, uint64_t id,
                                      const csp_config_delta_t *delta,
                                      int64_t refused_revision,
                                      const char *fault, int64_t now_ms);
-void csp_handle_pull_failed (csp_config_sync_t *spread, uint64_t id,
+void csp_handle_pull_failed (csp_config_sync_t *sync, uint64_t id,
                              int64_t now_ms);
 
-void csp_get_config_sync_status (const csp_config_sync_t *spread,
+void csp_get_config_sync_status (const csp_config_sync_t *sync,
                                  csp_config_sync_status_t *status);
 
 #endif
--- a/source/admission/admission-decide.c
+++ b/source/admission/admission-decide.c
@@ -30,8 +30,8 @@
 }
 
 /* Wrong length estimates lead to preemptions.  Without this feedback the same
-   estimate would admit the next stream too, and preemptions would go on until
-   enough long answers have ended to correct the estimate.  */
+   estimate would admit the next stream too, and preemptions would continue
+   until enough long answers have ended to correct the estimate.  */
 void
 csp_note_preemption (csp_ledger_t *ledger, int64_t now_ms)
 {
--- a/source/configuration/spread.c
+++ b/source/configuration/spread.c
@@ -32,38 +32,38 @@
 };
 
 static int64_t
-jitter (csp_config_sync_t *spread, int64_t ms)
+jitter (csp_config_sync_t *sync, int64_t ms)
 {
-  return (int64_t)csp_random_below (&spread->random, (uint32_t)ms + 1);
+  return (int64_t)csp_random_below (&sync->random, (uint32_t)ms + 1);
 }
 
 csp_config_sync_t *
 csp_create_config_sync (csp_configuration_t *configuration, uint64_t seed,
                         int64_t now_ms)
 {
-  csp_config_sync_t *spread = calloc (1, sizeof *spread);
+  csp_config_sync_t *sync = calloc (1, sizeof *sync);
 
-  if (spread == NULL)
+  if (sync == NULL)
     return NULL;
-  spread->configuration = configuration;
-  spread->started_ms = now_ms;
-  csp_seed_random (&spread->random, seed);
-  spread->full_read_due_ms = now_ms + CSP_FULL_READ_PERIOD_MS
-                             + jitter (spread, CSP_FULL_READ_PERIOD_MS);
-  return spread;
+  sync->configuration = configuration;
+  sync->started_ms = now_ms;
+  csp_seed_random (&sync->random, seed);
+  sync->full_read_due_ms = now_ms + CSP_FULL_READ_PERIOD_MS
+                           + jitter (sync, CSP_FULL_READ_PERIOD_MS);
+  return sync;
 }
 
 void
-csp_destroy_config_sync (csp_config_sync_t *spread)
+csp_destroy_config_sync (csp_config_sync_t *sync)
 {
-  free (spread);
+  free (sync);
 }
 
 static void
-start_request (csp_config_sync_t *spread, pending_request_t *request,
-               bool full, uint32_t timeout_ms, int64_t now_ms)
+start_request (csp_config_sync_t *sync, pending_request_t *request, bool full,
+               uint32_t timeout_ms, int64_t now_ms)
 {
-  request->id = ++spread->last_id;
+  request->id = ++sync->last_id;
   request->started_ms = now_ms;
   request->timeout_at_ms = now_ms + timeout_ms;
   request->full = full;
@@ -106,30 +106,30 @@
 }
 
 static void
-decide_read (csp_config_sync_t *spread, int64_t now_ms,
+decide_read (csp_config_sync_t *sync, int64_t now_ms,
              csp_config_sync_actions_t *actions)
 {
-  int64_t after = csp_get_watch_revision (spread->configuration);
-  bool first_read = !spread->service_tried;
+  int64_t after = csp_get_watch_revision (sync->configuration);
+  bool first_read = !sync->service_tried;
   csp_config_sync_action_t *action;
-  pending_request_t *read = &spread->read;
+  pending_request_t *read = &sync->read;
   bool full = read->full;
   uint32_t wait_ms;
 
   if (read->id != 0 || now_ms < read->next_ms
-      || !(spread->status.reader || first_read))
+      || !(sync->status.reader || first_read))
     return;
-  if (now_ms >= spread->full_read_due_ms)
+  if (now_ms >= sync->full_read_due_ms)
     {
       full = true;
-      spread->full_read_due_ms = now_ms + CSP_FULL_READ_PERIOD_MS
-                                 + jitter (spread, CSP_FULL_READ_PERIOD_MS);
+      sync->full_read_due_ms = now_ms + CSP_FULL_READ_PERIOD_MS
+                               + jitter (sync, CSP_FULL_READ_PERIOD_MS);
     }
   wait_ms = full || after == 0 ? 0 : CSP_WATCH_WAIT_MS;
-  start_request (spread, read, full, wait_ms + CSP_WATCH_GRACE_MS, now_ms);
+  start_request (sync, read, full, wait_ms + CSP_WATCH_GRACE_MS, now_ms);
   action = add_action (actions, CSP_CONFIG_SYNC_READ_SERVICE, read, after);
   action->wait_ms = wait_ms;
-  spread->status.reads++;
+  sync->status.reads++;
 }
 
 /* Whether a peer has a higher revision, or a higher refused revision, than
@@ -146,135 +146,135 @@
 /* Chooses a peer with a newer revision, one of the own data centre if there is
    any.  The choice is random, so that pulls are shared among the readers.  */
 static const csp_config_sync_peer_t *
-choose_peer (csp_config_sync_t *spread, const csp_config_sync_peer_t *peers,
+choose_peer (csp_config_sync_t *sync, const csp_config_sync_peer_t *peers,
              size_t peer_count)
 {
   const csp_config_sync_peer_t *chosen = NULL;
   csp_config_status_t current;
-  int64_t known_revision = csp_get_watch_revision (spread->configuration);
+  int64_t known_revision = csp_get_watch_revision (sync->configuration);
   uint32_t tie_count = 0;
   bool better;
   size_t i;
 
-  csp_get_configuration_status (spread->configuration, &current);
+  csp_get_configuration_status (sync->configuration, &current);
   for (i = 0; i < peer_count; i++)
     {
       if (!has_newer_revision (&peers[i], &current, known_revision)
-          || strcmp (peers[i].name, spread->failed_peer) == 0)
+          || strcmp (peers[i].name, sync->failed_peer) == 0)
         continue;
       better = chosen == NULL
                || peers[i].same_data_centre > chosen->same_data_centre;
       if (!better && peers[i].same_data_centre < chosen->same_data_centre)
         continue;
       tie_count = better ? 1 : tie_count + 1;
-      if (better || csp_random_below (&spread->random, tie_count) == 0)
+      if (better || csp_random_below (&sync->random, tie_count) == 0)
         chosen = &peers[i];
     }
   /* A peer whose pull failed is skipped once; then it may be the only one.  */
   if (chosen == NULL)
-    spread->failed_peer[0] = '\0';
+    sync->failed_peer[0] = '\0';
   return chosen;
 }
 
 static void
-decide_pull (csp_config_sync_t *spread, const csp_config_sync_peer_t *peers,
+decide_pull (csp_config_sync_t *sync, const csp_config_sync_peer_t *peers,
              size_t peer_count, int64_t now_ms,
              csp_config_sync_actions_t *actions)
 {
   const csp_config_sync_peer_t *peer;
   csp_config_status_t current;
   csp_config_sync_action_t *action;
-  pending_request_t *pull = &spread->pull;
+  pending_request_t *pull = &sync->pull;
 
   if (pull->id != 0 || now_ms < pull->next_ms)
     return;
-  peer = choose_peer (spread, peers, peer_count);
+  peer = choose_peer (sync, peers, peer_count);
   if (peer == NULL)
     return;
-  csp_get_configuration_status (spread->configuration, &current);
-  start_request (spread, pull, pull->full, CSP_PULL_TIMEOUT_MS, now_ms);
+  csp_get_configuration_status (sync->configuration, &current);
+  start_request (sync, pull, pull->full, CSP_PULL_TIMEOUT_MS, now_ms);
   memcpy (pull->peer, peer->name, sizeof pull->peer);
   action = add_action (actions, CSP_CONFIG_SYNC_PULL_PEER, pull,
                        current.revision);
   memcpy (action->peer, peer->name, sizeof action->peer);
-  spread->status.pulls++;
+  sync->status.pulls++;
 }
 
 static void
-record_conflicts (csp_config_sync_t *spread,
-                  const csp_config_sync_peer_t *peers, size_t peer_count)
+record_conflicts (csp_config_sync_t *sync, const csp_config_sync_peer_t *peers,
+                  size_t peer_count)
 {
   csp_config_status_t current;
   size_t count = 0;
   size_t i;
 
-  csp_get_configuration_status (spread->configuration, &current);
+  csp_get_configuration_status (sync->configuration, &current);
   for (i = 0; i < peer_count; i++)
     count += peers[i].revision == current.revision && current.revision > 0
              && peers[i].digest != 0 && peers[i].digest != current.digest;
-  if (count > spread->status.peer_conflicts)
-    csp_record_config_conflict (spread->configuration);
-  spread->status.peer_conflicts = count;
+  if (count > sync->status.peer_conflicts)
+    csp_record_config_conflict (sync->configuration);
+  sync->status.peer_conflicts = count;
 }
 
 static void
-update_startup (csp_config_sync_t *spread, const csp_config_sync_peer_t *peers,
+update_startup (csp_config_sync_t *sync, const csp_config_sync_peer_t *peers,
                 size_t peer_count, int64_t now_ms)
 {
-  int64_t waited_ms = now_ms - spread->started_ms;
+  int64_t waited_ms = now_ms - sync->started_ms;
   csp_config_status_t current;
   bool peer_has_configuration = false;
   bool is_behind = false;
   size_t i;
 
-  if (spread->status.startup_done)
+  if (sync->status.startup_done)
     return;
-  csp_get_configuration_status (spread->configuration, &current);
+  csp_get_configuration_status (sync->configuration, &current);
   for (i = 0; i < peer_count; i++)
     {
       peer_has_configuration = peer_has_configuration || peers[i].revision > 0;
       is_behind = is_behind || peers[i].revision > current.revision;
     }
-  spread->status.startup_done
+  sync->status.startup_done
       = waited_ms >= CSP_START_WAIT_MS
-        || (current.revision > 0 && spread->service_tried && !is_behind
+        || (current.revision > 0 && sync->service_tried && !is_behind
             && (peer_has_configuration
                 || waited_ms >= CSP_START_PEER_WAIT_MS));
 }
 
 static void
-expire_requests (csp_config_sync_t *spread, int64_t now_ms)
+expire_requests (csp_config_sync_t *sync, int64_t now_ms)
 {
-  if (spread->read.id != 0 && now_ms >= spread->read.timeout_at_ms)
-    csp_handle_read_failed (spread, spread->read.id, now_ms);
-  if (spread->pull.id != 0 && now_ms >= spread->pull.timeout_at_ms)
-    csp_handle_pull_failed (spread, spread->pull.id, now_ms);
+  if (sync->read.id != 0 && now_ms >= sync->read.timeout_at_ms)
+    csp_handle_read_failed (sync, sync->read.id, now_ms);
+  if (sync->pull.id != 0 && now_ms >= sync->pull.timeout_at_ms)
+    csp_handle_pull_failed (sync, sync->pull.id, now_ms);
 }
 
 void
-csp_tick_config_sync (csp_config_sync_t *spread,
+csp_tick_config_sync (csp_config_sync_t *sync,
                       const csp_config_sync_peer_t *peers, size_t peer_count,
                       size_t rank, int64_t now_ms,
                       csp_config_sync_actions_t *actions)
 {
   actions->count = 0;
-  expire_requests (spread, now_ms);
-  record_conflicts (spread, peers, peer_count);
-  spread->status.reader = is_reader (peers, peer_count, rank);
-  decide_read (spread, now_ms, actions);
-  decide_pull (spread, peers, peer_count, now_ms, actions);
-  update_startup (spread, peers, peer_count, now_ms);
+  expire_requests (sync, now_ms);
+  record_conflicts (sync, peers, peer_count);
+  sync->status.reader = is_reader (peers, peer_count, rank);
+  decide_read (sync, now_ms, actions);
+  decide_pull (sync, peers, peer_count, now_ms, actions);
+  update_startup (sync, peers, peer_count, now_ms);
 }
 
 /* Ends the pending request that an answer belongs to.  Returns false for an
    answer that arrives twice or after its request timed out.  */
 static bool
-finish_request (csp_config_sync_t *spread, pending_request_t *request,
+finish_request (csp_config_sync_t *sync, pending_request_t *request,
                 uint64_t id)
 {
   if (id == 0 || request->id != id)
     {
-      spread->status.dropped_answers++;
+      sync->status.dropped_answers++;
       return false;
     }
   request->id = 0;
@@ -288,17 +288,17 @@
 }
 
 csp_config_result_t
-csp_handle_read (csp_config_sync_t *spread, uint64_t id,
+csp_handle_read (csp_config_sync_t *sync, uint64_t id,
                  const csp_config_delta_t *delta, int64_t now_ms)
 {
   csp_config_result_t result;
-  pending_request_t *read = &spread->read;
+  pending_request_t *read = &sync->read;
 
-  if (!finish_request (spread, read, id))
+  if (!finish_request (sync, read, id))
     return CSP_CONFIG_SAME;
-  spread->service_tried = true;
-  spread->status.service_silent = false;
-  result = csp_apply_configuration (spread->configuration, CSP_SOURCE_SERVICE,
+  sync->service_tried = true;
+  sync->status.service_silent = false;
+  result = csp_apply_configuration (sync->configuration, CSP_SOURCE_SERVICE,
                                     delta);
   read->full = result == CSP_CONFIG_NEEDS_FULL;
   /* A stale service answers a watch at once, so without a pause every reader
@@ -311,64 +311,64 @@
 }
 
 void
-csp_handle_read_failed (csp_config_sync_t *spread, uint64_t id, int64_t now_ms)
+csp_handle_read_failed (csp_config_sync_t *sync, uint64_t id, int64_t now_ms)
 {
-  if (!finish_request (spread, &spread->read, id))
+  if (!finish_request (sync, &sync->read, id))
     return;
-  spread->service_tried = true;
-  spread->status.service_silent = true;
-  spread->status.failed_reads++;
-  spread->read.next_ms
-      = now_ms + CSP_READ_RETRY_MS + jitter (spread, CSP_READ_GAP_MS);
+  sync->service_tried = true;
+  sync->status.service_silent = true;
+  sync->status.failed_reads++;
+  sync->read.next_ms
+      = now_ms + CSP_READ_RETRY_MS + jitter (sync, CSP_READ_GAP_MS);
 }
 
 static void
-record_failed_pull (csp_config_sync_t *spread)
+record_failed_pull (csp_config_sync_t *sync)
 {
-  memcpy (spread->failed_peer, spread->pull.peer, sizeof spread->failed_peer);
-  spread->status.failed_pulls++;
+  memcpy (sync->failed_peer, sync->pull.peer, sizeof sync->failed_peer);
+  sync->status.failed_pulls++;
 }
 
 csp_config_result_t
-csp_handle_pull (csp_config_sync_t *spread, uint64_t id,
+csp_handle_pull (csp_config_sync_t *sync, uint64_t id,
                  const csp_config_delta_t *delta, int64_t refused_revision,
                  const char *fault, int64_t now_ms)
 {
   csp_config_result_t result;
-  pending_request_t *pull = &spread->pull;
+  pending_request_t *pull = &sync->pull;
 
-  if (!finish_request (spread, pull, id))
+  if (!finish_request (sync, pull, id))
     return CSP_CONFIG_SAME;
-  result = csp_apply_configuration (spread->configuration, CSP_SOURCE_PEER,
-                                    delta);
-  csp_record_refused_revision (spread->configuration, refused_revision, fault);
+  result
+      = csp_apply_configuration (sync->configuration, CSP_SOURCE_PEER, delta);
+  csp_record_refused_revision (sync->configuration, refused_revision, fault);
   pull->next_ms = next_allowed_ms (pull->started_ms, CSP_PULL_GAP_MS, now_ms);
   /* A full configuration that doesn't match its own digest is broken at the
      sender.  Without a pause, the full configuration would be pulled every
      second.  */
   if (result == CSP_CONFIG_NEEDS_FULL && pull->full)
     {
-      record_failed_pull (spread);
+      record_failed_pull (sync);
       pull->next_ms = now_ms + CSP_READ_RETRY_MS;
     }
   pull->full = result == CSP_CONFIG_NEEDS_FULL && !pull->full;
   if (result == CSP_CONFIG_APPLIED)
-    spread->failed_peer[0] = '\0';
+    sync->failed_peer[0] = '\0';
   return result;
 }
 
 void
-csp_handle_pull_failed (csp_config_sync_t *spread, uint64_t id, int64_t now_ms)
+csp_handle_pull_failed (csp_config_sync_t *sync, uint64_t id, int64_t now_ms)
 {
-  if (!finish_request (spread, &spread->pull, id))
+  if (!finish_request (sync, &sync->pull, id))
     return;
-  record_failed_pull (spread);
-  spread->pull.next_ms = now_ms;
+  record_failed_pull (sync);
+  sync->pull.next_ms = now_ms;
 }
 
 void
-csp_get_config_sync_status (const csp_config_sync_t *spread,
+csp_get_config_sync_status (const csp_config_sync_t *sync,
                             csp_config_sync_status_t *status)
 {
-  *status = spread->status;
+  *status = sync->status;
 }
--- a/source/control/control-admission.c
+++ b/source/control/control-admission.c
@@ -23,7 +23,7 @@
   control->lengths = csp_create_lengths (&policy);
   control->organisations = csp_create_intern (CSP_CONTROL_MAX_ORGANISATIONS);
   csp_init_retry_budget (&control->retry_budget, &retry);
-  control->shift_policy = csp_default_shift_policy ();
+  control->slow_start_policy = csp_default_slow_start_policy ();
   control->started_ms = csp_now_ms (&control->context->clock);
   control->health = csp_create_health (&health, CSP_CONTROL_MAX_TARGETS);
   return control->lengths != NULL && control->organisations != NULL
@@ -221,7 +221,7 @@
 
 static uint32_t
 choose_target (csp_control_t *control, const csp_tracked_request_t *request,
-               uint64_t kept_tokens, int64_t now_ms)
+               uint64_t reserve_tokens, int64_t now_ms)
 {
   const csp_admission_ask_t *ask = request->waiter->ask;
   csp_stream_t stream = describe_stream (request);
@@ -229,8 +229,8 @@
   if (ask->pool_kind == CSP_POOL_SERVICES)
     return csp_choose_service (control, ask, now_ms);
   if (csp_is_for_other_data_centre (control, ask, now_ms)
-      || (kept_tokens > 0
-          && !csp_may_borrow_in_pool (control, ask->terms.pool, kept_tokens,
+      || (reserve_tokens > 0
+          && !csp_may_borrow_in_pool (control, ask->terms.pool, reserve_tokens,
                                       request->cost_tokens, now_ms))
       || (ask->lend_below > 0
           && !csp_may_lend (control, ask->terms.pool, ask->lend_below,
--- a/source/control/control-choose.c
+++ b/source/control/control-choose.c
@@ -55,7 +55,8 @@
 }
 
 /* Whether this host owns an engine that has free capacity for the stream,
-   given its ledger, its opening and the slots that other hosts hold there.  */
+   given its ledger, its open share and the slots that other hosts hold there.
+ */
 static bool
 has_capacity (csp_control_t *control, const csp_stream_t *stream,
               uint32_t index, int64_t now_ms)
@@ -63,15 +64,15 @@
   const csp_target_state_t *target = control->targets[index];
   const csp_ledger_t *ledger = target->ledger;
   csp_stream_t needed = *stream;
-  uint32_t opening = csp_get_open_share (control->ownership, index, now_ms);
+  uint32_t open_share = csp_get_open_share (control->ownership, index, now_ms);
   uint64_t slots
       = csp_count_slot_tokens (control, target->listed.name, now_ms);
   uint64_t open_tokens
-      = (uint64_t)csp_ledger_memory_tokens (ledger, now_ms) * opening;
+      = (uint64_t)csp_ledger_memory_tokens (ledger, now_ms) * open_share;
   uint64_t used_tokens = csp_ledger_used_tokens (ledger) + slots;
 
   needed.reserve_tokens += (uint32_t)slots;
-  return opening > 0 && !csp_ledger_leaving (ledger)
+  return open_share > 0 && !csp_ledger_leaving (ledger)
          && used_tokens * CSP_OPEN_SHARE_FULL <= open_tokens
          && csp_decide_admission (ledger, &needed, now_ms) == CSP_ADMIT;
 }
@@ -83,7 +84,8 @@
 {
   const csp_target_state_t *target = control->targets[index];
 
-  return csp_health_share (control->health, index) * target->shift.open;
+  return csp_health_share (control->health, index)
+         * target->slow_start.open_share;
 }
 
 static csp_candidate_t
@@ -120,13 +122,13 @@
   return UINT32_MAX;
 }
 
-/* An organisation that uses more than its share must leave kept_tokens free
+/* An organisation that uses more than its share must leave reserve_tokens free
    for the others.  They are counted over all engines of the pool together: if
    each engine had to keep them free, a pool of many engines would never lend
    anything.  */
 bool
 csp_may_borrow_in_pool (csp_control_t *control, const char *pool,
-                        uint64_t kept_tokens, uint32_t cost_tokens,
+                        uint64_t reserve_tokens, uint32_t cost_tokens,
                         int64_t now_ms)
 {
   static const csp_tried_targets_t none;
@@ -138,8 +140,8 @@
                              now_ms)
         && csp_get_open_share (control->ownership, i, now_ms) > 0)
       control->candidates[count++] = describe_candidate (control, i, 0);
-  return csp_may_borrow (control->candidates, count, kept_tokens, cost_tokens,
-                         now_ms);
+  return csp_may_borrow (control->candidates, count, reserve_tokens,
+                         cost_tokens, now_ms);
 }
 
 uint32_t
@@ -204,7 +206,8 @@
   if (!csp_is_target_failure (end))
     return;
   target->failures++;
-  csp_begin_slow_start (&target->shift, &control->shift_policy, now_ms);
+  csp_begin_slow_start (&target->slow_start, &control->slow_start_policy,
+                        now_ms);
   target->avoid_until_ms
       = now_ms + (avoid_ms < AVOID_MAX_MS ? avoid_ms : AVOID_MAX_MS);
   CSP_LOG (control->context->log, CSP_EVENT_TARGET_LOST, NULL,
@@ -214,13 +217,14 @@
 }
 
 void
-csp_init_target_shift (csp_control_t *control, csp_target_state_t *target,
-                       int64_t now_ms)
+csp_init_target_slow_start (csp_control_t *control, csp_target_state_t *target,
+                            int64_t now_ms)
 {
   if (now_ms - control->started_ms < STARTUP_MS)
-    csp_skip_slow_start (&target->shift);
+    csp_skip_slow_start (&target->slow_start);
   else
-    csp_begin_slow_start (&target->shift, &control->shift_policy, now_ms);
+    csp_begin_slow_start (&target->slow_start, &control->slow_start_policy,
+                          now_ms);
 }
 
 static int
@@ -284,8 +288,8 @@
         continue;
       healthy = now_ms >= target->avoid_until_ms
                 && csp_ledger_foreign_tokens (target->ledger) == 0;
-      csp_advance_slow_start (&target->shift, &control->shift_policy, healthy,
-                              now_ms);
+      csp_advance_slow_start (&target->slow_start, &control->slow_start_policy,
+                              healthy, now_ms);
     }
 }
 
--- a/source/control/control-config.c
+++ b/source/control/control-config.c
@@ -86,15 +86,15 @@
   if (control->configuration == NULL || control->membership == NULL
       || control->ownership == NULL)
     return false;
-  control->spread = csp_create_config_sync (
+  control->config_sync = csp_create_config_sync (
       control->configuration, csp_random_u64 (&control->random), now_ms);
-  return control->spread != NULL;
+  return control->config_sync != NULL;
 }
 
 void
 csp_close_config (csp_control_t *control)
 {
-  csp_destroy_config_sync (control->spread);
+  csp_destroy_config_sync (control->config_sync);
   csp_destroy_ownership (control->ownership);
   csp_destroy_membership (control->membership);
   csp_destroy_configuration (control->configuration);
@@ -168,12 +168,13 @@
                                    command->after, &delta, &error))
     {
       note_platform_state (control, true);
-      csp_handle_read_failed (control->spread, command->id, now_ms);
+      csp_handle_read_failed (control->config_sync, command->id, now_ms);
       return;
     }
   note_platform_state (control, false);
   csp_apply_config_result (
-      control, csp_handle_read (control->spread, command->id, delta, now_ms));
+      control,
+      csp_handle_read (control->config_sync, command->id, delta, now_ms));
   csp_destroy_config_delta (delta);
 }
 
@@ -252,7 +253,7 @@
   csp_peer_message_t message = { .kind = CSP_PEER_HOSTS_ASK };
   csp_host_watch_t *watch = &control->host_watch;
   size_t count = csp_count_hosts (control->membership);
-  csp_peer_address_t peer;
+  csp_named_peer_address_t peer;
   csp_host_view_t view;
   size_t i;
 
@@ -333,7 +334,7 @@
     }
   if (!csp_start_read (control, &control->platform, path, action->timeout_ms,
                        command))
-    csp_handle_read_failed (control->spread, action->id, now_ms);
+    csp_handle_read_failed (control->config_sync, action->id, now_ms);
 }
 
 static void
@@ -341,13 +342,13 @@
              int64_t now_ms)
 {
   csp_peer_message_t message = { .kind = CSP_PEER_PULL_ASK };
-  csp_peer_address_t peer;
+  csp_named_peer_address_t peer;
 
   message.u.pull_ask.after = action->after;
   if (!csp_locate_peer (control, action->peer, now_ms, &peer)
       || !csp_send_peer (control, &peer, &message, action->id,
                          action->timeout_ms))
-    csp_handle_pull_failed (control->spread, action->id, now_ms);
+    csp_handle_pull_failed (control->config_sync, action->id, now_ms);
 }
 
 static void
@@ -375,7 +376,8 @@
       control->membership, now_ms, peers, CSP_MAX_CONFIG_SYNC_PEERS, &rank);
   size_t i;
 
-  csp_tick_config_sync (control->spread, peers, count, rank, now_ms, &actions);
+  csp_tick_config_sync (control->config_sync, peers, count, rank, now_ms,
+                        &actions);
   for (i = 0; i < actions.count; i++)
     switch (actions.items[i].kind)
       {
--- a/source/control/control-holdings.c
+++ b/source/control/control-holdings.c
@@ -30,7 +30,7 @@
 
 /* Send one owner the list of all slots that this host holds there.  */
 static void
-send_holdings (csp_control_t *control, const csp_peer_address_t *peer)
+send_holdings (csp_control_t *control, const csp_named_peer_address_t *peer)
 {
   csp_peer_message_t message = { .kind = CSP_PEER_HOLDINGS };
   csp_held_slot_t *slots = calloc (control->request_count + 1, sizeof *slots);
@@ -68,7 +68,7 @@
 send_all_holdings (csp_control_t *control, int64_t now_ms)
 {
   size_t host_count = csp_count_hosts (control->membership);
-  csp_peer_address_t peer;
+  csp_named_peer_address_t peer;
   csp_host_view_t view;
   size_t i;
 
--- a/source/control/control-imp.h
+++ b/source/control/control-imp.h
@@ -143,7 +143,7 @@
   int64_t avoid_until_ms;
   int64_t next_report_ms;
   csp_prefixes_t prefixes;
-  csp_slow_start_t shift;
+  csp_slow_start_t slow_start;
   bool report_pending;
   bool owned;
   int64_t leaving_since_ms;
@@ -157,14 +157,14 @@
   char name[CSP_HOST_NAME_BYTES];
   char address[CSP_ADDRESS_BYTES];
   uint16_t port;
-} csp_peer_address_t;
+} csp_named_peer_address_t;
 
 /* A hand-off that is in progress or holds a slot at another owner.
    granting_peer is the index of the peer that granted the slot.  */
 typedef struct
 {
   csp_handoff_t *handoff;
-  csp_peer_address_t peers[CSP_HANDOFF_MAX_PEERS];
+  csp_named_peer_address_t peers[CSP_HANDOFF_MAX_PEERS];
   size_t peer_count;
   size_t granting_peer;
   char target[CSP_NAME_BYTES];
@@ -247,7 +247,7 @@
   csp_host_watch_t host_watch;
 
   csp_configuration_t *configuration;
-  csp_config_sync_t *spread;
+  csp_config_sync_t *config_sync;
   csp_membership_t *membership;
   csp_ownership_t *ownership;
   bool platform_unreachable;
@@ -276,7 +276,7 @@
   uint64_t next_ask_id;
   uint64_t spilled;
   csp_health_t *health;
-  csp_shift_policy_t shift_policy;
+  csp_slow_start_policy_t slow_start_policy;
   csp_retry_budget_t retry_budget;
   int64_t started_ms;
   int64_t next_health_ms;
@@ -343,7 +343,7 @@
                              const csp_control_command_t *command,
                              int64_t now_ms);
 bool csp_locate_peer (csp_control_t *control, const char *name, int64_t now_ms,
-                      csp_peer_address_t *peer);
+                      csp_named_peer_address_t *peer);
 
 /* Whether a host is a live peer in this host's data centre.  */
 bool csp_is_live_local_peer (const csp_control_t *control,
@@ -352,7 +352,8 @@
 /* Send a message to a peer.  The answer is queued as CSP_COMMAND_PEER_ANSWER
    with the peer's name, the kind of the message and id.  False when nothing
    was sent.  */
-bool csp_send_peer (csp_control_t *control, const csp_peer_address_t *peer,
+bool csp_send_peer (csp_control_t *control,
+                    const csp_named_peer_address_t *peer,
                     const csp_peer_message_t *message, uint64_t id,
                     uint32_t timeout_ms);
 
@@ -459,14 +460,14 @@
                                                    uint64_t number);
 
 /* Choice of targets.  csp_is_eligible_target: whether a target could take a
-   request now or later.  csp_may_borrow_in_pool: whether kept_tokens stay free
-   in the pool beside the request.  csp_choose_service: the index of a service,
-   UINT32_MAX for none.  */
+   request now or later.  csp_may_borrow_in_pool: whether reserve_tokens stay
+   free in the pool beside the request.  csp_choose_service: the index of a
+   service, UINT32_MAX for none.  */
 bool csp_is_eligible_target (const csp_control_t *control, const char *pool,
                              csp_target_kind_t kind,
                              const csp_tried_targets_t *tried, uint32_t index);
 bool csp_may_borrow_in_pool (csp_control_t *control, const char *pool,
-                             uint64_t kept_tokens, uint32_t cost_tokens,
+                             uint64_t reserve_tokens, uint32_t cost_tokens,
                              int64_t now_ms);
 uint32_t csp_choose_service (const csp_control_t *control,
                              const csp_admission_ask_t *ask, int64_t now_ms);
@@ -475,8 +476,8 @@
 
 /* Set how much of a newly listed target may be used, and update that share and
    the targets' health.  */
-void csp_init_target_shift (csp_control_t *control, csp_target_state_t *target,
-                            int64_t now_ms);
+void csp_init_target_slow_start (csp_control_t *control,
+                                 csp_target_state_t *target, int64_t now_ms);
 void csp_tick_target_health (csp_control_t *control, int64_t now_ms);
 
 /* Limits.  csp_charge_limits charges a request that begins to wait, and
--- a/source/control/control-once.c
+++ b/source/control/control-once.c
@@ -101,7 +101,7 @@
   csp_peer_message_t message = { .kind = CSP_PEER_CLAIM_ASK };
   csp_once_event_t event = { .kind = CSP_ONCE_ANSWER, .host = host };
   csp_once_action_t action;
-  csp_peer_address_t peer;
+  csp_named_peer_address_t peer;
 
   if (strcmp (host, control->context->settings.host) == 0)
     {
@@ -123,10 +123,10 @@
               const char *host, const csp_outcome_report_t *tell,
               int64_t now_ms)
 {
-  csp_peer_message_t message = { .kind = CSP_PEER_OUTCOME_TELL };
+  csp_peer_message_t message = { .kind = CSP_PEER_OUTCOME_REPORT };
   csp_once_event_t event = { .kind = CSP_ONCE_OUTCOME_ACKED, .host = host };
   csp_once_action_t action;
-  csp_peer_address_t peer;
+  csp_named_peer_address_t peer;
 
   if (strcmp (host, control->context->settings.host) == 0)
     {
@@ -135,7 +135,7 @@
       step_round (control, entry, &event, now_ms, &action);
       return;
     }
-  message.u.outcome_tell = *tell;
+  message.u.outcome_report = *tell;
   if (csp_locate_peer (control, host, now_ms, &peer))
     csp_send_peer (control, &peer, &message, entry->id, CLAIM_TIMEOUT_MS);
 }
--- a/source/control/control-peer.c
+++ b/source/control/control-peer.c
@@ -81,7 +81,7 @@
 }
 
 bool
-csp_send_peer (csp_control_t *control, const csp_peer_address_t *peer,
+csp_send_peer (csp_control_t *control, const csp_named_peer_address_t *peer,
                const csp_peer_message_t *message, uint64_t id,
                uint32_t timeout_ms)
 {
@@ -111,7 +111,7 @@
 
 bool
 csp_locate_peer (csp_control_t *control, const char *name, int64_t now_ms,
-                 csp_peer_address_t *peer)
+                 csp_named_peer_address_t *peer)
 {
   csp_host_view_t view;
 
@@ -138,7 +138,7 @@
                 int64_t now_ms)
 {
   csp_peer_message_t message = { .kind = CSP_PEER_HEARTBEAT };
-  csp_peer_address_t peer = { .port = action->peer_port };
+  csp_named_peer_address_t peer = { .port = action->peer_port };
 
   csp_copy_text (peer.name, sizeof peer.name, action->peer);
   csp_copy_text (peer.address, sizeof peer.address, action->address);
@@ -221,19 +221,19 @@
 publish_local_state (csp_control_t *control, int64_t now_ms)
 {
   csp_config_status_t config;
-  csp_config_sync_status_t spread;
+  csp_config_sync_status_t sync_status;
   csp_ownership_status_t owned;
   csp_local_state_t local = { 0 };
 
   csp_get_configuration_status (control->configuration, &config);
-  csp_get_config_sync_status (control->spread, &spread);
+  csp_get_config_sync_status (control->config_sync, &sync_status);
   csp_get_ownership_status (control->ownership, &owned);
   local.state
       = atomic_load (&control->leaving) ? CSP_MEMBER_LEAVING : CSP_MEMBER_LIVE;
   local.revision = config.revision;
   local.digest = config.digest;
   local.refused_revision = config.refused_revision;
-  local.service_silent = spread.service_silent;
+  local.service_silent = sync_status.service_silent;
   local.headroom_tokens = csp_sum_headroom (control, now_ms);
   local.owned_targets = (uint32_t)owned.owned;
   local.median_gap_us
@@ -290,22 +290,22 @@
 }
 
 static void
-answer_carry (csp_control_t *control, const csp_peer_message_t *ask,
-              csp_peer_message_t *answer)
+answer_load_query (csp_control_t *control, const csp_peer_message_t *ask,
+                   csp_peer_message_t *answer)
 {
-  size_t count = ask->u.carry_ask.count;
-  csp_carried_load_t *carries = calloc (count + 1, sizeof *carries);
+  size_t count = ask->u.load_query.count;
+  csp_carried_load_t *loads = calloc (count + 1, sizeof *loads);
   size_t i;
 
-  if (carries == NULL)
+  if (loads == NULL)
     return;
   for (i = 0; i < count; i++)
-    csp_get_carried_load (control->ownership, ask->u.carry_ask.targets[i],
-                          &carries[i]);
-  answer->kind = CSP_PEER_CARRY_ANSWER;
-  answer->u.carry_answer.count = count;
-  answer->u.carry_answer.carries = carries;
-  answer->array = carries;
+    csp_get_carried_load (control->ownership, ask->u.load_query.targets[i],
+                          &loads[i]);
+  answer->kind = CSP_PEER_LOAD_QUERY_ANSWER;
+  answer->u.load_query_answer.count = count;
+  answer->u.load_query_answer.loads = loads;
+  answer->array = loads;
 }
 
 static void
@@ -339,8 +339,8 @@
     case CSP_PEER_HEARTBEAT:
       answer_heartbeat (control, ask, now_ms, answer);
       break;
-    case CSP_PEER_CARRY_ASK:
-      answer_carry (control, ask, answer);
+    case CSP_PEER_LOAD_QUERY:
+      answer_load_query (control, ask, answer);
       break;
     case CSP_PEER_PULL_ASK:
       answer_pull (control, ask, status, answer);
@@ -373,9 +373,9 @@
                      csp_wall_ms (&control->context->clock),
                      &answer->u.claim_answer);
       break;
-    case CSP_PEER_OUTCOME_TELL:
+    case CSP_PEER_OUTCOME_REPORT:
       answer->kind = CSP_PEER_ACKNOWLEDGE;
-      csp_record_claim_outcome (control->once, &ask->u.outcome_tell, now_ms,
+      csp_record_claim_outcome (control->once, &ask->u.outcome_report, now_ms,
                                 csp_wall_ms (&control->context->clock));
       break;
     case CSP_PEER_HOLDINGS:
@@ -425,14 +425,15 @@
 }
 
 static void
-handle_carry_answer (csp_control_t *control,
-                     const csp_control_command_t *command,
-                     const csp_peer_message_t *answer, int64_t now_ms)
+handle_load_query_answer (csp_control_t *control,
+                          const csp_control_command_t *command,
+                          const csp_peer_message_t *answer, int64_t now_ms)
 {
-  if (answer->kind == CSP_PEER_CARRY_ANSWER)
+  if (answer->kind == CSP_PEER_LOAD_QUERY_ANSWER)
     csp_handle_load_query_answer (control->ownership, command->name,
-                                  command->id, answer->u.carry_answer.carries,
-                                  answer->u.carry_answer.count, now_ms);
+                                  command->id,
+                                  answer->u.load_query_answer.loads,
+                                  answer->u.load_query_answer.count, now_ms);
   else
     csp_handle_load_query_lost (control->ownership, command->name, command->id,
                                 now_ms);
@@ -445,12 +446,12 @@
 {
   if (answer->kind == CSP_PEER_PULL_ANSWER)
     csp_apply_config_result (
-        control, csp_handle_pull (control->spread, command->id,
+        control, csp_handle_pull (control->config_sync, command->id,
                                   &answer->u.pull_answer.delta,
                                   answer->u.pull_answer.refused_revision,
                                   answer->u.pull_answer.fault, now_ms));
   else
-    csp_handle_pull_failed (control->spread, command->id, now_ms);
+    csp_handle_pull_failed (control->config_sync, command->id, now_ms);
 }
 
 void
@@ -470,8 +471,8 @@
     case CSP_PEER_HEARTBEAT:
       handle_heartbeat_answer (control, command, &answer, now_ms);
       break;
-    case CSP_PEER_CARRY_ASK:
-      handle_carry_answer (control, command, &answer, now_ms);
+    case CSP_PEER_LOAD_QUERY:
+      handle_load_query_answer (control, command, &answer, now_ms);
       break;
     case CSP_PEER_PULL_ASK:
       handle_pull_answer (control, command, &answer, now_ms);
@@ -482,7 +483,7 @@
     case CSP_PEER_CLAIM_ASK:
       csp_handle_claim_answer (control, command, &answer, now_ms);
       break;
-    case CSP_PEER_OUTCOME_TELL:
+    case CSP_PEER_OUTCOME_REPORT:
       csp_handle_outcome_acknowledged (control, command, &answer, now_ms);
       break;
     case CSP_PEER_RESERVE_ASK:
--- a/source/control/control-place.c
+++ b/source/control/control-place.c
@@ -35,16 +35,16 @@
 grow_table (csp_control_t *control)
 {
   uint32_t capacity = control->request_capacity * 2;
-  csp_tracked_request_t *places;
+  csp_tracked_request_t *requests;
 
   if (capacity > MAX_REQUESTS)
     return false;
-  places = realloc (control->requests, capacity * sizeof *places);
-  if (places == NULL)
+  requests = realloc (control->requests, capacity * sizeof *requests);
+  if (requests == NULL)
     return false;
-  memset (places + control->request_capacity, 0,
-          control->request_capacity * sizeof *places);
-  control->requests = places;
+  memset (requests + control->request_capacity, 0,
+          control->request_capacity * sizeof *requests);
+  control->requests = requests;
   control->request_capacity = capacity;
   return true;
 }
--- a/source/control/control-spill.c
+++ b/source/control/control-spill.c
@@ -51,7 +51,7 @@
 }
 
 static void
-send_release (csp_control_t *control, const csp_peer_address_t *peer,
+send_release (csp_control_t *control, const csp_named_peer_address_t *peer,
               const csp_release_t *release,
               const csp_tracked_request_t *request)
 {
@@ -212,7 +212,7 @@
 release_unused_slot (csp_control_t *control, const char *peer_name,
                      const csp_reserve_answer_t *answer, int64_t now_ms)
 {
-  csp_peer_address_t peer;
+  csp_named_peer_address_t peer;
   csp_release_t release = { .ask_id = answer->ask_id, .nonce = answer->nonce };
 
   if (!answer->granted || !csp_locate_peer (control, peer_name, now_ms, &peer))
--- a/source/control/control-status.c
+++ b/source/control/control-status.c
@@ -23,10 +23,10 @@
 {
   json_object *object = json_object_new_object ();
   csp_config_status_t status;
-  csp_config_sync_status_t spread;
+  csp_config_sync_status_t sync_status;
 
   csp_get_configuration_status (control->configuration, &status);
-  csp_get_config_sync_status (control->spread, &spread);
+  csp_get_config_sync_status (control->config_sync, &sync_status);
   add_number (object, "revision", status.revision);
   add_number (object, "values", (int64_t)status.value_count);
   add_number (object, "refused_revision", status.refused_revision);
@@ -34,10 +34,10 @@
   json_object_object_add (object, "service_stale",
                           json_object_new_boolean (status.service_stale));
   json_object_object_add (object, "reader",
-                          json_object_new_boolean (spread.reader));
-  add_number (object, "reads", (int64_t)spread.reads);
-  add_number (object, "failed_reads", (int64_t)spread.failed_reads);
-  add_number (object, "pulls", (int64_t)spread.pulls);
+                          json_object_new_boolean (sync_status.reader));
+  add_number (object, "reads", (int64_t)sync_status.reads);
+  add_number (object, "failed_reads", (int64_t)sync_status.failed_reads);
+  add_number (object, "pulls", (int64_t)sync_status.pulls);
   return object;
 }
 
--- a/source/control/control-targets.c
+++ b/source/control/control-targets.c
@@ -79,7 +79,7 @@
   target->index = index;
   target->listed = *listed;
   control->targets[index] = target;
-  csp_init_target_shift (control, target, now_ms);
+  csp_init_target_slow_start (control, target, now_ms);
   csp_reset_health (control->health, index, true);
 }
 
@@ -207,12 +207,12 @@
 }
 
 static void
-send_carry_ask (csp_control_t *control, const csp_load_query_t *ask,
-                int64_t now_ms)
+send_load_query (csp_control_t *control, const csp_load_query_t *ask,
+                 int64_t now_ms)
 {
-  csp_peer_message_t message = { .kind = CSP_PEER_CARRY_ASK };
+  csp_peer_message_t message = { .kind = CSP_PEER_LOAD_QUERY };
   char *names[CSP_MAX_LOAD_QUERY_TARGETS];
-  csp_peer_address_t peer;
+  csp_named_peer_address_t peer;
   size_t i;
 
   for (i = 0; i < ask->count; i++)
@@ -222,8 +222,8 @@
         break;
       names[i] = control->targets[ask->targets[i]]->listed.name;
     }
-  message.u.carry_ask.count = i;
-  message.u.carry_ask.targets = names;
+  message.u.load_query.count = i;
+  message.u.load_query.targets = names;
   if (!csp_locate_peer (control, ask->peer, now_ms, &peer)
       || !csp_send_peer (control, &peer, &message, ask->id, ask->timeout_ms))
     csp_handle_load_query_lost (control->ownership, ask->peer, ask->id,
@@ -256,7 +256,7 @@
 
   csp_tick_ownership (control->ownership, control->membership, now_ms, &asks);
   for (ask_index = 0; ask_index < asks.count; ask_index++)
-    send_carry_ask (control, &asks.items[ask_index], now_ms);
+    send_load_query (control, &asks.items[ask_index], now_ms);
   for (i = 0; i < control->target_capacity; i++)
     {
       target = control->targets[i];
--- a/source/cowslipctl/cowslipctl.c
+++ b/source/cowslipctl/cowslipctl.c
@@ -67,9 +67,9 @@
 }
 
 static int
-run_command (int count, char **words)
+run_command (int count, char **arguments)
 {
-  const command_t *command = count > 0 ? find_command (words[0]) : NULL;
+  const command_t *command = count > 0 ? find_command (arguments[0]) : NULL;
 
   if (command == NULL)
     {
@@ -83,7 +83,7 @@
                command->arguments);
       return CTL_EXIT_FAULTS;
     }
-  return command->run (words + 1);
+  return command->run (arguments + 1);
 }
 
 int
--- a/source/declaration/declaration-explain.c
+++ b/source/declaration/declaration-explain.c
@@ -152,7 +152,7 @@
                             csp_described_request_t *request,
                             csp_faults_t *faults)
 {
-  csp_json_position_t place = { .where = where, .faults = faults };
+  csp_json_position_t position = { .where = where, .faults = faults };
   size_t before = csp_count_faults (faults);
   request_fields_t fields;
   struct json_object *root;
@@ -161,7 +161,7 @@
   if (root == NULL)
     return false;
   memset (&fields, 0, sizeof fields);
-  csp_read_fields (&place, request_table, root, &fields);
+  csp_read_fields (&position, request_table, root, &fields);
   json_object_put (root);
   *request = fields.request;
   request->facts.time_in_queue_ms = fields.time_in_queue_ms;
--- a/source/declaration/declaration-item.c
+++ b/source/declaration/declaration-item.c
@@ -45,51 +45,51 @@
 }
 
 static void
-check_route (csp_json_position_t *place, csp_route_t *route)
+check_route (csp_json_position_t *position, csp_route_t *route)
 {
   if (route->model == NULL)
     route->model = route->name;
   if (route->default_class != NULL
       && csp_find_class (route, route->default_class) == NULL)
-    csp_add_fault (place->faults, place->where, "default_class", 0,
+    csp_add_fault (position->faults, position->where, "default_class", 0,
                    "\"%s\" is none of the route's classes",
                    route->default_class);
 }
 
 static void
-check_service (csp_json_position_t *place, csp_service_t *service)
+check_service (csp_json_position_t *position, csp_service_t *service)
 {
   if (service->path_prefix == NULL)
     service->path_prefix
-        = csp_format_text (place->arena, "/services/%s", service->name);
+        = csp_format_text (position->arena, "/services/%s", service->name);
   /* A service under /v1 would shadow the callers' generation API.  */
   if (strncmp (service->path_prefix, "/v1", 3) == 0
       && (service->path_prefix[3] == '/' || service->path_prefix[3] == '\0'))
     csp_add_fault (
-        place->faults, place->where, "path_prefix", 0,
+        position->faults, position->where, "path_prefix", 0,
         "\"%s\" is in /v1, which is reserved for the generation API",
         service->path_prefix);
 }
 
 static void
-check_ranges (csp_json_position_t *place, const csp_when_t *when)
+check_ranges (csp_json_position_t *position, const csp_when_t *when)
 {
   int i;
 
   for (i = 0; i < CSP_WHEN_RANGE_COUNT; i++)
     if (when->ranges[i].min > when->ranges[i].max)
       {
-        size_t length = csp_push_path (place, "when", 0);
+        size_t length = csp_push_path (position, "when", 0);
 
-        csp_push_path (place, csp_when_range_key (i), 0);
-        csp_add_fault_at (place, NULL, "min %g is above max %g",
+        csp_push_path (position, csp_when_range_key (i), 0);
+        csp_add_fault_at (position, NULL, "min %g is above max %g",
                           when->ranges[i].min, when->ranges[i].max);
-        csp_pop_path (place, length);
+        csp_pop_path (position, length);
       }
 }
 
 static void
-check_rule (csp_json_position_t *place, csp_rule_t *rule)
+check_rule (csp_json_position_t *position, csp_rule_t *rule)
 {
   const csp_rule_action_t *then = &rule->then;
   int count = then->has_send + then->has_lend + then->has_spill
@@ -97,25 +97,25 @@
   int i;
 
   if (count != 1)
-    csp_add_fault (place->faults, place->where, "then", 0,
+    csp_add_fault (position->faults, position->where, "then", 0,
                    "has %d actions; exactly one of send, lend, spill, "
                    "turn_away must be given",
                    count);
   if (rule->when.sets[CSP_WHEN_ROUTE].count > 0
       && rule->when.sets[CSP_WHEN_SERVICE].count > 0)
-    csp_add_fault (place->faults, place->where, "when", 0,
+    csp_add_fault (position->faults, position->where, "when", 0,
                    "asks for a route and a service; no request has both");
-  check_ranges (place, &rule->when);
+  check_ranges (position, &rule->when);
   rule->action = then->has_send    ? CSP_ACTION_SEND
                  : then->has_lend  ? CSP_ACTION_LEND
                  : then->has_spill ? CSP_ACTION_SPILL
                                    : CSP_ACTION_TURN_AWAY;
   for (i = 0; i < CSP_WHEN_SET_COUNT; i++)
-    csp_sort_name_set (&rule->when.sets[i], place->arena);
+    csp_sort_name_set (&rule->when.sets[i], position->arena);
 }
 
 static void
-read_rule_order (csp_json_position_t *place, struct json_object *root,
+read_rule_order (csp_json_position_t *position, struct json_object *root,
                  csp_rule_order_t *order)
 {
   static const csp_field_t table[]
@@ -131,38 +131,39 @@
 
   if (!json_object_is_type (root, json_type_array))
     {
-      csp_add_fault_at (place, root, "must be a list of rules' names");
+      csp_add_fault_at (position, root, "must be a list of rules' names");
       return;
     }
   object = json_object_new_object ();
   json_object_object_add (object, table[0].name, json_object_get (root));
-  csp_read_fields (place, table, object, order);
+  csp_read_fields (position, table, object, order);
   json_object_put (object);
 }
 
 /* Read the fields of an item.  The name is the first member of each struct in
    the union.  */
 static void
-read_item (csp_item_t *item, csp_json_position_t *place)
+read_item (csp_item_t *item, csp_json_position_t *position)
 {
   if (item->kind == CSP_KIND_RULE_ORDER)
     {
-      read_rule_order (place, item->root, &item->is.order);
+      read_rule_order (position, item->root, &item->is.order);
       return;
     }
-  csp_read_fields (place, kind_table[item->kind].table, item->root, &item->is);
+  csp_read_fields (position, kind_table[item->kind].table, item->root,
+                   &item->is);
   *(const char **)&item->is = item->name;
   switch (item->kind)
     {
     case CSP_KIND_ROUTE:
-      check_route (place, &item->is.route);
+      check_route (position, &item->is.route);
       break;
     case CSP_KIND_SERVICE:
-      check_service (place, &item->is.service);
+      check_service (position, &item->is.service);
       break;
     case CSP_KIND_RULE:
       item->is.rule.where = item->where;
-      check_rule (place, &item->is.rule);
+      check_rule (position, &item->is.rule);
       break;
     case CSP_KIND_ORGANISATION:
     case CSP_KIND_POOL:
@@ -197,7 +198,7 @@
 {
   size_t before = csp_count_faults (faults);
   csp_item_t *item = create_item (value);
-  csp_json_position_t place
+  csp_json_position_t position
       = { .where = item->where, .arena = item->arena, .faults = faults };
 
   if (!csp_split_key (item->key, &item->kind, &item->name))
@@ -212,7 +213,7 @@
                                               item->text_bytes, faults);
   if (item->root == NULL)
     goto fail;
-  read_item (item, &place);
+  read_item (item, &position);
   if (csp_count_faults (faults) != before)
     goto fail;
   return item;
--- a/source/dispatch/dispatch-imp.h
+++ b/source/dispatch/dispatch-imp.h
@@ -69,7 +69,7 @@
   void *state;
   csp_random_t random;
   uint64_t next_id;
-  csp_decider_role_t duty;
+  csp_decider_role_t role;
   size_t pool_count;
   csp_dispatch_pool_t pools[CSP_DISPATCH_POOLS_MAX];
   size_t organisation_count;
@@ -88,7 +88,7 @@
 
 /* dispatch.c  */
 
-/* Updates a repeated ask: other targets may have told its host to back off
+/* Updates a repeated ask: other targets may have asked its host to back off
    since.  */
 void csp_copy_backoffs (csp_ask_t *ask, const csp_ask_t *again);
 
--- a/source/dispatch/dispatch-move.c
+++ b/source/dispatch/dispatch-move.c
@@ -7,11 +7,11 @@
    Load pattern: an eighth of the engines is taken away at a notice of 1.5 s,
    and each runs five streams of five hosts.  A copy occupies the links of both
    engines for 0.2 s, twice that between data centres, and copies on one link
-   queue.  A run that was stopped behind other copies pauses for half a second,
-   which its caller sees.  Two hosts that choose the same last free capacity
-   are refused there until the engine is gone and the streams are lost.  So one
-   host assigns each stream its destination, reserves the capacity there, and
-   lets only one copy run on a link at a time.
+   queue.  A run that was stopped while its copy waits for others pauses for
+   half a second, which its caller sees.  Two hosts that choose the same last
+   free capacity are refused there until the engine is gone and the streams are
+   lost.  So one host assigns each stream its destination, reserves the
+   capacity there, and lets only one copy run on a link at a time.
 
    When hosts instead computed the order from the stream lengths that they
    reported to each other, 77 of 160 streams that moved on a day of 48 engines
@@ -197,7 +197,7 @@
                             .memory_tokens = pool->memory_tokens,
                             .tokens = move->ask.tokens,
                             .is_copy = true,
-                            .duty = &dispatch->duty,
+                            .role = &dispatch->role,
                             .backoffs = move->ask.backoffs,
                             .backoff_count = move->ask.backoff_count,
                             .excluded = move->from,
@@ -244,7 +244,7 @@
 
       if (move->used && move->pool == pool && move->to != NULL
           && !move->started && is_moved_before (move, best)
-          && csp_may_assign_request (move->to, &dispatch->duty, now_ms)
+          && csp_may_assign_request (move->to, &dispatch->role, now_ms)
           && !is_link_busy (dispatch, move->from)
           && !is_link_busy (dispatch, move->to))
         best = move;
@@ -260,7 +260,7 @@
 
   release_destination_load (move);
   csp_reserve_capacity (dispatch, move->to, ask.tokens, 0, now_ms);
-  csp_note_request_assigned (move->to, &dispatch->duty, now_ms);
+  csp_note_request_assigned (move->to, &dispatch->role, now_ms);
   move->started = true;
   move->started_ms = now_ms;
   csp_send_ask_answer (dispatch, &ask, CSP_ASK_PLACED, move->to->hash, 0);
--- a/source/dispatch/dispatch.c
+++ b/source/dispatch/dispatch.c
@@ -55,10 +55,9 @@
 }
 
 void
-csp_set_dispatch_duty (csp_dispatch_t *dispatch,
-                       const csp_decider_role_t *duty)
+csp_set_decider_role (csp_dispatch_t *dispatch, const csp_decider_role_t *role)
 {
-  dispatch->duty = *duty;
+  dispatch->role = *role;
 }
 
 static csp_waiting_ask_t *
@@ -186,7 +185,7 @@
                             .tokens = ask->tokens,
                             .prompt_tokens = ask->prompt_tokens,
                             .prefill_tokens_max = READING_TOKENS_MAX,
-                            .duty = &dispatch->duty,
+                            .role = &dispatch->role,
                             .backoffs = ask->backoffs,
                             .backoff_count = ask->backoff_count };
 
@@ -286,7 +285,7 @@
 }
 
 /* Places a waiting request.  It is settled in the queue at once, as how long
-   it holds its place is known from the loads that hosts report.  */
+   it uses the engine is known from the loads that hosts report.  */
 static void
 place_waiting (csp_dispatch_t *dispatch, csp_dispatch_pool_t *pool,
                csp_waiting_ask_t *waiting, csp_fleet_target_t *target,
@@ -301,7 +300,7 @@
   csp_reserve_capacity (dispatch, target, ask.tokens, ask.prompt_tokens,
                         now_ms);
   csp_note_prompt_given (target, ask.prompt_tokens, now_ms);
-  csp_note_request_assigned (target, &dispatch->duty, now_ms);
+  csp_note_request_assigned (target, &dispatch->role, now_ms);
   csp_send_ask_answer (dispatch, &ask, CSP_ASK_PLACED, target->hash, 0);
 }
 
--- a/source/entry/generate.c
+++ b/source/entry/generate.c
@@ -20,8 +20,8 @@
   return csp_now_ms (&run->exchange->entry->context->clock);
 }
 /* Called while a link is open and idle; returns CSP_LINK_COMPLETE while the
-   run may go on.  A comment every second keeps proxies between host and caller
-   from closing a slow stream as dead.  */
+   run may continue.  A comment every second keeps proxies between host and
+   caller from closing a slow stream as dead.  */
 static csp_link_end_t
 check_waiting_run (void *state)
 {
--- a/source/fields/fields-imp.h
+++ b/source/fields/fields-imp.h
@@ -99,13 +99,13 @@
 
 /* Appends ".name", or "[index]" where name is NULL, to the path.  Returns the
    previous length, to which csp_pop_path truncates the path again.  */
-size_t csp_push_path (csp_json_position_t *place, const char *name,
+size_t csp_push_path (csp_json_position_t *position, const char *name,
                       size_t index);
-void csp_pop_path (csp_json_position_t *place, size_t length);
+void csp_pop_path (csp_json_position_t *position, size_t length);
 
 /* Adds a fault at the position, with the line of value, which may be NULL.  */
-void csp_add_fault_at (csp_json_position_t *place, struct json_object *value,
-                       const char *text, ...)
+void csp_add_fault_at (csp_json_position_t *position,
+                       struct json_object *value, const char *text, ...)
     __attribute__ ((format (printf, 3, 4)));
 
 /* Sets all fields of a struct to their defaults.  */
@@ -113,13 +113,13 @@
 
 /* Sets the defaults, then reads an object over them; unknown keys are
    faults.  */
-void csp_read_fields (csp_json_position_t *place, const csp_field_t *fields,
+void csp_read_fields (csp_json_position_t *position, const csp_field_t *fields,
                       struct json_object *object, void *out);
 
 /* Sets one field, no list or struct, from a command line's text.  Returns
    false with a fault where the text is not allowed.  */
 bool csp_set_field_text (const csp_field_t *field, const char *text, void *out,
-                         csp_json_position_t *place);
+                         csp_json_position_t *position);
 
 /* Describes the values that a field allows, such as "a whole number from 0 to
    65535".  */
--- a/source/fields/fields-read.c
+++ b/source/fields/fields-read.c
@@ -11,32 +11,32 @@
   MAX_SHOWN_VALUE_BYTES = 80
 };
 
-static void read_members (csp_json_position_t *place,
+static void read_members (csp_json_position_t *position,
                           const csp_field_t *fields,
                           struct json_object *object, void *out);
 
 size_t
-csp_push_path (csp_json_position_t *place, const char *name, size_t index)
+csp_push_path (csp_json_position_t *position, const char *name, size_t index)
 {
-  size_t length = strlen (place->path);
-  size_t free_bytes = sizeof place->path - length;
+  size_t length = strlen (position->path);
+  size_t free_bytes = sizeof position->path - length;
 
   if (name == NULL)
-    snprintf (place->path + length, free_bytes, "[%zu]", index);
+    snprintf (position->path + length, free_bytes, "[%zu]", index);
   else
-    snprintf (place->path + length, free_bytes, "%s%s", length == 0 ? "" : ".",
-              name);
+    snprintf (position->path + length, free_bytes, "%s%s",
+              length == 0 ? "" : ".", name);
   return length;
 }
 
 void
-csp_pop_path (csp_json_position_t *place, size_t length)
+csp_pop_path (csp_json_position_t *position, size_t length)
 {
-  place->path[length] = '\0';
+  position->path[length] = '\0';
 }
 
 void
-csp_add_fault_at (csp_json_position_t *place, struct json_object *value,
+csp_add_fault_at (csp_json_position_t *position, struct json_object *value,
                   const char *text, ...)
 {
   char message[CSP_FIELD_ALLOWED_BYTES * 2];
@@ -45,12 +45,12 @@
   va_start (args, text);
   vsnprintf (message, sizeof message, text, args);
   va_end (args);
-  csp_add_fault (place->faults, place->where, place->path,
+  csp_add_fault (position->faults, position->where, position->path,
                  csp_json_line (value), "%s", message);
 }
 
 static void
-add_value_fault (csp_json_position_t *place, const csp_field_t *field,
+add_value_fault (csp_json_position_t *position, const csp_field_t *field,
                  struct json_object *value)
 {
   char allowed[CSP_FIELD_ALLOWED_BYTES];
@@ -58,7 +58,7 @@
       = json_object_to_json_string_ext (value, JSON_C_TO_STRING_PLAIN);
 
   csp_describe_field (field, allowed);
-  csp_add_fault_at (place, value, "%.*s%s is not allowed; allowed is %s",
+  csp_add_fault_at (position, value, "%.*s%s is not allowed; allowed is %s",
                     MAX_SHOWN_VALUE_BYTES, value_json,
                     strlen (value_json) > MAX_SHOWN_VALUE_BYTES ? "..." : "",
                     allowed);
@@ -110,7 +110,7 @@
 }
 
 static bool
-read_strings (csp_json_position_t *place, const csp_field_t *field,
+read_strings (csp_json_position_t *position, const csp_field_t *field,
               struct json_object *value, void *out)
 {
   bool is_list = json_object_is_type (value, json_type_array);
@@ -121,20 +121,20 @@
 
   if ((double)count < field->min || (double)count > field->max)
     return false;
-  strings = csp_allocate (place->arena, count * sizeof *strings);
+  strings = csp_allocate (position->arena, count * sizeof *strings);
   if (!is_list && !read_unique_string (field, value, strings, 0))
     return false;
   for (i = 0; is_list && i < count; i++)
     {
       struct json_object *item = json_object_array_get_idx (value, i);
 
-      length = csp_push_path (place, NULL, i);
+      length = csp_push_path (position, NULL, i);
       if (!read_unique_string (field, item, strings, i))
         {
-          add_value_fault (place, field, item);
+          add_value_fault (position, field, item);
           strings[i] = "";
         }
-      csp_pop_path (place, length);
+      csp_pop_path (position, length);
     }
   *(const char ***)((char *)out + field->offset) = strings;
   *(size_t *)((char *)out + field->count_offset) = count;
@@ -142,20 +142,20 @@
 }
 
 static void
-read_struct (csp_json_position_t *place, const csp_field_t *field,
+read_struct (csp_json_position_t *position, const csp_field_t *field,
              struct json_object *value, void *out)
 {
   csp_set_default_fields (field->fields, out);
   if (!json_object_is_type (value, json_type_object))
     {
-      csp_add_fault_at (place, value, "must be an object");
+      csp_add_fault_at (position, value, "must be an object");
       return;
     }
-  read_members (place, field->fields, value, out);
+  read_members (position, field->fields, value, out);
 }
 
 static bool
-read_list (csp_json_position_t *place, const csp_field_t *field,
+read_list (csp_json_position_t *position, const csp_field_t *field,
            struct json_object *value, void *out)
 {
   size_t count;
@@ -168,13 +168,13 @@
   count = json_object_array_length (value);
   if ((double)count < field->min || (double)count > field->max)
     return false;
-  structs = csp_allocate (place->arena, count * field->size_bytes);
+  structs = csp_allocate (position->arena, count * field->size_bytes);
   for (i = 0; i < count; i++)
     {
-      length = csp_push_path (place, NULL, i);
-      read_struct (place, field, json_object_array_get_idx (value, i),
+      length = csp_push_path (position, NULL, i);
+      read_struct (position, field, json_object_array_get_idx (value, i),
                    structs + i * field->size_bytes);
-      csp_pop_path (place, length);
+      csp_pop_path (position, length);
     }
   *(void **)((char *)out + field->offset) = structs;
   *(size_t *)((char *)out + field->count_offset) = count;
@@ -182,7 +182,7 @@
 }
 
 static bool
-read_map (csp_json_position_t *place, const csp_field_t *field,
+read_map (csp_json_position_t *position, const csp_field_t *field,
           struct json_object *value, void *out)
 {
   size_t count;
@@ -195,15 +195,15 @@
   count = (size_t)json_object_object_length (value);
   if ((double)count < field->min || (double)count > field->max)
     return false;
-  structs = csp_allocate (place->arena, count * field->size_bytes);
+  structs = csp_allocate (position->arena, count * field->size_bytes);
   json_object_object_foreach (value, name, item)
   {
-    length = csp_push_path (place, name, 0);
+    length = csp_push_path (position, name, 0);
     if (!csp_text_has_form (field->form, name))
-      csp_add_fault_at (place, item, "is no allowed name");
-    read_struct (place, field, item, structs + i * field->size_bytes);
+      csp_add_fault_at (position, item, "is no allowed name");
+    read_struct (position, field, item, structs + i * field->size_bytes);
     *(const char **)(structs + i * field->size_bytes) = name;
-    csp_pop_path (place, length);
+    csp_pop_path (position, length);
     i++;
   }
   *(void **)((char *)out + field->offset) = structs;
@@ -212,17 +212,17 @@
 }
 
 static bool
-read_nested (csp_json_position_t *place, const csp_field_t *field,
+read_nested (csp_json_position_t *position, const csp_field_t *field,
              struct json_object *value, void *out)
 {
   if (!json_object_is_type (value, json_type_object))
     return false;
-  read_members (place, field->fields, value, (char *)out + field->offset);
+  read_members (position, field->fields, value, (char *)out + field->offset);
   return true;
 }
 
 static void
-read_field (csp_json_position_t *place, const csp_field_t *field,
+read_field (csp_json_position_t *position, const csp_field_t *field,
             struct json_object *value, void *out)
 {
   bool allowed = false;
@@ -244,20 +244,20 @@
       allowed = read_text (field, value, out);
       break;
     case CSP_FIELD_STRINGS:
-      allowed = read_strings (place, field, value, out);
+      allowed = read_strings (position, field, value, out);
       break;
     case CSP_FIELD_OBJECT:
-      allowed = read_nested (place, field, value, out);
+      allowed = read_nested (position, field, value, out);
       break;
     case CSP_FIELD_MAP:
-      allowed = read_map (place, field, value, out);
+      allowed = read_map (position, field, value, out);
       break;
     case CSP_FIELD_LIST:
-      allowed = read_list (place, field, value, out);
+      allowed = read_list (position, field, value, out);
       break;
     }
   if (!allowed)
-    add_value_fault (place, field, value);
+    add_value_fault (position, field, value);
   else if (field->present_offset != 0)
     *(bool *)((char *)out + field->present_offset) = true;
 }
@@ -274,8 +274,8 @@
 }
 
 static void
-add_unknown_key_fault (csp_json_position_t *place, const csp_field_t *fields,
-                       struct json_object *value)
+add_unknown_key_fault (csp_json_position_t *position,
+                       const csp_field_t *fields, struct json_object *value)
 {
   char keys[CSP_FIELD_ALLOWED_BYTES * 2] = "";
   const csp_field_t *field;
@@ -284,12 +284,12 @@
   for (field = fields; field->name != NULL && used < sizeof keys; field++)
     used += (size_t)snprintf (keys + used, sizeof keys - used, "%s%s",
                               used == 0 ? "" : ", ", field->name);
-  csp_add_fault (place->faults, place->where, place->path,
+  csp_add_fault (position->faults, position->where, position->path,
                  csp_json_line (value), "unknown key; allowed are %s", keys);
 }
 
 static void
-read_members (csp_json_position_t *place, const csp_field_t *fields,
+read_members (csp_json_position_t *position, const csp_field_t *fields,
               struct json_object *object, void *out)
 {
   const csp_field_t *field;
@@ -297,33 +297,33 @@
 
   json_object_object_foreach (object, name, value)
   {
-    length = csp_push_path (place, name, 0);
+    length = csp_push_path (position, name, 0);
     field = find_field (fields, name);
     if (field == NULL)
-      add_unknown_key_fault (place, fields, value);
+      add_unknown_key_fault (position, fields, value);
     else
-      read_field (place, field, value, out);
-    csp_pop_path (place, length);
+      read_field (position, field, value, out);
+    csp_pop_path (position, length);
   }
   for (field = fields; field->name != NULL; field++)
     if (field->required
         && !json_object_object_get_ex (object, field->name, NULL))
       {
-        length = csp_push_path (place, field->name, 0);
-        csp_add_fault_at (place, object, "is missing and must be given");
-        csp_pop_path (place, length);
+        length = csp_push_path (position, field->name, 0);
+        csp_add_fault_at (position, object, "is missing and must be given");
+        csp_pop_path (position, length);
       }
 }
 
 void
-csp_read_fields (csp_json_position_t *place, const csp_field_t *fields,
+csp_read_fields (csp_json_position_t *position, const csp_field_t *fields,
                  struct json_object *object, void *out)
 {
   csp_set_default_fields (fields, out);
   if (!json_object_is_type (object, json_type_object))
     {
-      csp_add_fault_at (place, object, "must be an object");
+      csp_add_fault_at (position, object, "must be an object");
       return;
     }
-  read_members (place, fields, object, out);
+  read_members (position, fields, object, out);
 }
--- a/source/fields/fields-value.c
+++ b/source/fields/fields-value.c
@@ -286,15 +286,15 @@
 
 bool
 csp_set_field_text (const csp_field_t *field, const char *text, void *out,
-                    csp_json_position_t *place)
+                    csp_json_position_t *position)
 {
   char allowed[CSP_FIELD_ALLOWED_BYTES];
 
   if (store_text_as_type (field, text, out))
     return true;
   csp_describe_field (field, allowed);
-  csp_add_fault_at (place, NULL, "\"%s\" is not allowed; allowed is %s", text,
-                    allowed);
+  csp_add_fault_at (position, NULL, "\"%s\" is not allowed; allowed is %s",
+                    text, allowed);
   return false;
 }
 
--- a/source/fleet/fleet-choose.c
+++ b/source/fleet/fleet-choose.c
@@ -62,7 +62,7 @@
    off it keeps its callers, whose streams from elsewhere break or stall; and
    traffic between data centres costs money.  With this factor a run of 8 s
    goes elsewhere only if no local engine has capacity, while a short one goes
-   elsewhere rather than wait behind a prompt or two, which leaves local
+   elsewhere rather than wait for a prompt or two, which leaves local
    capacity to long runs.  With two data centres of three engines each, 30 of
    100 long runs end elsewhere, and 41 of 100 at a sixth of this factor.  */
 static const double remote_cost_ms = 250.0;
@@ -258,7 +258,7 @@
       && memory_share (target, need) > need->memory_share_max)
     return false;
   return csp_takes_new_work (target)
-         && csp_may_assign_request (target, need->duty, now_ms)
+         && csp_may_assign_request (target, need->role, now_ms)
          && target != need->excluded && target != need->also_excluded
          && strcmp (target->row.service, need->service) == 0;
 }
--- a/source/fleet/fleet-limits.c
+++ b/source/fleet/fleet-limits.c
@@ -78,19 +78,19 @@
 
 bool
 csp_may_assign_request (csp_fleet_target_t *target,
-                        const csp_decider_role_t *duty, int64_t now_ms)
+                        const csp_decider_role_t *role, int64_t now_ms)
 {
   return !csp_is_cold_limited (target, now_ms)
-         || (duty != NULL
-             && csp_has_warmup_grant (&target->warmup, duty, now_ms));
+         || (role != NULL
+             && csp_has_warmup_grant (&target->warmup, role, now_ms));
 }
 
 void
 csp_note_request_assigned (csp_fleet_target_t *target,
-                           const csp_decider_role_t *duty, int64_t now_ms)
+                           const csp_decider_role_t *role, int64_t now_ms)
 {
   if (csp_is_cold_limited (target, now_ms))
-    csp_take_warmup_grant (&target->warmup, duty, now_ms);
+    csp_take_warmup_grant (&target->warmup, role, now_ms);
 }
 
 csp_cordon_result_t
--- a/source/gateway/gateway-attempt.c
+++ b/source/gateway/gateway-attempt.c
@@ -287,7 +287,7 @@
     csp_refuse_backed_off (exchange);
   else if (exchange->service->is_engine && exchange->connect_failures == 0
            && exchange->gateway->isolated_since_ms == 0)
-    csp_ask_for_place (exchange);
+    csp_ask_for_placement (exchange);
   else
     csp_place_locally (exchange);
 }
--- a/source/gateway/gateway-caller.c
+++ b/source/gateway/gateway-caller.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 /* Reading one caller's connection.  Requests are read one after another; bytes
-   behind the current request wait in a buffer of bounded size.  */
+   after the current request wait in a buffer of bounded size.  */
 
 enum
 {
@@ -41,7 +41,7 @@
   return reader;
 }
 
-/* Refuse a request that can't be parsed; the bytes behind it can't be trusted.
+/* Refuse a request that can't be parsed; the bytes after it can't be trusted.
    If an answer has begun, the connection is closed without another.  */
 static void
 refuse (csp_caller_t *caller, uint16_t status, const char *detail)
--- a/source/gateway/gateway-cordon.c
+++ b/source/gateway/gateway-cordon.c
@@ -36,8 +36,8 @@
                      "all data centres of its service are cordoned");
 }
 
-/* Refuse requests that wait for a place at engines of which none may take them
-   any more; they would wait until their deadline.  */
+/* Refuse requests that wait for a placement on engines of which none may take
+   them any more; they would wait until their deadline.  */
 static void
 refuse_waiting_requests (csp_gateway_t *gateway)
 {
--- a/source/gateway/gateway-dispatch.c
+++ b/source/gateway/gateway-dispatch.c
@@ -4,8 +4,8 @@
 
 #include <string.h>
 
-/* Getting a place at an engine: asks the decider, which may be this host, and
-   chooses by local knowledge where no decider answers.  */
+/* Placement of a request on an engine: asks the decider, which may be this
+   host, and chooses by local knowledge where no decider answers.  */
 
 enum
 {
@@ -31,7 +31,7 @@
 
 static void on_ask_timer (uv_timer_t *timer);
 
-/* How long the request may wait for a place if its first token is to be in
+/* How long the request may wait for a placement if its first token is to be in
    time.  */
 static uint32_t
 start_within_ms (const csp_exchange_t *exchange)
@@ -135,7 +135,7 @@
 }
 
 void
-csp_ask_for_place (csp_exchange_t *exchange)
+csp_ask_for_placement (csp_exchange_t *exchange)
 {
   exchange->asks_to_move = false;
   begin_ask (exchange);
@@ -161,7 +161,7 @@
   csp_start_due_moves (exchange->gateway);
 }
 
-/* The place or the move is no longer needed.  */
+/* The placement or the move is no longer needed.  */
 static void
 cancel_ask (const csp_exchange_t *exchange)
 {
@@ -261,9 +261,9 @@
   return NULL;
 }
 
-/* The decider has granted a place or a move at the target.  */
+/* The decider has granted a placement or a move at the target.  */
 static void
-use_place (csp_exchange_t *exchange, uint64_t target_hash)
+use_placement (csp_exchange_t *exchange, uint64_t target_hash)
 {
   csp_fleet_target_t *target
       = csp_find_target_by_hash (exchange->gateway->fleet, target_hash);
@@ -309,7 +309,7 @@
     case CSP_ASK_PLACED:
       csp_note_pool_percent (gateway, exchange->service->name,
                              answer->pool_percent);
-      use_place (exchange, answer->target);
+      use_placement (exchange, answer->target);
       return;
     case CSP_ASK_REFUSED:
       if (exchange->asks_to_move)
--- a/source/gateway/gateway-exchange-imp.h
+++ b/source/gateway/gateway-exchange-imp.h
@@ -24,7 +24,7 @@
 typedef enum
 {
   CSP_MOVE_NONE,
-  CSP_MOVE_COPYING,  /* the memory is copied while the run goes on */
+  CSP_MOVE_COPYING,  /* the memory is copied while the run continues */
   CSP_MOVE_STOPPING, /* the run is being stopped and the rest copied */
   CSP_MOVE_RESUMING  /* resumed at another target that has sent no event yet */
 } csp_move_state_t;
@@ -77,10 +77,12 @@
   bool body_whole;
   bool body_streams; /* longer than the buffer, so forwarded as it comes */
 
-  /* Asking the decider for a place: the capacity for one run at an engine.
-     The ask uses the timer of the move, which can only come later.  */
+  /* Asking the decider for a placement, that is for an engine with capacity
+     for this run. The ask uses the timer of the move, which can only come
+     later.  */
   bool asking;
-  bool asks_to_move; /* asks where a stream may move, not for a first place */
+  bool asks_to_move; /* asks where a stream may move, not for a first placement
+                      */
   bool ask_answered;
   uint8_t silent_deciders; /* deciders in a row that did not answer this ask */
   uint64_t ask_id;
@@ -169,9 +171,10 @@
 bool csp_is_service_backed_off (const csp_exchange_t *exchange);
 void csp_refuse_backed_off (csp_exchange_t *exchange);
 
-/* Dispatch: see gateway-dispatch.c.  Ask the decider for a place; the request
+/* Dispatch: see gateway-dispatch.c.  Ask the decider for a placement; the
+   request
    is sent, refused or placed locally later.  */
-void csp_ask_for_place (csp_exchange_t *exchange);
+void csp_ask_for_placement (csp_exchange_t *exchange);
 void csp_drop_ask (csp_exchange_t *exchange);
 
 /* Ask the decider where a stream that leaves its target may go, and when.  */
--- a/source/gateway/gateway-imp.h
+++ b/source/gateway/gateway-imp.h
@@ -167,7 +167,7 @@
   csp_status_query_t *status_queries;
   size_t next_query_index; /* in the fleet */
   size_t leaving_notice_count;
-  csp_leaving_notice_t leaving_notices[CSP_HELLO_LEFT_MAX];
+  csp_leaving_notice_t leaving_notices[CSP_HELLO_LEAVING_MAX];
   int64_t platform_read_ms; /* when the platform was last read; 0: never */
   int64_t query_until_ms;   /* even if the platform is read again */
   uint32_t caller_count;
@@ -368,7 +368,7 @@
 
 /* Update for which part of the fleet this host decides; cold targets are
    bounded by that part.  Call it periodically.  */
-void csp_note_warmup_duty (csp_gateway_t *gateway);
+void csp_update_decider_role (csp_gateway_t *gateway);
 
 /* Place waiting asks where capacity has become free.  */
 void csp_place_waiting_asks (csp_gateway_t *gateway);
--- a/source/gateway/gateway-lease.c
+++ b/source/gateway/gateway-lease.c
@@ -57,15 +57,15 @@
 }
 
 void
-csp_note_warmup_duty (csp_gateway_t *gateway)
+csp_update_decider_role (csp_gateway_t *gateway)
 {
-  csp_decider_role_t duty
+  csp_decider_role_t role
       = { .decides = csp_is_same_peer (gateway->decider, gateway->self),
           .decides_since_ms = gateway->decider_since_ms };
 
-  if (duty.decides)
-    duty.fleet = collect_lease_facts (gateway);
-  csp_set_dispatch_duty (gateway->dispatch, &duty);
+  if (role.decides)
+    role.fleet = collect_lease_facts (gateway);
+  csp_set_decider_role (gateway->dispatch, &role);
 }
 
 static uint32_t
@@ -249,5 +249,5 @@
   for (i = 0; i < gateway->budget_count; i++)
     csp_set_lease_decider (&gateway->budgets[i].leases, decides,
                            csp_gateway_now_ms (gateway));
-  csp_note_warmup_duty (gateway);
+  csp_update_decider_role (gateway);
 }
--- a/source/gateway/gateway-move.c
+++ b/source/gateway/gateway-move.c
@@ -7,10 +7,10 @@
    Load pattern: several in a hundred targets are taken away every few seconds,
    at shorter notice than a generation takes.  Without moves each stream there
    is lost, and long ones most often.  The run's memory is copied either to a
-   second target as it grows (backup), or on demand while the run goes on, with
-   the rest after the run has stopped (move).  The old run always ends before
-   the new one starts, so that two never run at once; the new one resumes after
-   the last event sent to the caller.  */
+   second target as it grows (backup), or on demand while the run continues,
+   with the rest after the run has stopped (move).  The old run always ends
+   before the new one starts, so that two never run at once; the new one
+   resumes after the last event sent to the caller.  */
 
 enum
 {
@@ -160,7 +160,7 @@
 give_up_move (csp_exchange_t *exchange, const char *why)
 {
   /* A source that refuses to stop the run has not stopped it, and its stream
-     goes on.  */
+     continues.  */
   bool stopped
       = exchange->move.state == CSP_MOVE_STOPPING && exchange->link == NULL;
 
@@ -375,7 +375,7 @@
                     : csp_choose_other_target (exchange, exchange->target, 0);
 }
 
-/* Start with a copy while the run goes on.  */
+/* Start with a copy while the run continues.  */
 void
 csp_begin_move (csp_exchange_t *exchange, csp_fleet_target_t *to)
 {
--- a/source/gateway/gateway-quarantine.c
+++ b/source/gateway/gateway-quarantine.c
@@ -144,7 +144,7 @@
 void
 csp_add_suspects_to_hello (csp_gateway_t *gateway, csp_hello_t *hello)
 {
-  hello->suspect_count = csp_list_suspects_for_greeting (
+  hello->suspect_count = csp_list_suspects_for_hello (
       gateway->quarantine, hello->suspects, PERIODIC_SUSPECTS_MAX,
       csp_gateway_now_ms (gateway));
 }
--- a/source/gateway/gateway-reach.c
+++ b/source/gateway/gateway-reach.c
@@ -5,7 +5,7 @@
    reaches no engine reports that it isn't ready.
 
    Failure: a data centre was cut off when its last engines had just been taken
-   away.  Its host went on accepting callers and refused them all, though other
+   away.  Its host kept accepting callers and refused them all, though other
    hosts could have served them: a cut of six seconds lost 14 generations and
    12 short requests.  A host that isn't ready gets no new connections from the
    balancer within two seconds, and callers that it refuses until then retry at
--- a/source/gateway/gateway-report.c
+++ b/source/gateway/gateway-report.c
@@ -5,12 +5,12 @@
 /* Querying targets whether they leave and still run.
 
    Failure: the platform's store stops answering, and an eighth of the engines
-   is told to leave meanwhile.  No host learns of it, and all streams there are
-   lost with their engines: 24 of 63 lost streams with 48 engines.  The longer
-   the silence, the more engines in the list are gone, until some seconds after
-   the store returns; they look empty, so the decider moves streams there: 40
-   of 112 lost streams were refused by such an engine, after a third of a
-   second each.
+   is asked to leave meanwhile.  No host learns of it, and all streams there
+   are lost with their engines: 24 of 63 lost streams with 48 engines.  The
+   longer the silence, the more engines in the list are gone, until some
+   seconds after the store returns; they look empty, so the decider moves
+   streams there: 40 of 112 lost streams were refused by such an engine, after
+   a third of a second each.
 
    The platform answers more than once a second, also without changes.  When it
    can't be read for longer, and for some time afterwards, the decider queries
@@ -28,7 +28,7 @@
      2.3 s.  */
   QUERY_AFTER_SILENCE_MS = 6000,
   /* Reports are some hundred ms old when they arrive, and a leaving engine
-     goes on for a second and a half.  */
+     runs for another second and a half.  */
   QUERY_PERIOD_MS = 400,
   /* Queries per tick of a tenth of a second.  3,000 engines queried every 0.4
      s would be 7,500 queries a second, more than the decider can make: it
@@ -94,7 +94,7 @@
 static void
 send_leaving_notices (csp_gateway_t *gateway)
 {
-  csp_hello_t hello = { .left_count = 0 };
+  csp_hello_t hello = { .leaving_target_count = 0 };
   size_t remaining = 0;
   size_t i;
 
@@ -102,12 +102,12 @@
     {
       csp_leaving_notice_t *notice = &gateway->leaving_notices[i];
 
-      hello.leaving_targets[hello.left_count++] = notice->target;
+      hello.leaving_targets[hello.leaving_target_count++] = notice->target;
       if (--notice->sends_left > 0)
         gateway->leaving_notices[remaining++] = *notice;
     }
   gateway->leaving_notice_count = remaining;
-  if (hello.left_count > 0)
+  if (hello.leaving_target_count > 0)
     csp_send_hello (gateway, &hello, gateway->peer_scratch,
                     csp_list_live_peers (gateway->roster,
                                          gateway->peer_scratch,
@@ -122,7 +122,7 @@
 
   if (target->leaves)
     return;
-  while (gateway->leaving_notice_count == CSP_HELLO_LEFT_MAX)
+  while (gateway->leaving_notice_count == CSP_HELLO_LEAVING_MAX)
     send_leaving_notices (gateway);
   gateway->leaving_notices[gateway->leaving_notice_count++] = notice;
   send_leaving_notices (gateway);
@@ -134,7 +134,7 @@
 {
   size_t i;
 
-  for (i = 0; i < hello->left_count; i++)
+  for (i = 0; i < hello->leaving_target_count; i++)
     {
       csp_fleet_target_t *target = csp_find_target_by_hash (
           gateway->fleet, hello->leaving_targets[i]);
--- a/source/gateway/gateway-target-state.c
+++ b/source/gateway/gateway-target-state.c
@@ -22,7 +22,7 @@
          != NULL;
 }
 
-/* Refuse the requests that wait for a place now; they would get the same
+/* Refuse the requests that wait for a placement now; they would get the same
    refusal later.  */
 static void
 refuse_waiting_requests (csp_gateway_t *gateway)
--- a/source/gateway/gateway-turn.c
+++ b/source/gateway/gateway-turn.c
@@ -7,7 +7,7 @@
   /* A run expected to end within this time ends where it is: targets keep
      running for more than a second after they announce that they leave.  */
   ENDS_SOON_MS = 500,
-  /* A run that is longer than estimated is expected to go on for a third of
+  /* A run that is longer than estimated is expected to continue for a third of
      its time so far.  */
   OVERDUE_DIVISOR = 3,
   /* Between the turns of two hosts: covers the last part of a copy and the
@@ -20,7 +20,7 @@
 };
 
 /* Estimates of the output length are right in the median and far off in the
-   tails, so a run that is longer than estimated is expected to go on for a
+   tails, so a run that is longer than estimated is expected to continue for a
    part of its time so far.  */
 int64_t
 csp_expected_remaining_ms (const csp_exchange_t *exchange)
--- a/source/gateway/gateway.c
+++ b/source/gateway/gateway.c
@@ -309,10 +309,10 @@
   csp_query_targets (gateway);
   csp_expire_suspects (gateway->quarantine, csp_gateway_now_ms (gateway));
   csp_broadcast_suspects (gateway);
-  csp_note_warmup_duty (gateway);
+  csp_update_decider_role (gateway);
   csp_place_waiting_asks (gateway);
   /* The balancer no longer sends callers here; on connections that stay open
-     callers would go on being refused.  */
+     callers would still be refused.  */
   if (csp_is_isolated (gateway) && csp_isolated_retry_ms (gateway) == 0)
     csp_close_idle_callers (gateway);
   if (gateway->stopping)
--- a/source/handoff/slot-table.c
+++ b/source/handoff/slot-table.c
@@ -221,8 +221,8 @@
   answer->lease_ms = table->settings.open_lease_ms;
 }
 
-/* An engine whose connection was cut goes on decoding.  If its slot were freed
-   at once, the next request would find the engine's memory full and be
+/* An engine whose connection was cut continues decoding.  If its slot were
+   freed at once, the next request would find the engine's memory full and be
    preempted.  */
 void
 csp_release_slot (csp_slot_table_t *table, const csp_release_t *release,
--- a/source/membership/membership-ask.c
+++ b/source/membership/membership-ask.c
@@ -26,7 +26,7 @@
   message->owned_targets = local->owned_targets;
   message->median_gap_us = local->median_gap_us;
   message->targets_out = local->targets_out;
-  if (to != NULL && to->knows_us)
+  if (to != NULL && to->knows_this_host)
     return;
   memcpy (message->region, self->region, sizeof message->region);
   memcpy (message->data_centre, self->data_centre,
--- a/source/membership/membership-hear.c
+++ b/source/membership/membership-hear.c
@@ -102,7 +102,7 @@
                           peer->view.name, (int64_t)incarnation);
   peer->view.incarnation = incarnation;
   peer->view.liveness = CSP_PEER_UNCONFIRMED;
-  peer->knows_us = false;
+  peer->knows_this_host = false;
   peer->confirmed_ms = -1;
   peer->silent_since_ms = now_ms;
   peer->known_since_ms = now_ms;
@@ -229,7 +229,7 @@
   peer->in_view_until_ms = peer->pending_sent_ms
                            + csp_silent_after_ms (membership)
                            + csp_grace_ms (membership);
-  peer->knows_us = reply->known_incarnation == own;
+  peer->knows_this_host = reply->known_incarnation == own;
   /* Counted from when the heartbeat was sent, which is before the lease was
      granted.  */
   peer->lease_until_ms = reply->known_incarnation == own
--- a/source/membership/membership-imp.h
+++ b/source/membership/membership-imp.h
@@ -36,7 +36,7 @@
   /* The list says that it leaves; its own heartbeats don't revoke that.  */
   bool listed_leaving;
   /* Its replies name this host's incarnation: it has this host's address.  */
-  bool knows_us;
+  bool knows_this_host;
   /* When the last answered heartbeat was sent; -1 is never.  */
   int64_t confirmed_ms;
   /* The same as a base of the silence timeout: shifted by pauses of this
--- a/source/membership/membership-judge.c
+++ b/source/membership/membership-judge.c
@@ -172,7 +172,7 @@
          && now_ms - peer->silent_since_ms >= csp_silent_after_ms (membership);
 }
 
-/* An empty witness stands for the sender.  */
+/* An empty witness means the sender.  */
 static void
 add_suspect (csp_heartbeat_t *message, const csp_peer_t *peer,
              const char *witness, int64_t age_ms)
--- a/source/membership/membership-peers.c
+++ b/source/membership/membership-peers.c
@@ -186,9 +186,9 @@
 }
 
 /* In a data centre of up to CSP_MAX_NEIGHBOURS + 1 hosts each sends heartbeats
-   to each.  In a larger one each sends to the next ones in the ring, so that
-   the cost per host is constant and each host has that many witnesses.  Hosts
-   that have been given up aren't counted.  */
+   to each.  In a larger one each sends to the next ones in the circular order,
+   so that the cost per host is constant and each host has that many witnesses.
+   Hosts that have been given up aren't counted.  */
 static void
 choose_neighbours (csp_membership_t *membership)
 {
--- a/source/membership/membership.c
+++ b/source/membership/membership.c
@@ -261,7 +261,7 @@
 copy_view (const csp_peer_t *peer, int64_t now_ms, csp_host_view_t *view)
 {
   *view = peer->view;
-  view->knows_this_host = peer->knows_us;
+  view->knows_this_host = peer->knows_this_host;
   view->in_view = csp_is_in_view (peer, now_ms);
   view->round_trip_age_ms
       = peer->confirmed_ms < 0 ? -1 : now_ms - peer->confirmed_ms;
--- a/source/mirror/mirror-feed.c
+++ b/source/mirror/mirror-feed.c
@@ -22,7 +22,7 @@
   /* An upstream without current items for this long is cut off in a way that
      its followers aren't.  A shorter gap is mostly due to the store, which may
      be silent for a second or two; hundreds of hosts would then look for
-     another upstream at once, in vain.  */
+     another upstream at once and find none.  */
   UPSTREAM_STALE_MS = 3000,
   /* The first host of a data centre tries another reader sooner: such hosts
      are few, and the other hosts of the data centre depend on them.  */
--- a/source/mirror/mirror-server.c
+++ b/source/mirror/mirror-server.c
@@ -14,7 +14,7 @@
   /* A held request is answered without changes once the items have been
      confirmed this much later than at the time of the request.  Without this
      minimum, hosts that follow each other would answer each other endlessly,
-     as ages are rounded on the way.  */
+     as ages are rounded at each hop.  */
   RECONFIRMED_MIN_MS = 50,
   RATE_PERIOD_MS = 1000,
   /* How often held requests are checked for the end of their wait.  */
--- a/source/peer/peer-decode.c
+++ b/source/peer/peer-decode.c
@@ -33,26 +33,26 @@
 }
 
 static bool
-unpack_carry_answer (const CspWire__CarryAnswer *wire,
-                     csp_peer_message_t *message)
+unpack_load_query_answer (const CspWire__CarryAnswer *wire,
+                          csp_peer_message_t *message)
 {
-  csp_carried_load_t *carries = calloc (wire->n_carries + 1, sizeof *carries);
+  csp_carried_load_t *loads = calloc (wire->n_carries + 1, sizeof *loads);
   size_t i;
 
-  message->array = carries;
-  if (carries == NULL)
+  message->array = loads;
+  if (loads == NULL)
     return false;
   for (i = 0; i < wire->n_carries; i++)
     {
-      carries[i].carried_tokens = wire->carries[i]->carried_tokens;
-      carries[i].carried_streams = wire->carries[i]->carried_streams;
-      carries[i].owning = wire->carries[i]->owning;
-      if (!csp_copy_wire_text (carries[i].target, sizeof carries[i].target,
+      loads[i].carried_tokens = wire->carries[i]->carried_tokens;
+      loads[i].carried_streams = wire->carries[i]->carried_streams;
+      loads[i].owning = wire->carries[i]->owning;
+      if (!csp_copy_wire_text (loads[i].target, sizeof loads[i].target,
                                wire->carries[i]->target))
         return false;
     }
-  message->u.carry_answer.count = wire->n_carries;
-  message->u.carry_answer.carries = carries;
+  message->u.load_query_answer.count = wire->n_carries;
+  message->u.load_query_answer.loads = loads;
   return true;
 }
 
@@ -194,8 +194,8 @@
 }
 
 static bool
-unpack_outcome_tell (const CspWire__OutcomeTell *wire,
-                     csp_outcome_report_t *tell)
+unpack_outcome_report (const CspWire__OutcomeTell *wire,
+                       csp_outcome_report_t *tell)
 {
   if (wire->outcome > CSP_ONCE_CLOSED)
     return false;
@@ -214,13 +214,13 @@
       message->kind = CSP_PEER_HEARTBEAT;
       return csp_unpack_heartbeat (frame->heartbeat, &message->u.heartbeat);
     case CSP_WIRE__FRAME__BODY_CARRY_ASK:
-      message->kind = CSP_PEER_CARRY_ASK;
-      message->u.carry_ask.count = frame->carry_ask->n_targets;
-      message->u.carry_ask.targets = frame->carry_ask->targets;
-      return message->u.carry_ask.count <= CSP_MAX_LOAD_QUERY_TARGETS;
+      message->kind = CSP_PEER_LOAD_QUERY;
+      message->u.load_query.count = frame->carry_ask->n_targets;
+      message->u.load_query.targets = frame->carry_ask->targets;
+      return message->u.load_query.count <= CSP_MAX_LOAD_QUERY_TARGETS;
     case CSP_WIRE__FRAME__BODY_CARRY_ANSWER:
-      message->kind = CSP_PEER_CARRY_ANSWER;
-      return unpack_carry_answer (frame->carry_answer, message);
+      message->kind = CSP_PEER_LOAD_QUERY_ANSWER;
+      return unpack_load_query_answer (frame->carry_answer, message);
     case CSP_WIRE__FRAME__BODY_PULL_ASK:
       message->kind = CSP_PEER_PULL_ASK;
       message->u.pull_ask.after = frame->pull_ask->after;
@@ -261,9 +261,9 @@
       return unpack_claim_answer (frame->claim_answer,
                                   &message->u.claim_answer);
     case CSP_WIRE__FRAME__BODY_OUTCOME_TELL:
-      message->kind = CSP_PEER_OUTCOME_TELL;
-      return unpack_outcome_tell (frame->outcome_tell,
-                                  &message->u.outcome_tell);
+      message->kind = CSP_PEER_OUTCOME_REPORT;
+      return unpack_outcome_report (frame->outcome_tell,
+                                    &message->u.outcome_report);
     case CSP_WIRE__FRAME__BODY_HOSTS_ASK:
       message->kind = CSP_PEER_HOSTS_ASK;
       message->u.hosts_ask.after = frame->hosts_ask->after;
--- a/source/peer/peer-encode.c
+++ b/source/peer/peer-encode.c
@@ -76,27 +76,27 @@
 }
 
 static bool
-pack_carry_answer (encoder_t *encoder, const csp_peer_message_t *message)
+pack_load_query_answer (encoder_t *encoder, const csp_peer_message_t *message)
 {
   CspWire__CarryAnswer *wire = &encoder->body.carry_answer;
   CspWire__Carry *row;
-  const csp_carried_load_t *carry;
+  const csp_carried_load_t *load;
   size_t i;
 
   csp_wire__carry_answer__init (wire);
-  if (!make_rows (encoder, message->u.carry_answer.count, sizeof *row))
+  if (!make_rows (encoder, message->u.load_query_answer.count, sizeof *row))
     return false;
-  wire->n_carries = message->u.carry_answer.count;
+  wire->n_carries = message->u.load_query_answer.count;
   wire->carries = encoder->row_array;
   for (i = 0; i < wire->n_carries; i++)
     {
       row = wire->carries[i];
-      carry = &message->u.carry_answer.carries[i];
+      load = &message->u.load_query_answer.loads[i];
       csp_wire__carry__init (row);
-      row->target = (char *)carry->target;
-      row->carried_tokens = carry->carried_tokens;
-      row->carried_streams = carry->carried_streams;
-      row->owning = carry->owning;
+      row->target = (char *)load->target;
+      row->carried_tokens = load->carried_tokens;
+      row->carried_streams = load->carried_streams;
+      row->owning = load->owning;
     }
   encoder->frame.body_case = CSP_WIRE__FRAME__BODY_CARRY_ANSWER;
   encoder->frame.carry_answer = wire;
@@ -285,7 +285,7 @@
 }
 
 static void
-pack_outcome_tell (encoder_t *encoder, const csp_outcome_report_t *tell)
+pack_outcome_report (encoder_t *encoder, const csp_outcome_report_t *tell)
 {
   CspWire__OutcomeTell *wire = &encoder->body.outcome_tell;
 
@@ -310,15 +310,15 @@
       frame->body_case = CSP_WIRE__FRAME__BODY_HEARTBEAT;
       frame->heartbeat = &encoder->heartbeat.heartbeat;
       return true;
-    case CSP_PEER_CARRY_ASK:
+    case CSP_PEER_LOAD_QUERY:
       csp_wire__carry_ask__init (&encoder->body.carry_ask);
-      encoder->body.carry_ask.n_targets = message->u.carry_ask.count;
-      encoder->body.carry_ask.targets = message->u.carry_ask.targets;
+      encoder->body.carry_ask.n_targets = message->u.load_query.count;
+      encoder->body.carry_ask.targets = message->u.load_query.targets;
       frame->body_case = CSP_WIRE__FRAME__BODY_CARRY_ASK;
       frame->carry_ask = &encoder->body.carry_ask;
       return true;
-    case CSP_PEER_CARRY_ANSWER:
-      return pack_carry_answer (encoder, message);
+    case CSP_PEER_LOAD_QUERY_ANSWER:
+      return pack_load_query_answer (encoder, message);
     case CSP_PEER_PULL_ASK:
       csp_wire__pull_ask__init (&encoder->body.pull_ask);
       encoder->body.pull_ask.after = message->u.pull_ask.after;
@@ -350,8 +350,8 @@
     case CSP_PEER_CLAIM_ANSWER:
       pack_claim_answer (encoder, &message->u.claim_answer);
       return true;
-    case CSP_PEER_OUTCOME_TELL:
-      pack_outcome_tell (encoder, &message->u.outcome_tell);
+    case CSP_PEER_OUTCOME_REPORT:
+      pack_outcome_report (encoder, &message->u.outcome_report);
       return true;
     case CSP_PEER_HOSTS_ASK:
       csp_wire__hosts_ask__init (&encoder->body.hosts_ask);
--- a/source/quarantine/quarantine.c
+++ b/source/quarantine/quarantine.c
@@ -18,7 +18,7 @@
   /* For this long after a success a request gets no strikes.  */
   RECENTLY_SERVED_MS = 60000,
   SERVED_ROWS = 4096,
-  /* For this long a request with a single strike is listed in greetings.  */
+  /* For this long a request with a single strike is listed in hellos.  */
   RECENT_STRIKE_MS = 5000,
   /* A host that receives a strike's age computes the strike's time too late by
      the network delay.  Times that differ by less than this are the same
@@ -43,21 +43,21 @@
   int64_t served_at_ms;
 } served_row_t;
 
-/* Classes of suspects in greetings, in order of precedence.  A target that
+/* Classes of suspects in hellos, in order of precedence.  A target that
    ends leaves a single strike on each of its dozens of requests; these must
    not keep a host that has just started from learning what is
    quarantined.  */
 typedef enum
 {
-  GREET_QUARANTINED,
-  GREET_SUSPECT,
-  GREETING_CLASSES
-} greeting_class_t;
+  CLASS_QUARANTINED,
+  CLASS_SUSPECT,
+  SUSPECT_CLASSES
+} suspect_class_t;
 
 struct csp_quarantine
 {
-  size_t count;                      /* rows in use */
-  size_t next_row[GREETING_CLASSES]; /* where the round robin goes on */
+  size_t count;                     /* rows in use */
+  size_t next_row[SUSPECT_CLASSES]; /* where the round robin continues */
   suspect_row_t rows[CSP_SUSPECTS_MAX];
   served_row_t served[SERVED_ROWS];
 };
@@ -300,28 +300,28 @@
 }
 
 static bool
-belongs_in_greeting (const suspect_row_t *row, greeting_class_t kind,
-                     int64_t now_ms)
+belongs_in_hello (const suspect_row_t *row, suspect_class_t kind,
+                  int64_t now_ms)
 {
   bool held = row->strike_count == CSP_STRIKES_MAX;
 
-  if (row->request == 0 || held != (kind == GREET_QUARANTINED))
+  if (row->request == 0 || held != (kind == CLASS_QUARANTINED))
     return false;
   return row->strike_count > 1
          || now_ms - row->struck_at_ms < RECENT_STRIKE_MS;
 }
 
 size_t
-csp_list_suspects_for_greeting (csp_quarantine_t *quarantine,
-                                csp_suspect_t *suspects, size_t capacity,
-                                int64_t now_ms)
+csp_list_suspects_for_hello (csp_quarantine_t *quarantine,
+                             csp_suspect_t *suspects, size_t capacity,
+                             int64_t now_ms)
 {
   size_t listed = 0;
-  greeting_class_t kind;
+  suspect_class_t kind;
   size_t i;
 
-  for (kind = GREET_QUARANTINED;
-       quarantine->count > 0 && kind < GREETING_CLASSES; kind++)
+  for (kind = CLASS_QUARANTINED;
+       quarantine->count > 0 && kind < SUSPECT_CLASSES; kind++)
     {
       size_t first = quarantine->next_row[kind];
 
@@ -329,7 +329,7 @@
         {
           size_t index = (first + i) % CSP_SUSPECTS_MAX;
 
-          if (!belongs_in_greeting (&quarantine->rows[index], kind, now_ms))
+          if (!belongs_in_hello (&quarantine->rows[index], kind, now_ms))
             continue;
           suspects[listed++] = make_report (&quarantine->rows[index], now_ms);
           quarantine->next_row[kind] = index + 1;
--- a/source/reach/reach.c
+++ b/source/reach/reach.c
@@ -4,12 +4,12 @@
 
 enum
 {
-  /* Every half second a host greets some host of every other data centre and
-     gets an answer; with many data centres the period is longer.  A lossy link
-     drops a few per cent of greetings.  Three losses in a row wrongly rule out
-     the data centre for about a second, but lose no request.  */
+  /* Every half second a host sends a hello to some host of every other data
+     centre and gets an answer; with many data centres the period is longer.  A
+     lossy link drops a few per cent of hellos.  Three losses in a row wrongly
+     rule out the data centre for about a second, but lose no request.  */
   SILENT_AFTER_MIN_MS = 1600,
-  SILENT_GREETINGS = 3,
+  SILENT_HELLOS = 3,
   /* A partition ends without notice.  A probe every half second detects that
      soon enough, and costs only a few probes per partition.  */
   PROBE_PERIOD_MS = 500,
@@ -31,7 +31,7 @@
 struct csp_reach
 {
   uint32_t home;
-  uint32_t greeting_period_ms;
+  uint32_t hello_period_ms;
   size_t count;
   data_centre_state_t states[DATA_CENTRES_MAX];
 };
@@ -120,8 +120,7 @@
 is_silent (const csp_reach_t *reach, const data_centre_state_t *state,
            int64_t now_ms)
 {
-  int64_t silent_after_ms
-      = (int64_t)reach->greeting_period_ms * SILENT_GREETINGS;
+  int64_t silent_after_ms = (int64_t)reach->hello_period_ms * SILENT_HELLOS;
 
   if (silent_after_ms < SILENT_AFTER_MIN_MS)
     silent_after_ms = SILENT_AFTER_MIN_MS;
@@ -130,9 +129,9 @@
 }
 
 void
-csp_note_greeting_period (csp_reach_t *reach, uint32_t period_ms)
+csp_note_hello_period (csp_reach_t *reach, uint32_t period_ms)
 {
-  reach->greeting_period_ms = period_ms;
+  reach->hello_period_ms = period_ms;
 }
 
 bool
--- a/source/roster/hello-codec.c
+++ b/source/roster/hello-codec.c
@@ -26,7 +26,7 @@
   CspHello__Lease leases[CSP_HELLO_LEASES_MAX];
   CspHello__Lease *lease_rows[CSP_HELLO_LEASES_MAX];
   uint64_t cancels[CSP_HELLO_ASKS_MAX];
-  uint64_t left[CSP_HELLO_LEFT_MAX];
+  uint64_t left[CSP_HELLO_LEAVING_MAX];
   CspHello__Suspect suspects[CSP_HELLO_SUSPECTS_MAX];
   CspHello__Suspect *suspect_rows[CSP_HELLO_SUSPECTS_MAX];
   csp_suspect_t suspect_copies[CSP_HELLO_SUSPECTS_MAX];
@@ -204,7 +204,7 @@
   message.wants = rows.want_rows;
   message.n_leases = hello->lease_count;
   message.leases = rows.lease_rows;
-  message.n_left = hello->left_count;
+  message.n_left = hello->leaving_target_count;
   message.left = rows.left;
   message.n_suspects = hello->suspect_count;
   message.suspects = rows.suspect_rows;
@@ -236,11 +236,11 @@
   if (message->n_asks > CSP_HELLO_ASKS_MAX
       || message->n_answers > CSP_HELLO_ASKS_MAX
       || message->n_cancels > CSP_HELLO_ASKS_MAX
-      || message->n_left > CSP_HELLO_LEFT_MAX)
+      || message->n_left > CSP_HELLO_LEAVING_MAX)
     return false;
   for (i = 0; i < message->n_left; i++)
     hello->leaving_targets[i] = message->left[i];
-  hello->left_count = message->n_left;
+  hello->leaving_target_count = message->n_left;
   for (i = 0; i < message->n_asks; i++)
     {
       hello->asks[i].id = message->asks[i]->id;
--- a/source/settings/settings-options.c
+++ b/source/settings/settings-options.c
@@ -75,11 +75,11 @@
 set_from_option (const csp_setting_t *setting, const char *text,
                  csp_settings_t *settings, csp_faults_t *faults)
 {
-  csp_json_position_t place = { .where = command_line, .faults = faults };
+  csp_json_position_t position = { .where = command_line, .faults = faults };
 
-  snprintf (place.path, sizeof place.path, "--%s", setting->option);
+  snprintf (position.path, sizeof position.path, "--%s", setting->option);
   csp_set_field_text (setting->field, text,
-                      (char *)settings + setting->base_offset, &place);
+                      (char *)settings + setting->base_offset, &position);
 }
 
 /* Returns the argument of --settings; NULL where there is none.  The file is
--- a/source/settings/settings.c
+++ b/source/settings/settings.c
@@ -24,7 +24,7 @@
    checks the required keys after the command line is read, and keys that are
    missing in the file keep their present values.  */
 static void
-read_optional_rows (csp_json_position_t *place, struct json_object *root,
+read_optional_rows (csp_json_position_t *position, struct json_object *root,
                     csp_settings_t *settings)
 {
   csp_field_t rows[CSP_SETTINGS_MAX];
@@ -37,21 +37,21 @@
       rows[i].default_setting = NULL;
     }
   rows[i] = csp_settings_table[i];
-  csp_read_fields (place, rows, root, settings);
+  csp_read_fields (position, rows, root, settings);
 }
 
 bool
 csp_parse_settings (const char *where, const char *text, size_t size_bytes,
                     csp_settings_t *settings, csp_faults_t *faults)
 {
-  csp_json_position_t place = { .where = where, .faults = faults };
+  csp_json_position_t position = { .where = where, .faults = faults };
   size_t fault_count_before = csp_count_faults (faults);
   struct json_object *root;
 
   root = csp_read_json_with_duplicates (where, text, size_bytes, faults);
   if (root == NULL)
     return false;
-  read_optional_rows (&place, root, settings);
+  read_optional_rows (&position, root, settings);
   json_object_put (root);
   return csp_count_faults (faults) == fault_count_before;
 }
--- a/tests/adapter/fuzz-test.c
+++ b/tests/adapter/fuzz-test.c
@@ -183,7 +183,7 @@
                           .ask_count = 1,
                           .answer_count = 1,
                           .cancel_count = 1,
-                          .left_count = 1 };
+                          .leaving_target_count = 1 };
   hello->loads[0] = (csp_peer_load_t){ .target = 5, .requests = 2 };
   hello->asks[0] = (csp_hello_ask_t){ .id = 4, .tokens = 900 };
 }
@@ -212,7 +212,7 @@
       ck_assert_uint_le (hello.ask_count, CSP_HELLO_ASKS_MAX);
       ck_assert_uint_le (hello.answer_count, CSP_HELLO_ASKS_MAX);
       ck_assert_uint_le (hello.cancel_count, CSP_HELLO_ASKS_MAX);
-      ck_assert_uint_le (hello.left_count, CSP_HELLO_LEFT_MAX);
+      ck_assert_uint_le (hello.leaving_target_count, CSP_HELLO_LEAVING_MAX);
       ck_assert_uint_le (hello.lease_request_count, CSP_HELLO_LEASES_MAX);
       ck_assert_uint_le (hello.lease_count, CSP_HELLO_LEASES_MAX);
     }
--- a/tests/configuration/spread-test.c
+++ b/tests/configuration/spread-test.c
@@ -295,7 +295,7 @@
 START_TEST (late_answers_are_dropped)
 {
   fleet_t *fleet = start_fleet (2, 1, 1);
-  csp_config_sync_t *spread = fleet->nodes[0].config_sync;
+  csp_config_sync_t *sync = fleet->nodes[0].config_sync;
   csp_config_sync_peer_t peer
       = { .name = "h1", .same_data_centre = true, .revision = 1000 };
   csp_config_delta_t delta = { .base = 0, .revision = 5000, .full = true };
@@ -304,18 +304,18 @@
   uint64_t first = 0;
 
   fleet->now_ms += CSP_PULL_GAP_MS;
-  csp_tick_config_sync (spread, &peer, 1, 1, fleet->now_ms, &actions);
+  csp_tick_config_sync (sync, &peer, 1, 1, fleet->now_ms, &actions);
   while (actions.count > 0
          && actions.items[0].kind != CSP_CONFIG_SYNC_PULL_PEER)
     actions.items[0] = actions.items[--actions.count];
   ck_assert_uint_eq (actions.count, 1);
   first = actions.items[0].id;
   fleet->now_ms += CSP_PULL_TIMEOUT_MS;
-  csp_tick_config_sync (spread, &peer, 1, 1, fleet->now_ms, &actions);
+  csp_tick_config_sync (sync, &peer, 1, 1, fleet->now_ms, &actions);
   ck_assert_int_eq (
-      csp_handle_pull (spread, first, &delta, 0, "", fleet->now_ms),
+      csp_handle_pull (sync, first, &delta, 0, "", fleet->now_ms),
       CSP_CONFIG_SAME);
-  csp_get_config_sync_status (spread, &status);
+  csp_get_config_sync_status (sync, &status);
   ck_assert_uint_eq (status.dropped_answers, 1);
   ck_assert_int_eq (fleet_revision (fleet, 0), fleet->service.revision);
   fleet_destroy (fleet);
--- a/tests/dispatch/dispatch-test.c
+++ b/tests/dispatch/dispatch-test.c
@@ -130,7 +130,7 @@
   return answers[answer_count - 1].outcome;
 }
 
-/* Guards against placements on an engine that told the asking host to back
+/* Guards against placements on an engine that asked the sending host to back
    off, which that host can't use.  */
 START_TEST (ask_is_not_placed_on_backed_off_engine)
 {
@@ -174,7 +174,7 @@
 END_TEST
 
 /* One organisation sends a hundred requests before another sends one, which
-   must not wait behind the hundred.  */
+   must not wait for the hundred.  */
 START_TEST (large_organisation_does_not_starve_small_one)
 {
   size_t before = 0;
@@ -248,7 +248,7 @@
 END_TEST
 
 /* For a minute, requests need half more than the engines can hold: four
-   places, each taken for two seconds, and three asks a second.  No place may
+   slots, each used for two seconds, and three asks a second.  No slot may
    stay unused, and most of the asks that get none must be refused on arrival
    and not when their first token would be late.  */
 START_TEST (overload_refuses_most_on_arrival)
@@ -258,11 +258,11 @@
     STEP_MS = 10,
     ASK_EVERY_MS = 333,
     RUN_MS = 2000,
-    PLACES = 4,
+    SLOTS = 4,
     PLAYED_MS = 60000,
     ASK_PATIENCE_MS = 1200
   };
-  int64_t ends_ms[PLACES] = { 0 };
+  int64_t ends_ms[SLOTS] = { 0 };
   uint64_t id = 0;
   int placed = 0;
   int refused_at_once = 0;
@@ -274,7 +274,7 @@
       size_t i;
 
       csp_clear_peer_loads (fleet);
-      for (i = 0; i < PLACES; i++)
+      for (i = 0; i < SLOTS; i++)
         if (ends_ms[i] > now_ms)
           {
             csp_peer_load_t load
@@ -305,10 +305,10 @@
         if (answers[i].outcome == CSP_ASK_PLACED)
           {
             size_t target = answers[i].target != csp_fleet_at (fleet, 0)->hash;
-            size_t place = ends_ms[target] > now_ms ? target + 2 : target;
+            size_t slot = ends_ms[target] > now_ms ? target + 2 : target;
 
-            ck_assert_int_le (ends_ms[place], now_ms);
-            ends_ms[place] = now_ms + RUN_MS;
+            ck_assert_int_le (ends_ms[slot], now_ms);
+            ends_ms[slot] = now_ms + RUN_MS;
             placed++;
           }
     }
@@ -375,7 +375,7 @@
     ASKS = 20,
     BOUND = 4
   };
-  const csp_decider_role_t duty = { .decides = true,
+  const csp_decider_role_t role = { .decides = true,
                                     .fleet = { .hosts_asking = 1,
                                                .hosts_known = 1,
                                                .data_centres_live = 1,
@@ -389,7 +389,7 @@
   int placed = 0;
 
   ck_assert (csp_set_cold_limit (fleet, "s", 5000, BOUND));
-  csp_set_dispatch_duty (dispatch, &duty);
+  csp_set_decider_role (dispatch, &role);
   csp_remove_target (fleet, "t", 0);
   csp_remove_target (fleet, "u", 0);
   ck_assert (csp_update_target (fleet, &cold, 10000));
--- a/tests/gateway/gateway-fixture.h
+++ b/tests/gateway/gateway-fixture.h
@@ -6,7 +6,7 @@
 #include <netinet/in.h>
 #include <pthread.h>
 
-/* A gateway on loopback, on a thread of its own.  The test plays callers and
+/* A gateway on loopback, on a thread of its own.  The test acts as callers and
    targets itself, one step after another, so the order of events is fixed by
    the test.  The gateway takes its time from a fake clock; waits for bytes use
    real time and fail the test after some seconds.  */
--- a/tests/gateway/gateway-test.c
+++ b/tests/gateway/gateway-test.c
@@ -322,7 +322,7 @@
 END_TEST
 
 /* The caller disconnects while its request is at a target, which would
-   otherwise go on working for nobody.  */
+   otherwise continue to generate an answer that nobody reads.  */
 START_TEST (a_disconnected_caller_cancels_its_request)
 {
   int target = fixture_add_target (&fixture, "t-1", "engines");
--- a/tests/gateway/leave-test.c
+++ b/tests/gateway/leave-test.c
@@ -10,10 +10,10 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* Streams whose engine is told to leave.  */
+/* Streams whose engine is about to leave.  */
 
 /* The engine is taken away in a second and a half.  The run's memory is copied
-   while the run goes on; then the run is stopped and the rest is copied.  It
+   while the run continues; then the run is stopped and the rest is copied.  It
    continues elsewhere only after the stop is confirmed, so that two engines
    never work at once.  Events sent while the stop is requested still reach the
    caller.  */
@@ -151,7 +151,7 @@
 
 /* The destination is told to leave while the run is still being copied there.
    If the run were stopped for it, the run would have to move once more with
-   half of the time used; it goes on where it is and is copied to a third
+   half of the time used; it continues where it is and is copied to a third
    engine.  */
 START_TEST (a_copy_to_an_engine_that_leaves_too_is_given_up)
 {
@@ -182,7 +182,7 @@
 }
 END_TEST
 
-/* The engine refuses to stop the run, which goes on there, and so does the
+/* The engine refuses to stop the run, which continues there, and so does the
    stream.  */
 START_TEST (a_stream_continues_when_its_stop_is_refused)
 {
@@ -266,9 +266,9 @@
 END_TEST
 
 /* A run looks nearly done when its engine is told to leave, so it isn't moved
-   at once.  It goes on past its estimate, and no other stream there makes the
-   host check again.  Unless the host checks by itself, the engine ends and the
-   stream is cut off.  */
+   at once.  It continues past its estimate, and no other stream there makes
+   the host check again.  Unless the host checks by itself, the engine ends and
+   the stream is cut off.  */
 START_TEST (a_nearly_done_run_that_does_not_end_in_time_is_moved)
 {
   int move_link;
@@ -531,7 +531,7 @@
       = { .boot = 1,
           .sequence = 1,
           .leaving = true,
-          .left_count = 2,
+          .leaving_target_count = 2,
           .leaving_targets = { 77, csp_hash_pair ("target", "t-0") } };
   int move_link;
 
--- a/tests/link/link-test.c
+++ b/tests/link/link-test.c
@@ -64,7 +64,7 @@
                                           .failed = on_failed };
 
 /* Runs the loop until the count is above 0; the test's time limit ends a wait
-   in vain.  */
+   that fails.  */
 static void
 run_loop_until (const int *count)
 {
--- a/tests/mirror/mirror-test.c
+++ b/tests/mirror/mirror-test.c
@@ -384,7 +384,7 @@
 
 /* The upstream of a host.  Hosts are numbers: those of its data centre and
    those of the fleet, the first in rank order first, and those that recently
-   failed.  0 ends a list; as upstream it stands for none in particular.  */
+   failed.  0 ends a list; as upstream it means none in particular.  */
 static const struct
 {
   const char *what;
--- a/tests/peer/peer-codec-test.c
+++ b/tests/peer/peer-codec-test.c
@@ -23,7 +23,7 @@
 
 static char *targets[] = { "e1", "e2", "e3" };
 
-static csp_carried_load_t carries[]
+static csp_carried_load_t loads[]
     = { { .target = "e1", .carried_tokens = 5000, .carried_streams = 3 },
         { .target = "e2", .owning = true } };
 
@@ -63,8 +63,8 @@
                      .peer_port = 8081,
                      .suspect_count = 1,
                      .summary_count = 1 } },
-  { .kind = CSP_PEER_CARRY_ASK, .u.carry_ask = { 3, targets } },
-  { .kind = CSP_PEER_CARRY_ANSWER, .u.carry_answer = { 2, carries } },
+  { .kind = CSP_PEER_LOAD_QUERY, .u.load_query = { 3, targets } },
+  { .kind = CSP_PEER_LOAD_QUERY_ANSWER, .u.load_query_answer = { 2, loads } },
   { .kind = CSP_PEER_PULL_ASK, .u.pull_ask = { 21 } },
   { .kind = CSP_PEER_PULL_ANSWER,
     .u.pull_answer = { { .base = 7,
@@ -97,8 +97,8 @@
   { .kind = CSP_PEER_CLAIM_ANSWER,
     .u.claim_answer
     = { { 91, 92 }, { "h1", 9 }, CSP_CLAIM_SEEN, CSP_ONCE_RAN, 93 } },
-  { .kind = CSP_PEER_OUTCOME_TELL,
-    .u.outcome_tell = { ONCE_KEY, { 91, 92 }, CSP_ONCE_CLOSED } },
+  { .kind = CSP_PEER_OUTCOME_REPORT,
+    .u.outcome_report = { ONCE_KEY, { 91, 92 }, CSP_ONCE_CLOSED } },
   { .kind = CSP_PEER_HOSTS_ASK, .u.hosts_ask = { 101 } },
   { .kind = CSP_PEER_HOSTS_ANSWER, .u.hosts_answer = { "{\"version\":1}" } },
   { .kind = CSP_PEER_ACKNOWLEDGE },
@@ -325,7 +325,7 @@
 START_TEST (lists_over_the_limit_are_refused)
 {
   char **many = calloc (CSP_MAX_LOAD_QUERY_TARGETS + 1, sizeof *many);
-  csp_peer_message_t message = { .kind = CSP_PEER_CARRY_ASK };
+  csp_peer_message_t message = { .kind = CSP_PEER_LOAD_QUERY };
   csp_peer_message_t decoded;
   uint8_t *frame;
   size_t size_bytes;
@@ -333,14 +333,14 @@
 
   for (i = 0; i <= CSP_MAX_LOAD_QUERY_TARGETS; i++)
     many[i] = targets[0];
-  message.u.carry_ask.targets = many;
-  message.u.carry_ask.count = CSP_MAX_LOAD_QUERY_TARGETS;
+  message.u.load_query.targets = many;
+  message.u.load_query.count = CSP_MAX_LOAD_QUERY_TARGETS;
   frame = encode (&message, &size_bytes);
   ck_assert (
       csp_decode_peer_message (frame, size_bytes, DEPLOYMENT, &decoded));
   csp_clear_peer_message (&decoded);
   free (frame);
-  message.u.carry_ask.count++;
+  message.u.load_query.count++;
   frame = encode (&message, &size_bytes);
   ck_assert (
       !csp_decode_peer_message (frame, size_bytes, DEPLOYMENT, &decoded));
--- a/tests/quarantine/quarantine-test.c
+++ b/tests/quarantine/quarantine-test.c
@@ -109,13 +109,13 @@
 }
 END_TEST
 
-/* Merges into `to` the suspect that `from` would list in a greeting.  */
+/* Merges into `to` the suspect that `from` would list in a hello.  */
 static csp_suspect_change_t
-greet (csp_quarantine_t *from, csp_quarantine_t *to, int64_t now_ms)
+merge_hello (csp_quarantine_t *from, csp_quarantine_t *to, int64_t now_ms)
 {
   csp_suspect_t listed[1];
 
-  if (csp_list_suspects_for_greeting (from, listed, 1, now_ms) == 0)
+  if (csp_list_suspects_for_hello (from, listed, 1, now_ms) == 0)
     return CSP_SUSPECT_UNCHANGED;
   return csp_merge_suspect (to, listed, now_ms);
 }
@@ -125,22 +125,22 @@
   csp_add_request_strike (here, REQUEST, 1, 10);
   csp_add_request_strike (there, REQUEST, 2, 20);
   csp_add_request_strike (there, REQUEST, 1, 20);
-  ck_assert_int_eq (greet (there, here, 30), CSP_SUSPECT_STRIKE_ADDED);
-  ck_assert_int_eq (greet (here, there, 30), CSP_SUSPECT_UNCHANGED);
+  ck_assert_int_eq (merge_hello (there, here, 30), CSP_SUSPECT_STRIKE_ADDED);
+  ck_assert_int_eq (merge_hello (here, there, 30), CSP_SUSPECT_UNCHANGED);
   csp_add_request_strike (here, REQUEST, 3, 40);
-  ck_assert_int_eq (greet (here, there, 40), CSP_SUSPECT_QUARANTINED);
+  ck_assert_int_eq (merge_hello (here, there, 40), CSP_SUSPECT_QUARANTINED);
   ck_assert_uint_eq (csp_quarantine_left_ms (there, REQUEST, 40), HOLD_MS);
 }
 END_TEST
 
 /* Guards against a host that loses its quarantines when its process restarts:
-   the first greeting restores them.  */
+   the first hello restores them.  */
 START_TEST (a_restarted_host_learns_of_a_quarantine)
 {
   csp_add_request_strike (here, REQUEST, 1, 10);
   csp_add_request_strike (here, REQUEST, 2, 10);
   csp_add_request_strike (here, REQUEST, 3, 10);
-  ck_assert_int_eq (greet (here, there, 5010), CSP_SUSPECT_QUARANTINED);
+  ck_assert_int_eq (merge_hello (here, there, 5010), CSP_SUSPECT_QUARANTINED);
   ck_assert_uint_eq (csp_quarantine_left_ms (there, REQUEST, 5010),
                      HOLD_MS - 5000);
 }
@@ -158,7 +158,7 @@
   csp_add_request_strike (here, REQUEST, 3, 10);
   csp_add_request_strike (here, REQUEST, 4, first_trial_ms);
   csp_add_request_strike (here, REQUEST, 5, second_trial_ms);
-  ck_assert_int_eq (greet (here, there, second_trial_ms + FORGET_MS + 1),
+  ck_assert_int_eq (merge_hello (here, there, second_trial_ms + FORGET_MS + 1),
                     CSP_SUSPECT_QUARANTINED);
   ck_assert_uint_eq (
       csp_quarantine_left_ms (there, REQUEST, second_trial_ms + FORGET_MS + 1),
@@ -182,10 +182,10 @@
   csp_add_request_strike (there, REQUEST, 6, now_ms);
   while (now_ms < HOLD_MS)
     {
-      csp_list_suspects_for_greeting (here, &listed, 1, now_ms);
+      csp_list_suspects_for_hello (here, &listed, 1, now_ms);
       now_ms += delay_ms;
       csp_merge_suspect (there, &listed, now_ms);
-      csp_list_suspects_for_greeting (there, &listed, 1, now_ms);
+      csp_list_suspects_for_hello (there, &listed, 1, now_ms);
       now_ms += delay_ms;
       csp_merge_suspect (here, &listed, now_ms);
     }
@@ -198,7 +198,7 @@
 
 /* Guards against a host that starts while targets end and receives the single
    strikes of all their requests before it learns of the quarantine.  */
-START_TEST (greetings_list_quarantined_before_recent_strikes)
+START_TEST (hellos_list_quarantined_before_recent_strikes)
 {
   csp_suspect_t listed[2];
   uint64_t i;
@@ -210,8 +210,7 @@
   csp_add_request_strike (here, REQUEST, 3, 10);
   for (i = 0; i < 10; i++)
     {
-      ck_assert_uint_eq (csp_list_suspects_for_greeting (here, listed, 2, 20),
-                         2);
+      ck_assert_uint_eq (csp_list_suspects_for_hello (here, listed, 2, 20), 2);
       ck_assert_uint_eq (listed[0].request, REQUEST);
       ck_assert_uint_eq (listed[1].request, 1000 + i);
     }
@@ -222,7 +221,8 @@
 {
   csp_clear_request (there, REQUEST, 5);
   csp_add_request_strike (here, REQUEST, 1, 10);
-  ck_assert_int_eq (greet (here, there, 20), CSP_SUSPECT_RECENTLY_SERVED);
+  ck_assert_int_eq (merge_hello (here, there, 20),
+                    CSP_SUSPECT_RECENTLY_SERVED);
   ck_assert (csp_clear_request (here, REQUEST, 21));
   ck_assert_uint_eq (csp_count_suspects (here), 0);
 }
@@ -231,7 +231,7 @@
 START_TEST (only_a_host_that_reported_strikes_reports_the_success)
 {
   csp_add_request_strike (here, REQUEST, 1, 10);
-  greet (here, there, 20);
+  merge_hello (here, there, 20);
   ck_assert (!csp_clear_request (there, REQUEST, 30));
   ck_assert (!csp_clear_request (there, REQUEST, 31));
   ck_assert (csp_clear_request (here, REQUEST, 32));
@@ -305,7 +305,7 @@
   SIM_HOSTS = 9,
   SIM_MS = 90000,
   STEP_MS = 10,
-  GREET_MS = 500,
+  HELLO_MS = 500,
   CONTACT_MS = 3000,
   RETRIES_MAX = 3,
   RUNS_MAX = 64,
@@ -372,9 +372,9 @@
          > 0)
     for (to = 0; to < SIM_HOSTS; to++)
       deliver (sim, from, to, reports, now_ms);
-  if (now_ms % GREET_MS == 0
-      && csp_list_suspects_for_greeting (sim->hosts[from].quarantine, reports,
-                                         1, now_ms)
+  if (now_ms % HELLO_MS == 0
+      && csp_list_suspects_for_hello (sim->hosts[from].quarantine, reports, 1,
+                                      now_ms)
              > 0)
     deliver (sim, from, (int)draw_between (sim, 0, SIM_HOSTS - 1), reports,
              now_ms);
@@ -481,7 +481,7 @@
   tcase_add_test (tests, a_restarted_host_learns_of_a_quarantine);
   tcase_add_test (tests, a_restarted_host_learns_of_a_doubled_hold);
   tcase_add_test (tests, a_hold_is_not_extended_by_relayed_reports);
-  tcase_add_test (tests, greetings_list_quarantined_before_recent_strikes);
+  tcase_add_test (tests, hellos_list_quarantined_before_recent_strikes);
   tcase_add_test (tests, a_recently_served_request_gets_no_strike);
   tcase_add_test (tests,
                   only_a_host_that_reported_strikes_reports_the_success);
--- a/tests/queue/queue-test.c
+++ b/tests/queue/queue-test.c
@@ -238,7 +238,7 @@
 
 /* The largest organisation may use what others leave, and is reported as a
    borrower, so that it leaves lending_reserve free.  When the small one sends
-   again, it gets every second turn from the first on.  */
+   again, every second request served is its own, from the first on.  */
 START_TEST (lent_share_is_taken_back)
 {
   csp_error_t error;
--- a/tests/reach/reach-test.c
+++ b/tests/reach/reach-test.c
@@ -58,7 +58,7 @@
     ELSEWHERE,
     1030,
     true },
-  { "silence, no longer than between two greetings",
+  { "silence, no longer than between two hellos",
     { { RECEIVED, 1000, ELSEWHERE } },
     1,
     ELSEWHERE,
--- a/tests/roster/roster-test.c
+++ b/tests/roster/roster-test.c
@@ -133,8 +133,8 @@
 }
 END_TEST
 
-/* A host fails or is cut off: its requests end with it, or go on without being
-   counted.  */
+/* A host fails or is cut off: its requests end with it, or continue without
+   being counted.  */
 START_TEST (the_load_of_a_silent_host_expires)
 {
   csp_hello_t hello = hello_of (OTHER_BOOT, 1, true, 4);
@@ -230,7 +230,7 @@
   uint32_t data_centre;
   uint32_t capacity;
   uint32_t up_ms;
-  bool blind;
+  bool platform_unreachable;
   bool leaving;
 } ranked_host_t;
 
@@ -243,7 +243,7 @@
                         .data_centre = host->data_centre,
                         .capacity = host->capacity,
                         .up_ms = host->up_ms,
-                        .platform_unreachable = host->blind,
+                        .platform_unreachable = host->platform_unreachable,
                         .leaving = host->leaving };
 
   csp_receive_hello (by, host->address, &hello, now_ms);
@@ -389,8 +389,8 @@
     }
   /* The store refuses the fleet's reader, which is elsewhere, and the first
      host of this data centre, which still relays what others read.  */
-  hosts[3].blind = true;
-  hosts[first].blind = true;
+  hosts[3].platform_unreachable = true;
+  hosts[first].platform_unreachable = true;
   receive_hello_of (roster, &hosts[3], 2, 1050);
   receive_hello_of (roster, &hosts[first], 2, 1050);
   csp_rank_readers (roster, &other_ranks);
@@ -403,7 +403,7 @@
   /* If all are refused, the order is as if none were.  */
   for (i = 0; i < 4; i++)
     {
-      hosts[i].blind = true;
+      hosts[i].platform_unreachable = true;
       receive_hello_of (roster, &hosts[i], 3, 1060);
     }
   csp_set_roster_platform_unreachable (roster, true);
@@ -489,7 +489,7 @@
 START_TEST (refused_readers_are_named)
 {
   csp_known_host_t names[CSP_HELLO_KNOWN_MAX];
-  size_t blind = 0;
+  size_t unreachable = 0;
   size_t count;
   uint32_t i;
 
@@ -505,9 +505,9 @@
   count = csp_choose_known_hosts (roster, third, names, CSP_HELLO_KNOWN_MAX,
                                   1010);
   for (i = 0; i < count; i++)
-    blind += names[i].platform_unreachable;
+    unreachable += names[i].platform_unreachable;
   /* The receiver itself isn't named.  */
-  ck_assert_uint_eq (blind, 2);
+  ck_assert_uint_eq (unreachable, 2);
 }
 END_TEST
 
@@ -713,8 +713,8 @@
                                                      .amount = 300 };
       hello.leases[i] = hello.lease_requests[i];
     }
-  hello.left_count = CSP_HELLO_LEFT_MAX;
-  for (i = 0; i < hello.left_count; i++)
+  hello.leaving_target_count = CSP_HELLO_LEAVING_MAX;
+  for (i = 0; i < hello.leaving_target_count; i++)
     hello.leaving_targets[i] = UINT64_MAX - i;
   ck_assert (csp_encode_hello (&hello, &bytes));
   ck_assert_uint_le (bytes.size_bytes, CSP_HELLO_MAX_BYTES);
--- a/tests/shift/shift-test.c
+++ b/tests/shift/shift-test.c
@@ -11,31 +11,31 @@
    seconds if healthy.  */
 START_TEST (a_target_opens_by_doubling)
 {
-  csp_shift_policy_t policy = csp_default_shift_policy ();
-  csp_slow_start_t shift = { 0 };
+  csp_slow_start_policy_t policy = csp_default_slow_start_policy ();
+  csp_slow_start_t slow_start = { 0 };
   double before;
   int64_t now_ms;
 
-  ck_assert_double_eq (csp_advance_slow_start (&shift, &policy, true, 1000),
-                       0);
-  csp_begin_slow_start (&shift, &policy, 1000);
-  before = csp_advance_slow_start (&shift, &policy, true, 1000);
+  ck_assert_double_eq (
+      csp_advance_slow_start (&slow_start, &policy, true, 1000), 0);
+  csp_begin_slow_start (&slow_start, &policy, 1000);
+  before = csp_advance_slow_start (&slow_start, &policy, true, 1000);
   ck_assert_double_eq_tol (before, 0.1, 1e-9);
   for (now_ms = 2000; now_ms <= 6000; now_ms += 1000)
     {
       ck_assert_double_le (
-          csp_advance_slow_start (&shift, &policy, true, now_ms),
+          csp_advance_slow_start (&slow_start, &policy, true, now_ms),
           before * 1.5);
-      before = csp_advance_slow_start (&shift, &policy, true, now_ms);
+      before = csp_advance_slow_start (&slow_start, &policy, true, now_ms);
     }
   ck_assert_double_lt (before, 0.7);
-  ck_assert_double_eq (csp_advance_slow_start (&shift, &policy, false, 20000),
-                       before);
-  ck_assert_double_eq (csp_advance_slow_start (&shift, &policy, true, 24000),
-                       1);
-  csp_stop_slow_start (&shift);
-  ck_assert_double_eq (csp_advance_slow_start (&shift, &policy, true, 90000),
-                       0);
+  ck_assert_double_eq (
+      csp_advance_slow_start (&slow_start, &policy, false, 20000), before);
+  ck_assert_double_eq (
+      csp_advance_slow_start (&slow_start, &policy, true, 24000), 1);
+  csp_stop_slow_start (&slow_start);
+  ck_assert_double_eq (
+      csp_advance_slow_start (&slow_start, &policy, true, 90000), 0);
 }
 END_TEST
 
@@ -50,7 +50,7 @@
 
 START_TEST (load_does_not_oscillate_between_data_centres)
 {
-  csp_shift_policy_t policy = csp_default_shift_policy ();
+  csp_slow_start_policy_t policy = csp_default_slow_start_policy ();
   double published[3] = { 1, 1, 1 };
   double share = 1;
   double min_share = 1;
@@ -83,7 +83,7 @@
    once.  */
 START_TEST (pauses_move_little_and_trouble_moves_at_once)
 {
-  csp_shift_policy_t policy = csp_default_shift_policy ();
+  csp_slow_start_policy_t policy = csp_default_slow_start_policy ();
 
   ck_assert_double_eq_tol (csp_move_share (&policy, 0, 1, false, 60000), 0.1,
                            1e-9);
--- a/tests/support/fleet-messages.c
+++ b/tests/support/fleet-messages.c
@@ -153,7 +153,7 @@
 }
 
 static void
-deliver_carry (fleet_t *fleet, const fleet_message_t *message)
+deliver_load_query (fleet_t *fleet, const fleet_message_t *message)
 {
   fleet_node_t *node = &fleet->nodes[message->to];
   fleet_message_t *answer;
@@ -197,7 +197,7 @@
                        fleet->now_ms);
       break;
     case MESSAGE_LOAD_QUERY:
-      deliver_carry (fleet, message);
+      deliver_load_query (fleet, message);
       break;
     case MESSAGE_LOAD_QUERY_REPLY:
       csp_handle_load_query_answer (node->ownership, from, message->id,
--- a/tests/support/fleet.c
+++ b/tests/support/fleet.c
@@ -36,20 +36,20 @@
   csp_heartbeat_actions_t actions;
   csp_ownership_status_t owned;
   csp_config_status_t config;
-  csp_config_sync_status_t spread;
+  csp_config_sync_status_t sync_status;
   csp_local_state_t local;
   fleet_message_t *message;
   size_t i;
 
   csp_get_ownership_status (node->ownership, &owned);
   csp_get_configuration_status (node->configuration, &config);
-  csp_get_config_sync_status (node->config_sync, &spread);
+  csp_get_config_sync_status (node->config_sync, &sync_status);
   memset (&local, 0, sizeof local);
   local.state = node->state;
   local.revision = config.revision;
   local.digest = config.digest;
   local.refused_revision = config.refused_revision;
-  local.service_silent = spread.service_silent;
+  local.service_silent = sync_status.service_silent;
   local.owned_targets = (uint32_t)owned.owned;
   local.headroom_tokens = 1000 + (int64_t)index;
   csp_set_local_state (node->membership, &local);
