--- a/include/cowslipspoke/dispatch.h
+++ b/include/cowslipspoke/dispatch.h
@@ -14,7 +14,7 @@
    they can hold.  Hosts that decide independently all see the last free
    capacity and use it several times over: the engine evicts runs and
    recomputes them, and every stream there pauses.  Also, each host then has a
-   queue of its own, in which a small organisation waits behind a large one
+   queue of its own, in which a small organisation waits for a large one
    whose requests another host places at once.  So hosts send a placement
    request, called an ask as on the wire, to the decider, which counts every
    placement exactly and keeps one queue that is fair among organisations.  An
--- a/include/cowslipspoke/fleet.h
+++ b/include/cowslipspoke/fleet.h
@@ -249,8 +249,8 @@
                                    uint64_t tokens);
 
 /* The decider has assigned a prompt to the target.  */
-void csp_note_prompt_given (csp_fleet_target_t *target, uint32_t prompt_tokens,
-                            int64_t now_ms);
+void csp_note_prompt_assigned (csp_fleet_target_t *target,
+                               uint32_t prompt_tokens, int64_t now_ms);
 
 /* The outcome of a request: failed counts only faults of the target
    itself.  */
--- a/include/cowslipspoke/follow.h
+++ b/include/cowslipspoke/follow.h
@@ -18,8 +18,8 @@
                       csp_buffer_t *request);
   /* Handle the body of a successful answer, NUL-terminated, and record its
      outcome in the watch.  False if the body can't be used.  */
-  bool (*take_answer) (void *state, const csp_watch_call_t *call,
-                       const char *body, csp_watch_t *watch);
+  bool (*process_answer) (void *state, const csp_watch_call_t *call,
+                          const char *body, csp_watch_t *watch);
   /* Called at the first of several failed calls in a row: the known items may
      be out of date from now on.  May be NULL.  */
   void (*failures_began) (void *state);
--- a/include/cowslipspoke/length.h
+++ b/include/cowslipspoke/length.h
@@ -12,8 +12,8 @@
    engine's load report and gaps of seconds between tokens.
 
    The estimate is a life table for each key (a model and a class).  For bins
-   of n, whose width grows with n, it counts the tokens that answers made in
-   the bin (exposure) and the answers that ended there.  The ratio is the
+   of n, whose width grows with n, it counts the tokens that answers generated
+   in the bin (exposure) and the answers that ended there.  The ratio is the
    probability to end at the next token (hazard).  Running answers count in the
    exposure, so that lengths aren't underestimated after a start, when only
    short answers have ended.  An answer that was cut counts as exposure without
@@ -77,19 +77,19 @@
 void csp_record_length_end (csp_lengths_t *lengths, uint32_t key,
                             uint32_t tokens, csp_length_end_t end);
 
-/* Returns the probability that an answer of `made` tokens reaches
-   `made + ahead` tokens.  */
+/* Returns the probability that an answer of `generated` tokens reaches
+   `generated + ahead` tokens.  */
 double csp_length_survival (csp_lengths_t *lengths, uint32_t key,
-                            uint32_t made, uint32_t ahead);
+                            uint32_t generated, uint32_t ahead);
 
-/* Returns the mean remaining tokens of an answer of `made` tokens.  */
+/* Returns the mean remaining tokens of an answer of `generated` tokens.  */
 double csp_mean_tokens_left (csp_lengths_t *lengths, uint32_t key,
-                             uint32_t made);
+                             uint32_t generated);
 
-/* Returns a quantile of the remaining tokens of an answer of `made`
+/* Returns a quantile of the remaining tokens of an answer of `generated`
    tokens.  */
 uint32_t csp_quantile_tokens_left (csp_lengths_t *lengths, uint32_t key,
-                                   uint32_t made, double quantile);
+                                   uint32_t generated, double quantile);
 
 /* Returns the memory use of the store in bytes.  */
 uint64_t csp_lengths_size_bytes (const csp_lengths_t *lengths);
--- a/include/cowslipspoke/log.h
+++ b/include/cowslipspoke/log.h
@@ -106,7 +106,7 @@
     const char *text;
     int64_t number;
   } value;
-} csp_field_t;
+} csp_log_field_t;
 
 typedef struct csp_log csp_log_t;
 
@@ -123,22 +123,23 @@
 void csp_destroy_log (csp_log_t *log);
 
 /* A field with a string value; NULL is written as null.  */
-csp_field_t csp_text (const char *name, const char *text);
+csp_log_field_t csp_text (const char *name, const char *text);
 
 /* A field with a whole number.  */
-csp_field_t csp_number (const char *name, int64_t number);
+csp_log_field_t csp_number (const char *name, int64_t number);
 
 /* Write one event.  Events below a warning are rate-limited: those beyond the
    limit are dropped and counted.  request_id may be NULL.  fields ends with a
    field of kind CSP_FIELD_END.  Any thread may call the function; the event is
    dropped where log is NULL.  */
 void csp_log_fields (csp_log_t *log, csp_event_t event, const char *request_id,
-                     const csp_field_t *fields);
+                     const csp_log_field_t *fields);
 
 /* Calls csp_log_fields with the fields given as arguments.  */
 #define CSP_LOG(log, event, request_id, ...)                                  \
-  csp_log_fields (log, event, request_id,                                     \
-                  (const csp_field_t[]){ __VA_ARGS__, { CSP_FIELD_END } })
+  csp_log_fields (                                                            \
+      log, event, request_id,                                                 \
+      (const csp_log_field_t[]){ __VA_ARGS__, { CSP_FIELD_END } })
 
 /* The row of an event; NULL for an unknown event.  */
 const csp_event_row_t *csp_find_event (csp_event_t event);
--- a/include/cowslipspoke/mirror.h
+++ b/include/cowslipspoke/mirror.h
@@ -200,7 +200,7 @@
   struct sockaddr_in serve_address; /* port 0: the mirror isn't served */
   uint64_t link_bytes_per_s;
   struct sockaddr_in store_address;
-  /* The store's protocol; its take_answer puts items into the mirror.  */
+  /* The store's protocol; its process_answer puts items into the mirror.  */
   const csp_follow_source_t *store_source;
   void *store_state;
   /* The live hosts, and the rank order of those that may read the store.  */
@@ -223,8 +223,8 @@
                       csp_mirror_t *mirror, csp_log_t *log);
 void csp_close_mirror_feed (csp_mirror_feed_t *feed);
 
-/* To be called by the store's take_answer after it has put an answer's items.
-   current: the answer was up to date, which a stale list isn't.  */
+/* To be called by the store's process_answer after it has put an answer's
+   items. current: the answer was up to date, which a stale list isn't.  */
 void csp_note_store_answer (csp_mirror_feed_t *feed, bool current);
 
 /* To be called by the store's reach_changed.  */
--- a/include/cowslipspoke/queue.h
+++ b/include/cowslipspoke/queue.h
@@ -11,7 +11,7 @@
    share nothing.
 
    Load pattern: one organisation sends more than all others together, for
-   minutes or hours.  Without this decision everybody waits behind its backlog:
+   minutes or hours.  Without this decision everybody waits for its backlog:
    the time to first token of small organisations follows the large one's load,
    and requests are served after their callers have gone.
 
--- a/include/cowslipspoke/route.h
+++ b/include/cowslipspoke/route.h
@@ -48,7 +48,7 @@
   bool allows_anonymous; /* needs no key */
   size_t share_count;
   csp_route_share_t shares[CSP_ROUTE_SHARES_MAX];
-} csp_route_t;
+} csp_gateway_route_t;
 
 /* A service: a model engine, which has KV memory and batches requests, or a
    plain service, for which the fields on memory and copies are unused.  */
@@ -97,7 +97,7 @@
    organisation.  */
 bool csp_add_service (csp_routes_t *routes,
                       const csp_route_service_t *service);
-bool csp_add_route (csp_routes_t *routes, const csp_route_t *route);
+bool csp_add_route (csp_routes_t *routes, const csp_gateway_route_t *route);
 bool csp_add_organisation (csp_routes_t *routes, const char *name,
                            int32_t urgency);
 bool csp_add_key (csp_routes_t *routes, const char *key);
@@ -117,8 +117,9 @@
 
 /* The route for a host name, with or without a port, that has the longest
    matching prefix of the path; NULL if there is none.  */
-const csp_route_t *csp_match_route (const csp_routes_t *routes,
-                                    const char *host, const char *path);
+const csp_gateway_route_t *csp_match_route (const csp_routes_t *routes,
+                                            const char *host,
+                                            const char *path);
 
 /* The organisation that owns a key; NULL if there is none.  */
 const csp_route_organisation_t *csp_find_key_owner (const csp_routes_t *routes,
@@ -134,7 +135,7 @@
 
 /* Pick one of a route's services at random, in proportion to their weights;
    NULL if all weights are 0.  */
-const char *csp_pick_weighted_service (const csp_route_t *route,
+const char *csp_pick_weighted_service (const csp_gateway_route_t *route,
                                        csp_random_t *random);
 
 #endif
--- a/include/cowslipspoke/shift.h
+++ b/include/cowslipspoke/shift.h
@@ -9,7 +9,7 @@
 
    Load pattern: a target comes back at saturation, while hundreds of requests
    are queued.  Without slow start all of them go there at once, as it is the
-   only target with free memory.  Their prompts queue up behind each other, the
+   only target with free memory.  Their prompts queue up, the
    first tokens are seconds late, the answers end together, and the next wave
    of requests starts together.  The symptom is a time to first token many
    times that of other targets, recurring every ten seconds or so.  Between
--- a/source/control/control-choose.c
+++ b/source/control/control-choose.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 /* Chooses the target of a request: collects the facts that placement, health
-   and shifting need, and calls them.  */
+   and slow start need, and calls them.  */
 
 static const double us_per_ms = 1000;
 
--- a/source/control/control-config.c
+++ b/source/control/control-config.c
@@ -322,7 +322,8 @@
 read_config (csp_control_t *control, const csp_config_sync_action_t *action,
              int64_t now_ms)
 {
-  csp_control_command_t *command = csp_new_command (CSP_COMMAND_CONFIG_READ);
+  csp_control_command_t *command
+      = csp_create_command (CSP_COMMAND_CONFIG_READ);
   char path[PATH_BYTES];
 
   snprintf (path, sizeof path, "/v1/config?after=%lld&wait_ms=%u",
@@ -362,7 +363,7 @@
             (long long)watch->version, HOSTS_WAIT_MS);
   sent = csp_start_read (control, &control->platform, path,
                          HOSTS_WAIT_MS + HOSTS_TIMEOUT_MARGIN_MS,
-                         csp_new_command (CSP_COMMAND_HOSTS_READ));
+                         csp_create_command (CSP_COMMAND_HOSTS_READ));
   csp_note_list_read_sent (&watch->read_schedule, sent, now_ms);
 }
 
--- a/source/control/control-imp.h
+++ b/source/control/control-imp.h
@@ -294,7 +294,7 @@
 void csp_post_command (csp_control_t *control, csp_control_command_t *command);
 
 /* A new command, or NULL.  */
-csp_control_command_t *csp_new_command (csp_control_command_kind_t kind);
+csp_control_command_t *csp_create_command (csp_control_command_kind_t kind);
 
 /* Free a command with its body.  */
 void csp_free_command (csp_control_command_t *command);
--- a/source/control/control-orders.c
+++ b/source/control/control-orders.c
@@ -241,7 +241,8 @@
             int64_t now_ms)
 {
   csp_target_state_t *target = control->targets[index];
-  csp_control_command_t *command = csp_new_command (CSP_COMMAND_ORDER_STATUS);
+  csp_control_command_t *command
+      = csp_create_command (CSP_COMMAND_ORDER_STATUS);
   order_callback_t *callback = malloc (sizeof *callback);
   char *body = format_order (order);
   csp_endpoint_t endpoint;
--- a/source/control/control-peer.c
+++ b/source/control/control-peer.c
@@ -40,7 +40,7 @@
                size_t size_bytes)
 {
   csp_control_t *control = state;
-  csp_control_command_t *command = csp_new_command (CSP_COMMAND_PEER_ASK);
+  csp_control_command_t *command = csp_create_command (CSP_COMMAND_PEER_ASK);
 
   if (command == NULL || !copy_body (command, data, size_bytes))
     {
@@ -85,7 +85,8 @@
                const csp_peer_message_t *message, uint64_t id,
                uint32_t timeout_ms)
 {
-  csp_control_command_t *command = csp_new_command (CSP_COMMAND_PEER_ANSWER);
+  csp_control_command_t *command
+      = csp_create_command (CSP_COMMAND_PEER_ANSWER);
   peer_callback_t *callback = malloc (sizeof *callback);
   uint8_t *data = NULL;
   size_t size_bytes = 0;
--- a/source/control/control-targets.c
+++ b/source/control/control-targets.c
@@ -191,7 +191,7 @@
 read_load (csp_control_t *control, uint32_t index, int64_t now_ms)
 {
   csp_target_state_t *target = control->targets[index];
-  csp_control_command_t *command = csp_new_command (CSP_COMMAND_LOAD_READ);
+  csp_control_command_t *command = csp_create_command (CSP_COMMAND_LOAD_READ);
   csp_endpoint_t endpoint;
 
   if (command == NULL)
--- a/source/control/control.c
+++ b/source/control/control.c
@@ -14,7 +14,7 @@
 };
 
 csp_control_command_t *
-csp_new_command (csp_control_command_kind_t kind)
+csp_create_command (csp_control_command_kind_t kind)
 {
   csp_control_command_t *command = calloc (1, sizeof *command);
 
--- a/source/control/waiter.c
+++ b/source/control/waiter.c
@@ -42,7 +42,7 @@
   if (pthread_cond_timedwait (&waiter->decided, &waiter->lock, &until) == 0
       || !waiter->ask->is_gone (waiter->ask->gone_state))
     return;
-  command = csp_new_command (CSP_COMMAND_ABANDON);
+  command = csp_create_command (CSP_COMMAND_ABANDON);
   if (command == NULL)
     return;
   command->id = waiter->number;
@@ -54,7 +54,7 @@
 post_and_wait (csp_control_t *control, csp_waiter_t *waiter,
                csp_control_command_kind_t kind)
 {
-  csp_control_command_t *command = csp_new_command (kind);
+  csp_control_command_t *command = csp_create_command (kind);
   bool abandoned = false;
 
   if (command == NULL)
@@ -114,7 +114,7 @@
 csp_end_claim (csp_control_t *control, uint64_t claim,
                csp_once_outcome_t outcome)
 {
-  csp_control_command_t *command = csp_new_command (CSP_COMMAND_END_CLAIM);
+  csp_control_command_t *command = csp_create_command (CSP_COMMAND_END_CLAIM);
 
   /* Without memory the claim stays open; no host takes an open claim as not
      run.  */
@@ -138,7 +138,7 @@
 csp_report_progress (csp_control_t *control, const csp_grant_t *grant,
                      uint64_t tokens, int64_t blocked_ms)
 {
-  csp_control_command_t *command = csp_new_command (CSP_COMMAND_PROGRESS);
+  csp_control_command_t *command = csp_create_command (CSP_COMMAND_PROGRESS);
 
   if (command == NULL)
     return;
@@ -152,7 +152,7 @@
 csp_release_grant (csp_control_t *control, const csp_grant_t *grant,
                    const csp_grant_outcome_t *outcome)
 {
-  csp_control_command_t *command = csp_new_command (CSP_COMMAND_RELEASE);
+  csp_control_command_t *command = csp_create_command (CSP_COMMAND_RELEASE);
 
   /* Without the command the grant would never be released, so stop the
      process.  */
--- a/source/dispatch/dispatch.c
+++ b/source/dispatch/dispatch.c
@@ -17,7 +17,7 @@
      prompts together, beside its runs, at about 5 tokens a ms, so each is done
      only when all are; this many take 0.9 s, half of the usual time to first
      token.  Without the limit everything that waits is placed on a new engine
-     at once when the others are full: of 270 texts that began late 207 had
+     at once when the others are full: of 270 answers that began late 207 had
      been placed within 0.2 s.  The mean worth of the answers of four days of
      45 and 48 engines is 0.58 with this limit, 0.55 with twice as much and
      0.54 with none.  */
@@ -115,9 +115,9 @@
    free capacity now; the rate is measured over two seconds.  And more requests
    expire than the rate predicts, as more urgent ones overtake; so a request is
    refused on arrival when its predicted wait exceeds an eighth of its
-   remaining time.  At 1.2 times the memory of 48 engines, 66 in 100 long texts
-   and 78 in 100 short ones are in time with these parameters, and 59 and 71
-   with the defaults.  */
+   remaining time.  At 1.2 times the memory of 48 engines, 66 in 100 long
+   answers and 78 in 100 short ones are in time with these parameters, and 59
+   and 71 with the defaults.  */
 static csp_queue_policy_t
 queue_policy (void)
 {
@@ -299,7 +299,7 @@
   free_waiting (dispatch, waiting);
   csp_reserve_capacity (dispatch, target, ask.tokens, ask.prompt_tokens,
                         now_ms);
-  csp_note_prompt_given (target, ask.prompt_tokens, now_ms);
+  csp_note_prompt_assigned (target, ask.prompt_tokens, now_ms);
   csp_note_request_assigned (target, &dispatch->role, now_ms);
   csp_send_ask_answer (dispatch, &ask, CSP_ASK_PLACED, target->hash, 0);
 }
--- a/source/entry/answer.c
+++ b/source/entry/answer.c
@@ -46,7 +46,8 @@
 }
 
 void
-csp_answer_json (csp_exchange_t *exchange, uint16_t status, const char *json)
+csp_answer_json (csp_entry_exchange_t *exchange, uint16_t status,
+                 const char *json)
 {
   mg_printf (exchange->connection,
              "HTTP/1.1 %u %s\r\nContent-Type: application/json\r\n"
@@ -60,7 +61,7 @@
 /* Whether an earlier attempt of this request may have run: the request has an
    idempotency key and must not run twice, and its key is not claimed yet.  */
 static bool
-may_have_run_before (const csp_exchange_t *exchange)
+may_have_run_before (const csp_entry_exchange_t *exchange)
 {
   const char *method;
   const char *path;
@@ -81,7 +82,7 @@
    about earlier attempts; a caller whose first attempt did run would take
    "not run" as final.  */
 static csp_error_t
-adjust_verdict (const csp_exchange_t *exchange, const csp_error_t *error)
+adjust_verdict (const csp_entry_exchange_t *exchange, const csp_error_t *error)
 {
   csp_error_t adjusted = *error;
 
@@ -97,7 +98,7 @@
 }
 
 void
-csp_assign_request_id (csp_exchange_t *exchange)
+csp_assign_request_id (csp_entry_exchange_t *exchange)
 {
   csp_entry_t *entry = exchange->entry;
   uint64_t number = atomic_fetch_add (&entry->next_request, 1);
@@ -108,7 +109,7 @@
 }
 
 void
-csp_answer_error (csp_exchange_t *exchange, const csp_error_t *error)
+csp_answer_error (csp_entry_exchange_t *exchange, const csp_error_t *error)
 {
   csp_error_t adjusted_error = adjust_verdict (exchange, error);
   uint16_t status = csp_reason_status (adjusted_error.reason);
@@ -145,7 +146,7 @@
                       const char *message)
 {
   csp_entry_t *entry = mg_get_user_data (mg_get_context (connection));
-  csp_exchange_t exchange
+  csp_entry_exchange_t exchange
       = { .entry = entry, .connection = connection, .socket = -1 };
   bool too_large = status == 413 || status == 414 || status == 431;
   csp_error_t error;
@@ -162,7 +163,7 @@
 }
 
 int
-csp_begin_events (csp_exchange_t *exchange)
+csp_begin_events (csp_entry_exchange_t *exchange)
 {
   int sent = mg_printf (exchange->connection,
                         "HTTP/1.1 200 OK\r\n"
@@ -178,8 +179,8 @@
    write is a packet, and three packets for each token cost more than the
    token itself.  */
 static int
-send_chunk (csp_exchange_t *exchange, const char *before, const char *data,
-            const char *after)
+send_chunk (csp_entry_exchange_t *exchange, const char *before,
+            const char *data, const char *after)
 {
   size_t chunk_bytes = strlen (before) + strlen (data) + strlen (after);
   size_t frame_capacity_bytes = chunk_bytes + HEADER_BYTES;
@@ -201,7 +202,8 @@
 }
 
 int
-csp_send_event (csp_exchange_t *exchange, const char *name, const char *data)
+csp_send_event (csp_entry_exchange_t *exchange, const char *name,
+                const char *data)
 {
   char before[64];
 
@@ -213,13 +215,13 @@
 }
 
 int
-csp_send_keep_alive (csp_exchange_t *exchange)
+csp_send_keep_alive (csp_entry_exchange_t *exchange)
 {
   return send_chunk (exchange, ":", "", "\n\n");
 }
 
 void
-csp_end_events (csp_exchange_t *exchange)
+csp_end_events (csp_entry_exchange_t *exchange)
 {
   mg_write (exchange->connection, "0\r\n\r\n", 5);
 }
--- a/source/entry/call.c
+++ b/source/entry/call.c
@@ -15,7 +15,7 @@
 /* The state of one call of a plain service while it is served.  */
 typedef struct
 {
-  csp_exchange_t *exchange;
+  csp_entry_exchange_t *exchange;
   const csp_service_t *service;
   csp_admission_ask_t ask;
   csp_grant_t grant;
@@ -44,7 +44,7 @@
 confirm_send (void *state)
 {
   service_call_t *call = state;
-  csp_exchange_t *exchange = call->exchange;
+  csp_entry_exchange_t *exchange = call->exchange;
 
   call->grant_lost = !csp_confirm_grant (exchange->entry->control,
                                          &call->grant, exchange->claim);
@@ -56,7 +56,7 @@
 static int
 prepare_call (service_call_t *call, const char *rest, csp_error_t *error)
 {
-  csp_exchange_t *exchange = call->exchange;
+  csp_entry_exchange_t *exchange = call->exchange;
   const struct mg_request_info *info = exchange->info;
   csp_request_facts_t facts
       = { .service = call->service->name,
@@ -98,7 +98,7 @@
 static csp_recovery_t
 call_target (service_call_t *call, csp_link_end_t *end)
 {
-  const csp_exchange_t *exchange = call->exchange;
+  const csp_entry_exchange_t *exchange = call->exchange;
   csp_recovery_policy_t policy = csp_default_recovery_policy ();
   const char *type = mg_get_header (exchange->connection, "Content-Type");
   csp_service_link_t link
@@ -186,8 +186,8 @@
 }
 
 void
-csp_serve_service_call (csp_exchange_t *exchange, const csp_service_t *service,
-                        const char *rest)
+csp_serve_service_call (csp_entry_exchange_t *exchange,
+                        const csp_service_t *service, const char *rest)
 {
   service_call_t call = { .exchange = exchange, .service = service };
   csp_error_t error;
--- a/source/entry/caller.c
+++ b/source/entry/caller.c
@@ -15,7 +15,7 @@
 static const char bearer[] = "Bearer ";
 
 static int
-grow_body (csp_exchange_t *exchange, size_t *capacity_bytes)
+grow_body (csp_entry_exchange_t *exchange, size_t *capacity_bytes)
 {
   size_t new_capacity
       = *capacity_bytes == 0 ? INITIAL_BODY_BYTES : *capacity_bytes * 2;
@@ -29,7 +29,7 @@
 }
 
 static int
-read_whole_body (csp_exchange_t *exchange, csp_error_t *error)
+read_whole_body (csp_entry_exchange_t *exchange, csp_error_t *error)
 {
   uint32_t limit_bytes = exchange->entry->context->settings.max_body_bytes;
   size_t capacity_bytes = 0;
@@ -73,7 +73,7 @@
 }
 
 int
-csp_read_body (csp_exchange_t *exchange, csp_error_t *error)
+csp_read_body (csp_entry_exchange_t *exchange, csp_error_t *error)
 {
   uint32_t limit_ms = exchange->entry->context->settings.caller_timeout_ms;
   int result;
@@ -90,7 +90,7 @@
 }
 
 int
-csp_identify_caller (csp_exchange_t *exchange, csp_error_t *error)
+csp_identify_caller (csp_entry_exchange_t *exchange, csp_error_t *error)
 {
   const char *field = mg_get_header (exchange->connection, "Authorization");
   const csp_declaration_t *declaration;
@@ -123,7 +123,7 @@
 }
 
 int
-csp_apply_rules (csp_exchange_t *exchange, csp_request_facts_t *facts,
+csp_apply_rules (csp_entry_exchange_t *exchange, csp_request_facts_t *facts,
                  csp_admission_ask_t *ask, csp_error_t *error)
 {
   csp_rule_outcome_t outcome;
--- a/source/entry/claim.c
+++ b/source/entry/claim.c
@@ -7,7 +7,7 @@
    retries through any host run at most once.  */
 
 int
-csp_begin_claim (csp_exchange_t *exchange, csp_error_t *error)
+csp_begin_claim (csp_entry_exchange_t *exchange, csp_error_t *error)
 {
   csp_once_ask_t ask = { .deadline_ms = exchange->deadline_ms };
 
@@ -22,7 +22,7 @@
 }
 
 void
-csp_finish_claim (csp_exchange_t *exchange, int result,
+csp_finish_claim (csp_entry_exchange_t *exchange, int result,
                   const csp_error_t *error)
 {
   static const csp_once_outcome_t outcomes[]
--- a/source/entry/entry-imp.h
+++ b/source/entry/entry-imp.h
@@ -24,12 +24,12 @@
   pthread_t watchdog;
   pthread_mutex_t timed_reads_lock;
   pthread_cond_t timed_read_began;
-  bool watchdog_stops;                      /* under timed_reads_lock */
-  LIST_HEAD (, csp_exchange_s) timed_reads; /* under timed_reads_lock */
+  bool watchdog_stops;                            /* under timed_reads_lock */
+  LIST_HEAD (, csp_entry_exchange_s) timed_reads; /* under timed_reads_lock */
 };
 
 /* One request of a caller while a traffic thread serves it.  */
-typedef struct csp_exchange_s
+typedef struct csp_entry_exchange_s
 {
   csp_entry_t *entry;
   struct mg_connection *connection;
@@ -45,18 +45,19 @@
   size_t body_bytes;
   uint64_t claim; /* on the key of an at-most-once call; 0 for none */
   int socket;     /* the caller's; -1 when it was not found */
-  LIST_ENTRY (csp_exchange_s) timed_reads_link;
+  LIST_ENTRY (csp_entry_exchange_s) timed_reads_link;
   int64_t read_deadline_ms;
   bool read_timed_out; /* under timed_reads_lock */
   bool body_read;      /* completely, or up to a failure */
-} csp_exchange_t;
+} csp_entry_exchange_t;
 
 /* Assigns the request id that appears in log lines and in the answer.  */
-void csp_assign_request_id (csp_exchange_t *exchange);
+void csp_assign_request_id (csp_entry_exchange_t *exchange);
 
 /* Answers with an error and logs it.  No byte of an answer may have been sent
    before.  */
-void csp_answer_error (csp_exchange_t *exchange, const csp_error_t *error);
+void csp_answer_error (csp_entry_exchange_t *exchange,
+                       const csp_error_t *error);
 
 /* The http_error callback of the HTTP library: answers a request that the
    library refused before any handler was called.  Returns 0, which tells the
@@ -65,7 +66,7 @@
                           const char *message);
 
 /* Answers with a JSON text.  */
-void csp_answer_json (csp_exchange_t *exchange, uint16_t status,
+void csp_answer_json (csp_entry_exchange_t *exchange, uint16_t status,
                       const char *json);
 
 /* Renders an error as the JSON that callers get; the caller of the function
@@ -73,23 +74,23 @@
 char *csp_render_error (const char *request_id, const csp_error_t *error);
 
 /* Begins an event stream.  Returns 0, or -1 when the caller is gone.  */
-int csp_begin_events (csp_exchange_t *exchange);
+int csp_begin_events (csp_entry_exchange_t *exchange);
 
 /* Sends one event; name may be NULL.  Returns 0, or -1 when the caller is
    gone.  */
-int csp_send_event (csp_exchange_t *exchange, const char *name,
+int csp_send_event (csp_entry_exchange_t *exchange, const char *name,
                     const char *data);
 
 /* Sends an event stream comment, which callers ignore.  Returns 0, or -1 when
    the caller is gone.  */
-int csp_send_keep_alive (csp_exchange_t *exchange);
+int csp_send_keep_alive (csp_entry_exchange_t *exchange);
 
 /* Ends an event stream.  */
-void csp_end_events (csp_exchange_t *exchange);
+void csp_end_events (csp_entry_exchange_t *exchange);
 
 /* Reads the body within the size and time limits of the settings.  Returns 0,
    or -1 with an error.  */
-int csp_read_body (csp_exchange_t *exchange, csp_error_t *error);
+int csp_read_body (csp_entry_exchange_t *exchange, csp_error_t *error);
 
 /* Starts or stops the watchdog thread, which limits the time for reading a
    body.  Starting returns 0, or -1 when there is no thread.  */
@@ -99,16 +100,16 @@
 /* Between these two calls the caller has limit_ms to send its data.  After
    that the receiving side of the socket is shut down, so that reads end as if
    the caller had sent no more; csp_end_timed_read then returns false.  */
-void csp_begin_timed_read (csp_exchange_t *exchange, uint32_t limit_ms);
-bool csp_end_timed_read (csp_exchange_t *exchange);
+void csp_begin_timed_read (csp_entry_exchange_t *exchange, uint32_t limit_ms);
+bool csp_end_timed_read (csp_entry_exchange_t *exchange);
 
 /* Discards what the caller still sends and shuts down the receiving side of
    its socket.  */
-void csp_discard_unread_input (csp_exchange_t *exchange);
+void csp_discard_unread_input (csp_entry_exchange_t *exchange);
 
 /* Finds the organisation by the bearer key.  Returns 0, or -1 with an
    error.  */
-int csp_identify_caller (csp_exchange_t *exchange, csp_error_t *error);
+int csp_identify_caller (csp_entry_exchange_t *exchange, csp_error_t *error);
 
 /* Finds the descriptor of a caller's socket at the listener's port; -1 when
    there is none.  */
@@ -124,23 +125,24 @@
 
 /* Claims the idempotency key of an at-most-once call.  Returns 0 when the call
    may run, with a claim if it has a key; -1 with an error.  */
-int csp_begin_claim (csp_exchange_t *exchange, csp_error_t *error);
+int csp_begin_claim (csp_entry_exchange_t *exchange, csp_error_t *error);
 
 /* Records the outcome of a claimed call.  Must be called before the caller is
    answered, so that no retry arrives before the outcome is recorded.  */
-void csp_finish_claim (csp_exchange_t *exchange, int result,
+void csp_finish_claim (csp_entry_exchange_t *exchange, int result,
                        const csp_error_t *error);
 
 /* Serves a generation request.  */
-void csp_serve_generation (csp_exchange_t *exchange, csp_api_t api);
+void csp_serve_generation (csp_entry_exchange_t *exchange, csp_api_t api);
 
 /* Serves a call of a plain service; rest is the path after its prefix.  */
-void csp_serve_service_call (csp_exchange_t *exchange,
+void csp_serve_service_call (csp_entry_exchange_t *exchange,
                              const csp_service_t *service, const char *rest);
 
 /* Applies the declared rules to a request.  Returns 0 with the request's terms
    in ask, or -1 with the error of a rule that rejects it.  */
-int csp_apply_rules (csp_exchange_t *exchange, csp_request_facts_t *facts,
-                     csp_admission_ask_t *ask, csp_error_t *error);
+int csp_apply_rules (csp_entry_exchange_t *exchange,
+                     csp_request_facts_t *facts, csp_admission_ask_t *ask,
+                     csp_error_t *error);
 
 #endif
--- a/source/entry/generate-answer.c
+++ b/source/entry/generate-answer.c
@@ -162,7 +162,7 @@
 record_run_metrics (const csp_generation_run_t *run, int result,
                     csp_link_end_t end, const csp_error_t *error)
 {
-  const csp_exchange_t *exchange = run->exchange;
+  const csp_entry_exchange_t *exchange = run->exchange;
 
   csp_observe_time (exchange->labels, CSP_TIME_WAITING,
                     run->grant.wait_ms * US_PER_MS);
@@ -182,7 +182,7 @@
 static void
 log_run (const csp_generation_run_t *run, csp_link_end_t end)
 {
-  const csp_exchange_t *exchange = run->exchange;
+  const csp_entry_exchange_t *exchange = run->exchange;
 
   CSP_LOG (exchange->entry->context->log, CSP_EVENT_REQUEST_ENDED,
            exchange->id,
--- a/source/entry/generate-imp.h
+++ b/source/entry/generate-imp.h
@@ -6,7 +6,7 @@
 /* The state of one generation request while it is served.  */
 typedef struct
 {
-  csp_exchange_t *exchange;
+  csp_entry_exchange_t *exchange;
   csp_request_t *request;
   const csp_route_t *route;
   csp_admission_ask_t ask;
--- a/source/entry/generate-prepare.c
+++ b/source/entry/generate-prepare.c
@@ -70,7 +70,7 @@
 int
 csp_prepare_generation (csp_generation_run_t *run, csp_error_t *error)
 {
-  csp_exchange_t *exchange = run->exchange;
+  csp_entry_exchange_t *exchange = run->exchange;
   const csp_declaration_t *declaration = csp_view_declaration (exchange->view);
   csp_request_facts_t facts = { 0 };
   const csp_class_t *class_row;
--- a/source/entry/generate.c
+++ b/source/entry/generate.c
@@ -207,7 +207,7 @@
     }
 }
 void
-csp_serve_generation (csp_exchange_t *exchange, csp_api_t api)
+csp_serve_generation (csp_entry_exchange_t *exchange, csp_api_t api)
 {
   csp_generation_run_t run = { .exchange = exchange };
   csp_link_end_t end = CSP_LINK_END_COUNT;
--- a/source/entry/hang-up.c
+++ b/source/entry/hang-up.c
@@ -115,7 +115,7 @@
 bool
 csp_caller_is_gone (void *state)
 {
-  const csp_exchange_t *exchange = state;
+  const csp_entry_exchange_t *exchange = state;
   struct pollfd socket = { .fd = exchange->socket, .events = POLLRDHUP };
 
   if (exchange->socket < 0 || poll (&socket, 1, 0) <= 0)
--- a/source/entry/server.c
+++ b/source/entry/server.c
@@ -18,7 +18,7 @@
 };
 
 static bool
-init_exchange (csp_exchange_t *exchange, csp_entry_t *entry,
+init_exchange (csp_entry_exchange_t *exchange, csp_entry_t *entry,
                struct mg_connection *connection, csp_error_t *error)
 {
   csp_request_header_fields_t fields;
@@ -57,7 +57,7 @@
 }
 
 static void
-end_exchange (csp_exchange_t *exchange)
+end_exchange (csp_entry_exchange_t *exchange)
 {
   csp_discard_unread_input (exchange);
   csp_release_view (exchange->view);
@@ -69,7 +69,7 @@
    sees zero while a request is between the listener and its handler.  Returns
    false after answering a request that is refused.  */
 static bool
-accept_exchange (csp_exchange_t *exchange, csp_entry_t *entry,
+accept_exchange (csp_entry_exchange_t *exchange, csp_entry_t *entry,
                  struct mg_connection *connection)
 {
   csp_error_t error;
@@ -84,9 +84,9 @@
 }
 
 static bool
-require_method (const csp_exchange_t *exchange, const char *method)
+require_method (const csp_entry_exchange_t *exchange, const char *method)
 {
-  csp_exchange_t *mutable_exchange = (csp_exchange_t *)exchange;
+  csp_entry_exchange_t *mutable_exchange = (csp_entry_exchange_t *)exchange;
   csp_error_t error;
 
   if (strcmp (exchange->info->request_method, method) == 0)
@@ -100,7 +100,7 @@
 static int
 handle_completions (struct mg_connection *connection, void *state)
 {
-  csp_exchange_t exchange;
+  csp_entry_exchange_t exchange;
 
   if (accept_exchange (&exchange, state, connection)
       && require_method (&exchange, "POST"))
@@ -112,7 +112,7 @@
 static int
 handle_chat (struct mg_connection *connection, void *state)
 {
-  csp_exchange_t exchange;
+  csp_entry_exchange_t exchange;
 
   if (accept_exchange (&exchange, state, connection)
       && require_method (&exchange, "POST"))
@@ -122,7 +122,7 @@
 }
 
 static void
-answer_models (csp_exchange_t *exchange)
+answer_models (csp_entry_exchange_t *exchange)
 {
   const csp_declaration_t *declaration = csp_view_declaration (exchange->view);
   json_object *document = json_object_new_object ();
@@ -150,7 +150,7 @@
 static int
 handle_models (struct mg_connection *connection, void *state)
 {
-  csp_exchange_t exchange;
+  csp_entry_exchange_t exchange;
 
   if (accept_exchange (&exchange, state, connection)
       && require_method (&exchange, "GET"))
@@ -160,7 +160,7 @@
 }
 
 static void
-answer_idempotency_home (csp_exchange_t *exchange)
+answer_idempotency_home (csp_entry_exchange_t *exchange)
 {
   const csp_context_t *context = exchange->entry->context;
   csp_once_settings_t settings = csp_default_once_settings ();
@@ -188,7 +188,7 @@
 static int
 handle_idempotency_home (struct mg_connection *connection, void *state)
 {
-  csp_exchange_t exchange;
+  csp_entry_exchange_t exchange;
 
   if (accept_exchange (&exchange, state, connection)
       && require_method (&exchange, "GET"))
@@ -228,7 +228,7 @@
 /* Finds the service of a path "/v1/services/NAME/REST" or of a path below the
    service's own prefix.  */
 static const csp_service_t *
-find_called_service (const csp_exchange_t *exchange, const char **rest)
+find_called_service (const csp_entry_exchange_t *exchange, const char **rest)
 {
   static const char prefix[] = "/v1/services/";
   const csp_declaration_t *declaration = csp_view_declaration (exchange->view);
@@ -253,7 +253,7 @@
 {
   const csp_service_t *service;
   const char *rest = "/";
-  csp_exchange_t exchange;
+  csp_entry_exchange_t exchange;
   csp_error_t error;
 
   if (accept_exchange (&exchange, state, connection))
--- a/source/entry/watch.c
+++ b/source/entry/watch.c
@@ -20,7 +20,7 @@
 end_overdue_reads (csp_entry_t *entry)
 {
   int64_t now_ms = csp_now_ms (&entry->context->clock);
-  csp_exchange_t *exchange;
+  csp_entry_exchange_t *exchange;
 
   LIST_FOREACH (exchange, &entry->timed_reads, timed_reads_link)
   if (!exchange->read_timed_out && now_ms >= exchange->read_deadline_ms)
@@ -76,7 +76,7 @@
 }
 
 void
-csp_begin_timed_read (csp_exchange_t *exchange, uint32_t limit_ms)
+csp_begin_timed_read (csp_entry_exchange_t *exchange, uint32_t limit_ms)
 {
   csp_entry_t *entry = exchange->entry;
 
@@ -91,7 +91,7 @@
 }
 
 bool
-csp_end_timed_read (csp_exchange_t *exchange)
+csp_end_timed_read (csp_entry_exchange_t *exchange)
 {
   csp_entry_t *entry = exchange->entry;
   bool read_timed_out;
@@ -110,7 +110,7 @@
    the library would read until nothing is left, which a slow caller could
    prolong without end; shutting down the receiving side ends it at once.  */
 void
-csp_discard_unread_input (csp_exchange_t *exchange)
+csp_discard_unread_input (csp_entry_exchange_t *exchange)
 {
   char discarded[4096];
 
--- a/source/fleet/fleet-choose.c
+++ b/source/fleet/fleet-choose.c
@@ -139,8 +139,8 @@
 }
 
 void
-csp_note_prompt_given (csp_fleet_target_t *target, uint32_t prompt_tokens,
-                       int64_t now_ms)
+csp_note_prompt_assigned (csp_fleet_target_t *target, uint32_t prompt_tokens,
+                          int64_t now_ms)
 {
   target->recent_prompt_tokens
       = decayed_prompt_tokens (target, now_ms) + prompt_tokens;
--- a/source/follow/follow.c
+++ b/source/follow/follow.c
@@ -101,9 +101,9 @@
   if (follower->packed && !unpack_answer (follower))
     return false;
   return csp_append_buffer (&follower->answer, "", 1)
-         && follower->source->take_answer (follower->state, &follower->call,
-                                           follower->answer.data,
-                                           &follower->watch);
+         && follower->source->process_answer (follower->state, &follower->call,
+                                              follower->answer.data,
+                                              &follower->watch);
 }
 
 static void
--- a/source/gateway/gateway-exchange-imp.h
+++ b/source/gateway/gateway-exchange-imp.h
@@ -5,7 +5,7 @@
 
 enum
 {
-  CSP_REQUEST_ID_BYTES = 80,
+  CSP_GATEWAY_REQUEST_ID_BYTES = 80,
   CSP_EVENT_ID_BYTES = 32,
   CSP_ADDRESS_TEXT_BYTES = 32,
   CSP_COPY_TEXT_BYTES = 128
@@ -59,11 +59,11 @@
 
   /* The request.  */
   csp_routes_t *routes;
-  const csp_route_t *route;
+  const csp_gateway_route_t *route;
   const csp_route_service_t *service;
   const char *organisation; /* NULL where no API key is required */
   uint32_t urgency;
-  char request_id[CSP_REQUEST_ID_BYTES];
+  char request_id[CSP_GATEWAY_REQUEST_ID_BYTES];
   csp_labels_t labels; /* the series that its times are counted in */
   int64_t began_ms;
   int64_t deadline_ms;
--- a/source/gateway/gateway-move.c
+++ b/source/gateway/gateway-move.c
@@ -177,8 +177,8 @@
 }
 
 /* The destination leaves or has restarted during the first copy: the run would
-   have to move again at once, or would not find its copy.  The run still goes
-   on at its source, so another destination is asked for.  A run that is
+   have to move again at once, or would not find its copy.  The run still
+   continues at its source, so another destination is asked for.  A run that is
    already stopped resumes as it can.  */
 void
 csp_note_destination_left (csp_exchange_t *exchange)
--- a/source/length/length.c
+++ b/source/length/length.c
@@ -261,23 +261,23 @@
 }
 
 double
-csp_length_survival (csp_lengths_t *lengths, uint32_t key_index, uint32_t made,
-                     uint32_t ahead)
+csp_length_survival (csp_lengths_t *lengths, uint32_t key_index,
+                     uint32_t generated, uint32_t ahead)
 {
   const length_key_t *key = &lengths->keys[key_index];
-  double from = hazard_up_to (lengths, key, made);
-  double to = hazard_up_to (lengths, key, made + ahead);
+  double from = hazard_up_to (lengths, key, generated);
+  double to = hazard_up_to (lengths, key, generated + ahead);
 
   return exp (from - to);
 }
 
 double
 csp_mean_tokens_left (csp_lengths_t *lengths, uint32_t key_index,
-                      uint32_t made)
+                      uint32_t generated)
 {
   const length_key_t *key = &lengths->keys[key_index];
-  uint32_t bin = find_bin (made);
-  double width = lengths->edge[bin + 1] - fmax (made, 1);
+  uint32_t bin = find_bin (generated);
+  double width = lengths->edge[bin + 1] - fmax (generated, 1);
 
   if (width <= 0)
     return 0;
@@ -286,20 +286,23 @@
 
 uint32_t
 csp_quantile_tokens_left (csp_lengths_t *lengths, uint32_t key_index,
-                          uint32_t made, double quantile)
+                          uint32_t generated, double quantile)
 {
   const length_key_t *key = &lengths->keys[key_index];
-  double target_hazard = hazard_up_to (lengths, key, made) - log1p (-quantile);
-  uint32_t bin = find_bin (made);
+  double target_hazard
+      = hazard_up_to (lengths, key, generated) - log1p (-quantile);
+  uint32_t bin = find_bin (generated);
   double inside;
 
   while (bin < BINS && key->cumulative[bin + 1] < target_hazard)
     bin++;
   if (bin >= BINS)
-    return made < CSP_LENGTH_MAX_TOKENS ? CSP_LENGTH_MAX_TOKENS - made : 0;
+    return generated < CSP_LENGTH_MAX_TOKENS
+               ? CSP_LENGTH_MAX_TOKENS - generated
+               : 0;
   inside = (target_hazard - key->cumulative[bin])
            / fmax (key->hazard[bin], 1e-12);
-  return (uint32_t)fmax (0, ceil (lengths->edge[bin] + inside - made));
+  return (uint32_t)fmax (0, ceil (lengths->edge[bin] + inside - generated));
 }
 
 uint64_t
--- a/source/log/log.c
+++ b/source/log/log.c
@@ -114,24 +114,24 @@
   free (log);
 }
 
-csp_field_t
+csp_log_field_t
 csp_text (const char *name, const char *text)
 {
-  csp_field_t field = { CSP_FIELD_TEXT, name, { .text = text } };
+  csp_log_field_t field = { CSP_FIELD_TEXT, name, { .text = text } };
 
   return field;
 }
 
-csp_field_t
+csp_log_field_t
 csp_number (const char *name, int64_t number)
 {
-  csp_field_t field = { CSP_FIELD_NUMBER, name, { .number = number } };
+  csp_log_field_t field = { CSP_FIELD_NUMBER, name, { .number = number } };
 
   return field;
 }
 
 static json_object *
-create_json_value (const csp_field_t *field)
+create_json_value (const csp_log_field_t *field)
 {
   switch (field->kind)
     {
@@ -186,7 +186,7 @@
 
 static void
 write_fields (csp_log_t *log, const csp_event_row_t *row,
-              const char *request_id, const csp_field_t *fields)
+              const char *request_id, const csp_log_field_t *fields)
 {
   json_object *line;
 
@@ -209,7 +209,7 @@
 
 void
 csp_log_fields (csp_log_t *log, csp_event_t event, const char *request_id,
-                const csp_field_t *fields)
+                const csp_log_field_t *fields)
 {
   const csp_event_row_t *row = csp_find_event (event);
   int64_t dropped;
@@ -219,7 +219,7 @@
     return;
   if (dropped > 0)
     {
-      const csp_field_t dropped_fields[]
+      const csp_log_field_t dropped_fields[]
           = { csp_number ("lines", dropped), { CSP_FIELD_END } };
 
       write_fields (log, csp_find_event (CSP_EVENT_LINES_DROPPED), NULL,
--- a/source/mirror/mirror-feed.c
+++ b/source/mirror/mirror-feed.c
@@ -207,8 +207,8 @@
 }
 
 static bool
-take_answer (void *state, const csp_watch_call_t *call, const char *body,
-             csp_watch_t *watch)
+process_answer (void *state, const csp_watch_call_t *call, const char *body,
+                csp_watch_t *watch)
 {
   csp_mirror_feed_t *feed = state;
   csp_mirror_status_t status = { .age_ms = 0 };
@@ -282,7 +282,7 @@
 
 static const csp_follow_source_t host_source
     = { .write_call = write_call,
-        .take_answer = take_answer,
+        .process_answer = process_answer,
         .failures_began = on_upstream_failed,
         .compacted_status = NO_COMPACTED_STATUS,
         .policy = { .wait_ms = HOST_WAIT_MS,
--- a/source/placement/placement-health.c
+++ b/source/placement/placement-health.c
@@ -16,7 +16,7 @@
 {
   double gap_ms;
   double gaps_seen;
-  double open;
+  double usable_share;
   int64_t slow_since_ms;
   int64_t stepped_at_ms;
   int64_t probed_at_ms;
@@ -86,7 +86,7 @@
 void
 csp_reset_health (csp_health_t *health, uint32_t target, bool in_use)
 {
-  target_health_t fresh = { .open = 1, .in_use = in_use };
+  target_health_t fresh = { .usable_share = 1, .in_use = in_use };
 
   health->targets[target] = fresh;
 }
@@ -152,7 +152,8 @@
   for (i = 0; i < health->count; i++)
     {
       *in_use += health->targets[i].in_use;
-      reduced += health->targets[i].in_use && health->targets[i].open < 1;
+      reduced
+          += health->targets[i].in_use && health->targets[i].usable_share < 1;
     }
   return reduced;
 }
@@ -200,9 +201,10 @@
   if (now_ms - state->slow_since_ms < health->policy.slow_ms
       || now_ms - state->stepped_at_ms < health->policy.step_ms)
     return;
-  if (state->open >= 1 && !may_reduce_another (health))
+  if (state->usable_share >= 1 && !may_reduce_another (health))
     return;
-  state->open = state->open / 2 < min_share ? 0 : state->open / 2;
+  state->usable_share
+      = state->usable_share / 2 < min_share ? 0 : state->usable_share / 2;
   state->stepped_at_ms = now_ms;
 }
 
@@ -213,10 +215,10 @@
                int64_t now_ms)
 {
   state->slow_since_ms = 0;
-  if (state->open >= 1
+  if (state->usable_share >= 1
       || now_ms - state->stepped_at_ms < health->policy.step_ms)
     return;
-  state->open = fmin (1, fmax (state->open * 2, min_share));
+  state->usable_share = fmin (1, fmax (state->usable_share * 2, min_share));
   state->stepped_at_ms = now_ms;
 }
 
@@ -247,7 +249,7 @@
 double
 csp_health_share (const csp_health_t *health, uint32_t target)
 {
-  return health->targets[target].open;
+  return health->targets[target].usable_share;
 }
 
 double
@@ -266,7 +268,7 @@
 {
   target_health_t *state = &health->targets[target];
 
-  if (state->open > 0 || streams > 0
+  if (state->usable_share > 0 || streams > 0
       || now_ms - state->probed_at_ms < health->policy.probe_ms)
     return false;
   state->probed_at_ms = now_ms;
--- a/source/route/route.c
+++ b/source/route/route.c
@@ -114,9 +114,9 @@
 }
 
 bool
-csp_add_route (csp_routes_t *routes, const csp_route_t *route)
+csp_add_route (csp_routes_t *routes, const csp_gateway_route_t *route)
 {
-  csp_route_t *stored = append_item (&routes->routes, sizeof *stored);
+  csp_gateway_route_t *stored = append_item (&routes->routes, sizeof *stored);
   size_t i;
 
   if (stored == NULL)
@@ -170,8 +170,8 @@
 static int
 compare_routes (const void *left, const void *right)
 {
-  const csp_route_t *a = left;
-  const csp_route_t *b = right;
+  const csp_gateway_route_t *a = left;
+  const csp_gateway_route_t *b = right;
   int order = strcasecmp (a->host, b->host);
   size_t a_bytes = strlen (a->prefix);
   size_t b_bytes = strlen (b->prefix);
@@ -198,8 +198,8 @@
 csp_seal_routes (csp_routes_t *routes)
 {
   if (routes->routes.count > 0)
-    qsort (routes->routes.items, routes->routes.count, sizeof (csp_route_t),
-           compare_routes);
+    qsort (routes->routes.items, routes->routes.count,
+           sizeof (csp_gateway_route_t), compare_routes);
   if (routes->keys.count > 0)
     qsort (routes->keys.items, routes->keys.count, sizeof (route_key_t),
            compare_keys);
@@ -258,12 +258,12 @@
          && (host[size_bytes] == '\0' || host[size_bytes] == ':');
 }
 
-const csp_route_t *
+const csp_gateway_route_t *
 csp_match_route (const csp_routes_t *routes, const char *host,
                  const char *path)
 {
-  const csp_route_t *route = routes->routes.items;
-  const csp_route_t *end = route + routes->routes.count;
+  const csp_gateway_route_t *route = routes->routes.items;
+  const csp_gateway_route_t *end = route + routes->routes.count;
 
   for (; route < end; route++)
     if (host_matches (route->host, host)
@@ -315,7 +315,8 @@
 }
 
 const char *
-csp_pick_weighted_service (const csp_route_t *route, csp_random_t *random)
+csp_pick_weighted_service (const csp_gateway_route_t *route,
+                           csp_random_t *random)
 {
   uint32_t total = 0;
   uint32_t offset;
--- a/tests/adapter/adapter-test.c
+++ b/tests/adapter/adapter-test.c
@@ -32,7 +32,7 @@
   csp_routes_t *routes = csp_decode_configuration (
       CONFIG ("7", "streaming", "\"service\":\"e\""), &fault);
   const csp_route_service_t *service;
-  const csp_route_t *route;
+  const csp_gateway_route_t *route;
 
   ck_assert_msg (routes != NULL, "%s", fault);
   ck_assert_uint_eq (csp_routes_version (routes), 7);
@@ -69,7 +69,7 @@
               "\"backends\":[{\"service\":\"e\",\"weight\":90},"
               "{\"service\":\"p\",\"weight\":10}]"),
       &fault);
-  const csp_route_t *route;
+  const csp_gateway_route_t *route;
 
   ck_assert_msg (routes != NULL, "%s", fault);
   route = csp_match_route (routes, "h", "/p/");
--- a/tests/dispatch/dispatch-move-test.c
+++ b/tests/dispatch/dispatch-move-test.c
@@ -161,7 +161,7 @@
 END_TEST
 
 /* Three streams leave one engine at the same time.  If all copies used its
-   link at once, each stream would pause behind the others' copies for half a
+   link at once, each stream would pause during the others' copies for half a
    second.  */
 START_TEST (one_copy_at_a_time_from_a_target)
 {
--- a/tests/fleet/fleet-risk-test.c
+++ b/tests/fleet/fleet-risk-test.c
@@ -120,7 +120,7 @@
   target->others.requests = engine->runs;
   target->others.tokens = engine->tokens;
   target->others.prefill_tokens = engine->reading_tokens;
-  csp_note_prompt_given (target, engine->recent_prompt_tokens, 0);
+  csp_note_prompt_assigned (target, engine->recent_prompt_tokens, 0);
 }
 
 /* Engines read prompts a fifth of their time, mostly for requests with short
--- a/tests/gateway/gateway-fixture.c
+++ b/tests/gateway/gateway-fixture.c
@@ -185,16 +185,16 @@
 add_route (csp_routes_t *routes, const char *prefix, csp_route_kind_t kind,
            uint32_t attempts, const char *service, bool open_to_all)
 {
-  csp_route_t route = { .name = prefix,
-                        .host = "h",
-                        .prefix = prefix,
-                        .kind = kind,
-                        .timeout_ms = 4000,
-                        .attempts_max = attempts,
-                        .urgency = 2,
-                        .allows_anonymous = open_to_all,
-                        .share_count = 1,
-                        .shares = { { service, 1 } } };
+  csp_gateway_route_t route = { .name = prefix,
+                                .host = "h",
+                                .prefix = prefix,
+                                .kind = kind,
+                                .timeout_ms = 4000,
+                                .attempts_max = attempts,
+                                .urgency = 2,
+                                .allows_anonymous = open_to_all,
+                                .share_count = 1,
+                                .shares = { { service, 1 } } };
 
   ck_assert (csp_add_route (routes, &route));
 }
--- a/tests/length/length-test.c
+++ b/tests/length/length-test.c
@@ -45,13 +45,13 @@
 END_TEST
 
 /* Compares the estimated mean and quantile of the remaining tokens, given that
-   the answer already has `made` tokens, with those of a direct sample from the
-   same distribution.  */
+   the answer already has `generated` tokens, with those of a direct sample
+   from the same distribution.  */
 static const struct
 {
   double median;
   double sigma;
-  uint32_t made;
+  uint32_t generated;
 } distributions[] = {
   { 40, 0.8, 0 },    { 40, 0.8, 60 },    { 290, 1.3, 0 },
   { 290, 1.3, 500 }, { 290, 1.3, 3000 }, { 12, 0.6, 5 },
@@ -75,20 +75,21 @@
         lengths, key,
         (uint32_t)fmax (1, draw_log_normal (&random, distributions[_i].median,
                                             distributions[_i].sigma)));
-  bound = csp_quantile_tokens_left (lengths, key, distributions[_i].made, 0.9);
+  bound = csp_quantile_tokens_left (lengths, key, distributions[_i].generated,
+                                    0.9);
   for (i = 0; i < 200000; i++)
     {
       tokens = (uint32_t)fmax (1, draw_log_normal (&random,
                                                    distributions[_i].median,
                                                    distributions[_i].sigma));
-      if (tokens <= distributions[_i].made)
+      if (tokens <= distributions[_i].generated)
         continue;
       over++;
-      sum += tokens - distributions[_i].made;
-      beyond += tokens - distributions[_i].made > bound;
+      sum += tokens - distributions[_i].generated;
+      beyond += tokens - distributions[_i].generated > bound;
     }
   ck_assert_double_eq_tol (
-      csp_mean_tokens_left (lengths, key, distributions[_i].made)
+      csp_mean_tokens_left (lengths, key, distributions[_i].generated)
           / (sum / over),
       1, 0.2);
   ck_assert_double_eq_tol ((double)beyond / over, 0.1, 0.05);
--- a/tests/route/route-test.c
+++ b/tests/route/route-test.c
@@ -11,11 +11,11 @@
 static void
 add_test_route (const char *name, const char *host, const char *prefix)
 {
-  csp_route_t route = { .name = name,
-                        .host = host,
-                        .prefix = prefix,
-                        .share_count = 2,
-                        .shares = { { "s1", 90 }, { "s2", 10 } } };
+  csp_gateway_route_t route = { .name = name,
+                                .host = host,
+                                .prefix = prefix,
+                                .share_count = 2,
+                                .shares = { { "s1", 90 }, { "s2", 10 } } };
 
   ck_assert (csp_add_route (routes, &route));
 }
@@ -64,7 +64,7 @@
 
 START_TEST (longest_matching_prefix_of_the_host_wins)
 {
-  const csp_route_t *route
+  const csp_gateway_route_t *route
       = csp_match_route (routes, matches[_i].host, matches[_i].path);
 
   if (matches[_i].route == NULL)
@@ -95,7 +95,8 @@
 
 START_TEST (services_are_picked_by_weight)
 {
-  const csp_route_t *route = csp_match_route (routes, "b.example", "/x/");
+  const csp_gateway_route_t *route
+      = csp_match_route (routes, "b.example", "/x/");
   csp_random_t random;
   uint32_t first = 0;
   int i;
