--- a/include/cowslipspoke/fleet.h
+++ b/include/cowslipspoke/fleet.h
@@ -18,7 +18,7 @@
 enum
 {
   CSP_TARGET_ID_BYTES = 64,
-  CSP_TARGET_NAME_BYTES = 64
+  CSP_FLEET_NAME_BYTES = 64
 };
 
 /* An entry of the platform's target list.  */
@@ -29,8 +29,8 @@
      target may restart under the same id; a new start keeps nothing of the one
      before.  */
   int64_t start_unix_ms;
-  char service[CSP_TARGET_NAME_BYTES];
-  char data_centre[CSP_TARGET_NAME_BYTES];
+  char service[CSP_FLEET_NAME_BYTES];
+  char data_centre[CSP_FLEET_NAME_BYTES];
   struct sockaddr_in address;
   uint32_t slots;         /* requests that it runs at once */
   uint32_t warming_up_ms; /* remaining slow period after its start */
--- a/include/cowslipspoke/log.h
+++ b/include/cowslipspoke/log.h
@@ -91,15 +91,15 @@
 
 typedef enum
 {
-  CSP_FIELD_END,
-  CSP_FIELD_TEXT,
-  CSP_FIELD_NUMBER
-} csp_field_kind_t;
+  CSP_LOG_FIELD_END,
+  CSP_LOG_FIELD_TEXT,
+  CSP_LOG_FIELD_NUMBER
+} csp_log_field_kind_t;
 
 /* One named value of an event.  */
 typedef struct
 {
-  csp_field_kind_t kind;
+  csp_log_field_kind_t kind;
   const char *name;
   union
   {
@@ -130,8 +130,8 @@
 
 /* Write one event.  Events below a warning are rate-limited: those beyond the
    limit are dropped and counted.  request_id may be NULL.  fields ends with a
-   field of kind CSP_FIELD_END.  Any thread may call the function; the event is
-   dropped where log is NULL.  */
+   field of kind CSP_LOG_FIELD_END.  Any thread may call the function; the
+   event is dropped where log is NULL.  */
 void csp_log_fields (csp_log_t *log, csp_event_t event, const char *request_id,
                      const csp_log_field_t *fields);
 
@@ -139,7 +139,7 @@
 #define CSP_LOG(log, event, request_id, ...)                                  \
   csp_log_fields (                                                            \
       log, event, request_id,                                                 \
-      (const csp_log_field_t[]){ __VA_ARGS__, { CSP_FIELD_END } })
+      (const csp_log_field_t[]){ __VA_ARGS__, { CSP_LOG_FIELD_END } })
 
 /* The row of an event; NULL for an unknown event.  */
 const csp_event_row_t *csp_find_event (csp_event_t event);
--- a/source/dispatch/dispatch-imp.h
+++ b/source/dispatch/dispatch-imp.h
@@ -27,7 +27,7 @@
 /* The engines of one service and the queue for them.  */
 typedef struct
 {
-  char service[CSP_TARGET_NAME_BYTES];
+  char service[CSP_FLEET_NAME_BYTES];
   uint32_t memory_tokens;
   csp_queue_t *queue;
 } csp_dispatch_pool_t;
--- a/source/fleet/fleet-imp.h
+++ b/source/fleet/fleet-imp.h
@@ -22,7 +22,7 @@
 /* The limit on a service's targets while they are cold.  */
 typedef struct
 {
-  char service[CSP_TARGET_NAME_BYTES];
+  char service[CSP_FLEET_NAME_BYTES];
   uint32_t cold_ms;
   uint32_t bound_per_s;
 } csp_cold_limit_t;
--- a/source/gateway/gateway-imp.h
+++ b/source/gateway/gateway-imp.h
@@ -73,7 +73,7 @@
    are according to the decider.  */
 typedef struct
 {
-  char service[CSP_TARGET_NAME_BYTES];
+  char service[CSP_FLEET_NAME_BYTES];
   csp_retry_budget_t budget;
   csp_lease_pool_t leases;
   uint64_t lease_request_id;  /* id of the pending lease request; 0: none */
--- a/source/log/log.c
+++ b/source/log/log.c
@@ -117,7 +117,7 @@
 csp_log_field_t
 csp_text (const char *name, const char *text)
 {
-  csp_log_field_t field = { CSP_FIELD_TEXT, name, { .text = text } };
+  csp_log_field_t field = { CSP_LOG_FIELD_TEXT, name, { .text = text } };
 
   return field;
 }
@@ -125,7 +125,7 @@
 csp_log_field_t
 csp_number (const char *name, int64_t number)
 {
-  csp_log_field_t field = { CSP_FIELD_NUMBER, name, { .number = number } };
+  csp_log_field_t field = { CSP_LOG_FIELD_NUMBER, name, { .number = number } };
 
   return field;
 }
@@ -135,13 +135,13 @@
 {
   switch (field->kind)
     {
-    case CSP_FIELD_TEXT:
+    case CSP_LOG_FIELD_TEXT:
       return field->value.text == NULL
                  ? NULL
                  : json_object_new_string (field->value.text);
-    case CSP_FIELD_NUMBER:
+    case CSP_LOG_FIELD_NUMBER:
       return json_object_new_int64 (field->value.number);
-    case CSP_FIELD_END:
+    case CSP_LOG_FIELD_END:
       break;
     }
   return NULL;
@@ -199,7 +199,7 @@
   if (request_id != NULL)
     json_object_object_add (line, "request_id",
                             json_object_new_string (request_id));
-  for (; fields->kind != CSP_FIELD_END; fields++)
+  for (; fields->kind != CSP_LOG_FIELD_END; fields++)
     json_object_object_add (line, fields->name, create_json_value (fields));
   log4c_category_log (
       log->category, priorities[row->level], "%s",
@@ -220,7 +220,7 @@
   if (dropped > 0)
     {
       const csp_log_field_t dropped_fields[]
-          = { csp_number ("lines", dropped), { CSP_FIELD_END } };
+          = { csp_number ("lines", dropped), { CSP_LOG_FIELD_END } };
 
       write_fields (log, csp_find_event (CSP_EVENT_LINES_DROPPED), NULL,
                     dropped_fields);
