--- a/source/declaration/declaration-tables.c
+++ b/source/declaration/declaration-tables.c
@@ -30,23 +30,23 @@
 #define REQUEST_LIMITS(type_name, member)                                     \
   { .name = "max_prompt_tokens",                                              \
     U32 (type_name, member.max_prompt_tokens, 1, LIMIT_MAX),                  \
-    .help = "longest prompt of a request, in tokens" },                       \
+    .help = "largest prompt of a request, in tokens" },                       \
   {                                                                           \
     .name = "max_output_tokens",                                              \
     U32 (type_name, member.max_output_tokens, 1, LIMIT_MAX),                  \
-    .help = "longest answer of a request, in tokens"                          \
+    .help = "largest output of a request, in tokens"                          \
   }
 #define COUNTED_LIMITS(type_name, member)                                     \
   { .name = "tokens_per_s",                                                   \
     U32 (type_name, member.tokens_per_s, 1, LIMIT_MAX),                       \
-    .help = "tokens a second, prompt and answer" },                           \
+    .help = "tokens per second, prompt and output together" },                \
       { .name = "max_waiting",                                                \
         U32 (type_name, member.max_waiting, 1, LIMIT_MAX),                    \
-        .help = "requests that wait at once" },                               \
+        .help = "most requests waiting at once" },                            \
   {                                                                           \
     .name = "max_open_streams",                                               \
     U32 (type_name, member.max_open_streams, 1, LIMIT_MAX),                   \
-    .help = "requests open at once, waiting or running"                       \
+    .help = "most requests open at once, waiting or running"                  \
   }
 
 static const csp_field_t organisation_limits_table[]
@@ -63,11 +63,11 @@
           .min = 1,
           .max = KEYS_MAX,
           .required = true,
-          .help = "SHA-256 of each of its bearer keys" },
+          .help = "SHA-256 of each bearer key of the organisation" },
         { .name = "weight",
           U32 (csp_organisation_t, weight, 1, 1000000),
           .default_setting = "1",
-          .help = "share of tokens beside other organisations" },
+          .help = "relative share of tokens among organisations" },
         { .name = "limits",
           .type = CSP_FIELD_OBJECT,
           .fields = organisation_limits_table,
@@ -78,10 +78,10 @@
     = { { .name = "priority",
           PRIORITY (csp_class_t, priority),
           .default_setting = "5",
-          .help = "0, first to give way, to 9" },
+          .help = "0 (lowest, yields first) to 9 (highest)" },
         { .name = "deadline_ms",
           U32 (csp_class_t, deadline_ms, 1, DAY_MS),
-          .help = "deadline of a request that states none" },
+          .help = "deadline of a request that sets none" },
         { .name = "longest_wait_ms",
           U32 (csp_class_t, longest_wait_ms, 1, DAY_MS),
           .help = "longest time in the queue" },
@@ -96,7 +96,7 @@
     = { { .name = "model",
           TEXT (csp_route_t, model, CSP_FORM_TEXT),
           .help
-          = "the model's name at the engines; default the route's name" },
+          = "name of the model on the engines; default: the route's name" },
         { .name = "pool",
           TEXT (csp_route_t, pool, CSP_FORM_NAME),
           .required = true,
@@ -109,31 +109,33 @@
           .help = "classes that a request may name" },
         { .name = "default_class",
           TEXT (csp_route_t, default_class, CSP_FORM_NAME),
-          .help = "class of a request that names none" },
+          .help = "class of requests that name none" },
         { .name = "fallback",
           TEXT (csp_route_t, fallback, CSP_FORM_NAME),
-          .help = "route to use while the pool has no live engine" },
+          .help = "route used while the pool has no live engine" },
         { .name = "limits",
           .type = CSP_FIELD_OBJECT,
           .fields = route_limits_table,
           .help = "limits over all its requests" },
         { 0 } };
 
-static const csp_field_t call_table[]
-    = { { .name = "method",
-          TEXT (csp_service_call_t, method, CSP_FORM_METHOD),
-          .required = true,
-          .help = "method of the call" },
-        { .name = "path",
-          TEXT (csp_service_call_t, path, CSP_FORM_PATH),
-          .required = true,
-          .help = "path behind the service's prefix, and all below it" },
-        { .name = "repeatable",
-          .type = CSP_FIELD_BOOL,
-          .offset = offsetof (csp_service_call_t, repeatable),
-          .required = true,
-          .help = "whether the call may be repeated, whatever its method" },
-        { 0 } };
+static const csp_field_t call_table[] = {
+  { .name = "method",
+    TEXT (csp_service_call_t, method, CSP_FORM_METHOD),
+    .required = true,
+    .help = "method of the call" },
+  { .name = "path",
+    TEXT (csp_service_call_t, path, CSP_FORM_PATH),
+    .required = true,
+    .help
+    = "path after the service's prefix; applies to all paths below it too" },
+  { .name = "repeatable",
+    .type = CSP_FIELD_BOOL,
+    .offset = offsetof (csp_service_call_t, repeatable),
+    .required = true,
+    .help = "whether the call may be repeated, regardless of its method" },
+  { 0 }
+};
 
 static const csp_field_t service_limits_table[]
     = { COUNTED_LIMITS (csp_service_t, limits), { 0 } };
@@ -145,19 +147,20 @@
           .help = "pool of services" },
         { .name = "path_prefix",
           TEXT (csp_service_t, path_prefix, CSP_FORM_PATH),
-          .help = "callers' paths below it go here; default /services/NAME" },
+          .help = "requests for paths below it go to this service; default: "
+                  "/services/NAME" },
         { .name = "calls",
           .type = CSP_FIELD_LIST,
           STRUCTS (csp_service_t, calls, call_count, csp_service_call_t,
                    call_table, CALLS_MAX),
-          .help = "calls whose repeating differs from their method's" },
+          .help = "calls that differ from their method's rule on repeating" },
         { .name = "priority",
           PRIORITY (csp_service_t, priority),
           .default_setting = "5",
-          .help = "0, first to give way, to 9" },
+          .help = "0 (lowest, yields first) to 9 (highest)" },
         { .name = "deadline_ms",
           U32 (csp_service_t, deadline_ms, 1, DAY_MS),
-          .help = "deadline of a request that states none" },
+          .help = "deadline of a request that sets none" },
         { .name = "longest_wait_ms",
           U32 (csp_service_t, longest_wait_ms, 1, DAY_MS),
           .help = "longest time in the queue" },
@@ -174,7 +177,7 @@
     = { { .name = "version",
           TEXT (csp_named_version_t, version, CSP_FORM_NAME),
           .required = true,
-          .help = "version to have loaded" },
+          .help = "version that should be loaded" },
         { 0 } };
 
 static const csp_field_t wanted_table[]
@@ -183,19 +186,19 @@
           .form = CSP_FORM_NAME,
           STRUCTS (csp_wanted_state_t, models, model_count,
                    csp_named_version_t, versioned_table, MODELS_MAX),
-          .help = "models to have loaded" },
+          .help = "models that should be loaded" },
         { .name = "adapters",
           .type = CSP_FIELD_MAP,
           .form = CSP_FORM_NAME,
           STRUCTS (csp_wanted_state_t, adapters, adapter_count,
                    csp_named_version_t, versioned_table, MODELS_MAX),
-          .help = "adapters to have loaded" },
+          .help = "adapters that should be loaded" },
         { .name = "role",
           .type = CSP_FIELD_CHOICE,
           .offset = offsetof (csp_wanted_state_t, role),
           .present_offset = offsetof (csp_wanted_state_t, has_role),
           .choices = roles,
-          .help = "what the engine does" },
+          .help = "phases of generation that the engine runs" },
         { 0 } };
 
 static const csp_field_t engine_table[]
@@ -204,66 +207,70 @@
           .offset = offsetof (csp_engine_wanted_state_t, wanted),
           .fields = wanted_table,
           .required = true,
-          .help = "its wanted state, in place of the pool's" },
+          .help = "wanted state of this engine, in place of the pool's" },
         { 0 } };
 
-const csp_field_t csp_pool_table[]
-    = { { .name = "kind",
-          .type = CSP_FIELD_CHOICE,
-          .offset = offsetof (csp_pool_t, kind),
-          .choices = pool_kinds,
-          .help = "what its targets are" },
-        { .name = "memory_tokens",
-          U32 (csp_pool_t, memory_tokens, 1, LIMIT_MAX),
-          .default_setting = "100000",
-          .help = "memory of an engine until it reports its own" },
-        { .name = "max_open_streams",
-          U32 (csp_pool_t, max_open_streams, 1, LIMIT_MAX),
-          .default_setting = "256",
-          .help = "requests open on one target" },
-        { .name = "max_waiting",
-          U32 (csp_pool_t, max_waiting, 1, LIMIT_MAX),
-          .default_setting = "1000",
-          .help = "requests that wait for it on one host" },
-        { .name = "resume_window_ms",
-          U32 (csp_pool_t, resume_window_ms, 1, DAY_MS),
-          .default_setting = "30000",
-          .help = "how long an engine keeps a generation whose link was cut" },
-        { .name = "longest_order_ms",
-          U32 (csp_pool_t, longest_order_ms, 1, DAY_MS),
-          .default_setting = "600000",
-          .help = "how long an order may take" },
-        { .name = "loads_per_minute",
-          U32 (csp_pool_t, loads_per_minute, 1, 100000),
-          .default_setting = "60",
-          .help = "loads that start on its engines, over all hosts" },
-        { .name = "wanted",
-          .type = CSP_FIELD_OBJECT,
-          .offset = offsetof (csp_pool_t, wanted),
-          .present_offset = offsetof (csp_pool_t, has_wanted),
-          .fields = wanted_table,
-          .help
-          = "wanted state of its engines; without it no orders are given" },
-        { .name = "engines",
-          .type = CSP_FIELD_MAP,
-          .form = CSP_FORM_NAME,
-          STRUCTS (csp_pool_t, engines, engine_count,
-                   csp_engine_wanted_state_t, engine_table, ENGINES_MAX),
-          .help = "engines whose wanted state differs" },
-        { 0 } };
+const csp_field_t csp_pool_table[] = {
+  { .name = "kind",
+    .type = CSP_FIELD_CHOICE,
+    .offset = offsetof (csp_pool_t, kind),
+    .choices = pool_kinds,
+    .help = "kind of the pool's targets" },
+  { .name = "memory_tokens",
+    U32 (csp_pool_t, memory_tokens, 1, LIMIT_MAX),
+    .default_setting = "100000",
+    .help
+    = "memory assumed for an engine until it reports its own, in tokens" },
+  { .name = "max_open_streams",
+    U32 (csp_pool_t, max_open_streams, 1, LIMIT_MAX),
+    .default_setting = "256",
+    .help = "most requests open on one target" },
+  { .name = "max_waiting",
+    U32 (csp_pool_t, max_waiting, 1, LIMIT_MAX),
+    .default_setting = "1000",
+    .help = "most requests waiting for the pool on one host" },
+  { .name = "resume_window_ms",
+    U32 (csp_pool_t, resume_window_ms, 1, DAY_MS),
+    .default_setting = "30000",
+    .help
+    = "how long an engine keeps a generation after its connection is lost" },
+  { .name = "longest_order_ms",
+    U32 (csp_pool_t, longest_order_ms, 1, DAY_MS),
+    .default_setting = "600000",
+    .help = "longest time for an engine to carry out an order" },
+  { .name = "loads_per_minute",
+    U32 (csp_pool_t, loads_per_minute, 1, 100000),
+    .default_setting = "60",
+    .help
+    = "most loads started per minute on the pool's engines, over all hosts" },
+  { .name = "wanted",
+    .type = CSP_FIELD_OBJECT,
+    .offset = offsetof (csp_pool_t, wanted),
+    .present_offset = offsetof (csp_pool_t, has_wanted),
+    .fields = wanted_table,
+    .help
+    = "wanted state of the pool's engines; without it no orders are sent" },
+  { .name = "engines",
+    .type = CSP_FIELD_MAP,
+    .form = CSP_FORM_NAME,
+    STRUCTS (csp_pool_t, engines, engine_count, csp_engine_wanted_state_t,
+             engine_table, ENGINES_MAX),
+    .help = "engines whose wanted state differs from the pool's" },
+  { 0 }
+};
 
 #define WHEN_SET(key, set)                                                    \
   {                                                                           \
     .name = (key), .type = CSP_FIELD_STRINGS, .form = CSP_FORM_NAME,          \
     .offset = offsetof (csp_rule_t, when.sets[set].declared),                 \
     .count_offset = offsetof (csp_rule_t, when.sets[set].count), .min = 1,    \
-    .max = NAMES_MAX, .help = "one of these"                                  \
+    .max = NAMES_MAX, .help = "matches any of these names"                    \
   }
 #define WHEN_RANGE(key, range, table)                                         \
   {                                                                           \
     .name = (key), .type = CSP_FIELD_OBJECT,                                  \
     .offset = offsetof (csp_rule_t, when.ranges[range]), .fields = (table),   \
-    .help = "min and max, both belong to it"                                  \
+    .help = "range from min to max, inclusive"                                \
   }
 #define RANGE_END(key, member, number_type, highest, default_text, help_text) \
   {                                                                           \
@@ -274,15 +281,15 @@
 
 static const csp_field_t priority_table[]
     = { RANGE_END ("min", min, CSP_FIELD_DOUBLE, CSP_PRIORITY_MAX, "0",
-                   "smallest that it holds for"),
+                   "smallest value that matches"),
         RANGE_END ("max", max, CSP_FIELD_DOUBLE, CSP_PRIORITY_MAX, "9",
-                   "largest that it holds for"),
+                   "largest value that matches"),
         { 0 } };
 static const csp_field_t number_table[]
     = { RANGE_END ("min", min, CSP_FIELD_DOUBLE, LIMIT_MAX, "0",
-                   "smallest that it holds for"),
+                   "smallest value that matches"),
         RANGE_END ("max", max, CSP_FIELD_DOUBLE, LIMIT_MAX, "1000000000000",
-                   "largest that it holds for"),
+                   "largest value that matches"),
         { 0 } };
 
 static const csp_field_t when_table[]
@@ -300,17 +307,19 @@
 #define TERMS(member)                                                         \
   { .name = "pool",                                                           \
     TEXT (csp_rule_t, then.member.pool, CSP_FORM_NAME),                       \
-    .help = "pool to send to; default the route's" },                         \
+    .help = "pool to send to; default: the route's or service's" },           \
       { .name = "priority",                                                   \
         PRIORITY (csp_rule_t, then.member.priority),                          \
         .default_setting = "255",                                             \
-        .help = "0 to 9; default the request's" },                            \
+        .help = "0 (lowest, yields first) to 9 (highest); default: the "      \
+                "request's" },                                                \
       { .name = "weight",                                                     \
         U32 (csp_rule_t, then.member.weight, 1, 1000000),                     \
-        .help = "default the organisation's" },                               \
+        .help = "weight; default: the organisation's" },                      \
       { .name = "longest_wait_ms",                                            \
         U32 (csp_rule_t, then.member.longest_wait_ms, 1, DAY_MS),             \
-        .help = "default the class's" },                                      \
+        .help                                                                 \
+        = "longest time in the queue; default: the class's or service's" },   \
       COUNTED_LIMITS (csp_rule_t, then.member.limits),                        \
       REQUEST_LIMITS (csp_rule_t, then.member.limits)
 
@@ -323,23 +332,23 @@
           .min = 0,
           .max = 1,
           .default_setting = "0.8",
-          .help = "only while the pool's load is below" },
+          .help = "lends only while the pool's load is below this" },
         { 0 } };
 static const csp_field_t spill_table[]
     = { TERMS (spill),
         { .name = "data_centre",
           TEXT (csp_rule_t, then.spill_data_centre, CSP_FORM_NAME),
           .required = true,
-          .help = "data centre to hand over to" },
+          .help = "data centre to hand the request over to" },
         { 0 } };
 static const csp_field_t turn_away_table[]
     = { { .name = "reason",
           TEXT (csp_rule_t, then.reason, CSP_FORM_TEXT),
           .required = true,
-          .help = "what the caller is told" },
+          .help = "reason in the answer to the caller" },
         { .name = "retry_after_ms",
           U32 (csp_rule_t, then.retry_after_ms, 0, DAY_MS),
-          .help = "when coming back may help; 0 for never" },
+          .help = "time after which a retry may succeed; 0: never" },
         { 0 } };
 
 #define ACTION(key, has, table)                                               \
@@ -364,7 +373,7 @@
           .type = CSP_FIELD_OBJECT,
           .fields = when_table,
           .required = true,
-          .help = "conditions that all have to hold; {} holds always" },
+          .help = "conditions that must all match; {} always matches" },
         { .name = "then",
           .type = CSP_FIELD_OBJECT,
           .fields = then_table,
--- a/source/settings/settings-options.c
+++ b/source/settings/settings-options.c
@@ -140,7 +140,7 @@
       }
   for (; optind < argc; optind++)
     csp_add_fault (faults, command_line, argv[optind], 0,
-                   "is no option; see --help");
+                   "is not an option; see --help");
 }
 
 bool
