--- a/include/cowslipspoke/limit.h
+++ b/include/cowslipspoke/limit.h
@@ -16,9 +16,9 @@
    Each host enforces a share of the limit.  floor_share of the limit is
    divided evenly, the rest in proportion to the demand that hosts publish to
    each other every round.  A share falls at once, but rises by at most a
-   factor of max_growth per round, and only while every listed host is heard
-   from.  So in a partition the shares don't rise: while the whole host list is
-   known, the limit isn't exceeded, and shares unused on the other side are
+   factor of max_growth per round, and only while every listed host
+   reports.  So in a partition the shares don't rise: while the whole host list
+   is known, the limit isn't exceeded, and shares unused on the other side are
    lost.
 
    How far the limit can be exceeded: shares add up to at most 1 when all hosts
@@ -34,7 +34,7 @@
    max_growth: with 2, 69 per cent of the limit are used while demand jumps
    between hosts every ten seconds (34, 53 and 76 with 1.25, 1.5 and 3); 3
    exceeds the limit by half when demands are three rounds old.
-   stale_ms: a host not heard from for this long counts as silent; three
+   stale_ms: a host without a report for this long counts as silent; three
    rounds.
    burst_s: how many seconds' worth of its share a host may serve at once.  */
 typedef struct
@@ -84,7 +84,7 @@
 } csp_limit_peer_t;
 
 /* Recomputes this host's share, once a round, from all other listed hosts.  A
-   host that was never heard from has demand 0 and age UINT32_MAX.  */
+   host that has never reported has demand 0 and age UINT32_MAX.  */
 void csp_update_limit_share (csp_limit_t *limit, const csp_limit_peer_t *peers,
                              uint32_t count);
 
--- a/include/cowslipspoke/membership.h
+++ b/include/cowslipspoke/membership.h
@@ -176,7 +176,7 @@
 
 typedef enum
 {
-  /* Listed or heard of, but no round trip yet.  */
+  /* Listed or learned of, but no round trip yet.  */
   CSP_PEER_UNCONFIRMED,
   /* Replies arrive.  */
   CSP_PEER_ALIVE,
@@ -209,7 +209,7 @@
   /* Since the heartbeat of the last round trip was sent; -1 if there was
      none.  */
   int64_t round_trip_age_ms;
-  /* Since this host first heard of this incarnation.  */
+  /* Since this host first learned of this incarnation.  */
   int64_t known_age_ms;
   int64_t revision;
   uint64_t digest;
--- a/source/gateway/gateway-exchange-imp.h
+++ b/source/gateway/gateway-exchange-imp.h
@@ -41,7 +41,7 @@
   uint8_t tries;
   uint64_t refusing_target; /* hash of the last target without free memory */
   int64_t refused_until_ms; /* until then that target isn't asked again */
-  bool granted; /* the decider has granted this move its turn and memory */
+  bool granted; /* the decider reserved memory and lets this move start */
   bool decided_locally;       /* the decider does not answer */
   int64_t ask_at_ms;          /* no new ask before, after a failed move */
   csp_fleet_target_t *source; /* the target whose turn this move occupies */
--- a/source/gateway/gateway.c
+++ b/source/gateway/gateway.c
@@ -138,8 +138,8 @@
                  csp_number ("revision",
                              (int64_t)csp_routes_version (gateway->routes)),
                  csp_number ("refused_revision", -1),
-                 csp_text ("fault", "too many services whose targets are cold "
-                                    "behind their start"));
+                 csp_text ("fault", "too many services with a limit on cold "
+                                    "targets"));
     }
 }
 
