--- a/source/roster/roster.c
+++ b/source/roster/roster.c
@@ -360,7 +360,7 @@
 }
 
 void
-csp_visit_peer_loads (const csp_roster_t *roster, csp_load_visitor_t take,
+csp_visit_peer_loads (const csp_roster_t *roster, csp_load_visitor_t visit,
                       void *state)
 {
   size_t i;
@@ -368,16 +368,16 @@
 
   for (i = 0; i < roster->count; i++)
     for (j = 0; j < roster->peers[i].load_count; j++)
-      take (state, roster->peers[i].address, &roster->peers[i].loads[j]);
+      visit (state, roster->peers[i].address, &roster->peers[i].loads[j]);
 }
 
 void
 csp_visit_loads_of_peer (csp_roster_t *roster, csp_peer_address_t address,
-                         csp_load_visitor_t take, void *state)
+                         csp_load_visitor_t visit, void *state)
 {
   const csp_roster_peer_t *peer = csp_find_roster_peer (roster, address);
   size_t i;
 
   for (i = 0; peer != NULL && i < peer->load_count; i++)
-    take (state, address, &peer->loads[i]);
+    visit (state, address, &peer->loads[i]);
 }
